--- a/gradefront/state/form.py
+++ b/gradefront/state/form.py
@@ -5,8 +5,7 @@
 import base64
 import json
 import math
-from dataclasses import asdict, dataclass
-from enum import Enum
+from dataclasses import dataclass
 from typing import Any
 
 from gradefront.net.lines import MAX_LINE
@@ -39,16 +38,53 @@
     from_box: bytes
 
 
+#: The field of `Left` that each stored name stands for.
+STORED_NAMES = {
+    "id": "id",
+    "klass": "klass",
+    "rules": "rules",
+    "key": "key",
+    "group": "group",
+    "tenant": "tenant",
+    "box": "box",
+    "load": "load",
+    "heard_us": "heard_us",
+    "asked_us": "asked_us",
+    "from_carer": "from_carer",
+    "from_box": "from_box",
+}
+
+
 def ruled(rules: RequestClass) -> dict[str, Any]:
-    """A class's rules as JSON has them."""
-    return {name: value.value if isinstance(value, Enum) else value for name, value in asdict(rules).items()}
+    """A class's rules under the stored names, which no renaming in the code may change."""
+    return {
+        "aim_us": rules.aim_us,
+        "deadline_us": rules.deadline_us,
+        "repeat": rules.repeat.value,
+        "scope": rules.scope.value,
+        "dedup_window_us": rules.dedup_window_us,
+        "worth": rules.worth,
+        "message_aim_us": rules.message_aim_us,
+    }
 
 
 def write(left: Left) -> bytes:
-    """The description of one visit."""
-    told = asdict(left) | {"version": VERSION}
-    for name in ("from_carer", "from_box"):
-        told[name] = base64.b64encode(told[name]).decode()
+    """The description of one visit, under the stored names."""
+    told = {
+        "id": left.id,
+        "klass": left.klass,
+        "rules": left.rules,
+        "key": left.key,
+        "group": left.group,
+        "tenant": left.tenant,
+        "box": left.box,
+        "load": left.load,
+        "heard_us": left.heard_us,
+        "asked_us": left.asked_us,
+        "from_carer": base64.b64encode(left.from_carer).decode(),
+        "from_box": base64.b64encode(left.from_box).decode(),
+        "version": VERSION,
+    }
     return json.dumps(told, separators=(",", ":")).encode()
 
 
@@ -64,11 +100,13 @@
             if len(told[name]) > MAX_LINE:
                 raise BadForm(f"{name}: {len(told[name])} bytes")
         told["asked_us"] = tuple(told["asked_us"])
-        left = Left(**told)
+        if unknown := told.keys() - STORED_NAMES.keys():
+            raise BadForm(f"unknown fields: {', '.join(sorted(unknown))}")
+        left = Left(**{STORED_NAMES[name]: value for name, value in told.items()})
     except (ValueError, TypeError, KeyError, AttributeError) as error:
         raise BadForm(f"not of the form: {error!r}") from None
     for name in ("id", "klass", "key", "group", "box"):
-        if not isinstance(getattr(left, name), str):
+        if not isinstance(getattr(left, STORED_NAMES[name]), str):
             raise BadForm(f"{name}: not text")
     if not isinstance(left.rules, dict) or not isinstance(left.tenant, int):
         raise BadForm("rules, tenant: not of the form")
