--- a/milletdeal/capacity.py
+++ b/balancer/capacity.py
@@ -1,7 +1,7 @@
-"""What fills a warm server, as far as one node can tell from its own connections and the servers' reports.
+"""What fills a warm backend, as far as one node can tell from its own connections and the backends' reports.
 
-No node sees what the others hold. Each knows its own connections at a server and the load that the server
-reports then. Over all nodes the sum of such shares is what fills a mean server of a kind.
+No node sees what the others hold. Each knows its own connections at a backend and the load that the backend
+reports then. Over all nodes the sum of such shares is what fills a mean backend of a kind.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Share:
-    """This node's connections and the servers' loads, summed over reports."""
+    """This node's connections and the backends' loads, summed over reports."""
 
     def __init__(self) -> None:
         self.held = Decaying(MEMORY_US)
@@ -27,19 +27,19 @@
 
 
 class CapacityShare:
-    """This node's share of the connections that fill a warm server."""
+    """This node's share of the connections that fill a warm backend."""
 
     def __init__(self) -> None:
         self.all = Share()
         self.kinds: dict[int, Share] = {}
 
     def on_report(self, now_us: int, kind: int, held: int, load: float) -> None:
-        """A warm server reported its load, while this node held so many connections there."""
+        """A warm backend reported its load, while this node held so many connections there."""
         self.all.add(now_us, held, load)
         self.kinds.setdefault(kind, Share()).add(now_us, held, load)
 
     def connections(self, now_us: int, kind: int, guess: float) -> float:
-        """Connections of this node among those that fill a mean server of a kind; the guess where little is
+        """Connections of this node among those that fill a mean backend of a kind; the guess where little is
         known."""
         self.all.add(now_us, 0, 0)
         mean = (self.all.held.value + GUESS_SAY * guess) / (self.all.load.value + GUESS_SAY)
--- /dev/null
+++ b/balancer/moves.py
@@ -0,0 +1,98 @@
+"""Which standing connections are moved, and when."""
+
+from __future__ import annotations
+
+import math
+from functools import partial
+
+from .actions import Migrate
+from .events import BackendState, MessageLatencyReport, Request
+from .known import Known
+from .records import Backend
+from .settings import LoadReportSource
+
+HOME_AT = 0.35  # load near up to which who crosses comes home: half of what moving aims at, as all may come
+HOME_US = 20_000_000  # us: looks for it are spread over this; reports must keep up with the sum of all nodes
+MOVE_AT = 0.85  # load above which standing connections are moved away
+MOVE_TO = 0.7  # load that moving aims at
+MOVE_DELAY = 0.6  # aims: message delay above which a backend is looked at
+LATE_LOAD = 0.6  # load: read from late messages, this and as much again for each aim that they take
+MOVE_HOLD_US = 1_500_000  # us: between two rounds of moves off one backend; reports need to catch up
+MOVE_SPREAD_US = 1_000_000  # us: moves of a round are spread over this
+DRAIN_SPREAD_US = 5_000_000  # us: moves off a draining backend; it leaves in its own time, and told late
+
+
+class Moves(Known):
+    """Moves off what drains or is full, and home from other zones."""
+
+    def _stand(self, request: Request, name: str) -> None:
+        self._book(request, name)
+        if name in self.backends:
+            if self.backends[name].left:  # it began to drain while this was set up
+                self._move_soon([request.request_id], DRAIN_SPREAD_US)
+            elif not request.is_reconnect and self._far(self.backends[name]):  # one move for it, no more
+                self._look_home(request.request_id)
+
+    def _look_home(self, request: int) -> None:
+        """Move a connection that pays for crossing by the second, once there is room near."""
+
+        def look() -> None:
+            if request not in self.connections:
+                return
+            # Guards against more set-ups while backends drain or warm up: those left have enough of them.
+            settled = all(
+                s.entry.state is BackendState.READY and self._coldness(s) >= 1 for s in self.backends.values()
+            )
+            if settled and self.near_load < HOME_AT:
+                self._log("home", "connections that cross zones are moved home, one by one")
+                self._drop(request)
+                self._do(Migrate(request))
+            else:
+                self._look_home(request)
+
+        self._after(self.random.uniform(0, HOME_US), look)
+
+    def _late(self, note: MessageLatencyReport) -> None:
+        """Messages are late at a backend: look at it, and move some connections away."""
+        backend, connection = self.backends.get(note.backend), self.connections.get(note.request_id)
+        if not backend or not connection or not math.isfinite(note.latency_us):
+            return
+        self.late_told = True
+        backend.delay = note.latency_us / max(1, connection.request_class.message_latency_objective_us)
+        if backend.delay >= MOVE_DELAY and not self._look_at(backend) and self.now >= backend.hold_until:
+            backend.hold_until = self.now + MOVE_HOLD_US  # a late message stands in for a report
+            backend.load, backend.load_at = min(2.0, LATE_LOAD + LATE_LOAD * backend.delay), self.now
+            self._move_some(backend, backend.load)
+
+    def _look_at(self, backend: Backend) -> bool:
+        """Probe a backend that may be overloaded, and move some off it if so. False: no health checks
+        here."""
+        if not self.s.may_check_health or self.s.load_report_source is LoadReportSource.NONE:
+            return False
+        if self.now >= backend.hold_until:
+            backend.hold_until = self.now + MOVE_HOLD_US
+            backend.waiters.append(-1)
+            self._probe(backend)
+        return True
+
+    def _move_some(self, backend: Backend, load: float | None) -> None:
+        load = 1.0 + min(1.0, backend.delay / 4) if load is None else load
+        if load <= MOVE_AT:
+            return
+        self._log("move", f"moving some connections off {backend.entry.backend} at load {load:.2f}")
+        cheapest = sorted(backend.open, key=lambda r: (self._standing_value(r), r))
+        self._move_soon(cheapest[: int(len(cheapest) * (1 - MOVE_TO / load) + self.random.random())])
+
+    def _move_soon(self, requests: list[int], spread_us: int = MOVE_SPREAD_US) -> None:
+        def move(request: int) -> None:
+            if request in self.connections:
+                self._drop(request)
+                self._do(Migrate(request))
+
+        for request in requests:
+            self._after(self.random.uniform(0, spread_us), partial(move, request))
+
+    def _standing_value(self, request: int) -> float:
+        connection = self.connections[request]
+        worth = self._worth(connection.request_class, connection.tenant)
+        return worth if self.s.weight_by_work else worth / max(connection.work, 1.0)
--- a/milletdeal/node.py
+++ b/balancer/node.py
@@ -1,4 +1,4 @@
-"""What one node keeps: servers, requests and standing connections, timers and log. Decides nothing."""
+"""What one node keeps: backends, requests and standing connections, timers and log. Decides nothing."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 from random import Random
 from typing import Any
 
-from . import interface as i
+from .actions import Action, SetTimer, WriteLog
 from .capacity import CapacityShare
-from .interface import Action, ServerState
-from .records import Connection, Decaying, Job, Server
-from .turns import Dealer, TurnTable
+from .events import BackendState, ConnectionLoadReport, Event, Request, SettingsChanged
+from .records import Backend, Connection, Decaying, PendingRequest
+from .send_slots import SendSlotTable, SlotSchedule
+from .settings import Settings
 
 MEMORY_US = 1_500_000  # us: memory of the throttle and of the demand
 HELD_UP_US = 150_000  # us: so long may a process be held up between reading its clock and writing
@@ -22,17 +23,17 @@
 class Node:
     """The books and tools that the decisions share."""
 
-    def __init__(self, settings: i.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         self.s = settings
         self.random = Random(seed)
         self.now = 0
         self.actions: list[Action] = []
-        self.servers: dict[str, Server] = {}
+        self.backends: dict[str, Backend] = {}
         self.ring: list[tuple[int, str]] = []
         self.ring_stale = True
-        self.jobs: dict[int, Job] = {}
+        self.pending_requests: dict[int, PendingRequest] = {}
         self.connections: dict[int, Connection] = {}
-        self.kin: dict[str, Counter[str]] = {}  # by group: its standing connections here, by server
+        self.kin: dict[str, Counter[str]] = {}  # by group: its standing connections here, by backend
         self.tenant_open: Counter[int] = Counter()
         # Of late: placements considered, stood, and held back or ended by a plain error.
         self.asked, self.good, self.bad = (Decaying(MEMORY_US) for _ in range(3))
@@ -41,17 +42,17 @@
         self.list_errors = 0
         self.watching = False
         self.mean_load = 0.5  # mean of reports seen
-        self.near_load = 0.5  # and of those of warm servers in this zone
-        self.mean_weight = 1.0  # of ready servers
+        self.near_load = 0.5  # and of those of warm backends in this zone
+        self.mean_weight = 1.0  # of ready backends
         self.new_until = 0
         self.capacity_share = CapacityShare()
-        self.turn_table: TurnTable | None = None  # from the first event on
+        self.turn_table: SendSlotTable | None = None  # from the first event on
         self.late_told = False
         self.mean_work = 0.0  # mean work of connections seen, us a second
         self.logged: dict[str, int] = {}
         self.handlers: dict[type, Callable[[Any], object]] = {}
 
-    def handle(self, now_us: int, event: i.Event) -> list[Action]:
+    def handle(self, now_us: int, event: Event) -> list[Action]:
         """Take one event at the clock time `now_us` and return what to do."""
         self.now, self.actions = now_us, []
         if self.turn_table is None:
@@ -59,57 +60,58 @@
         self.handlers[type(event)](event)
         return self.actions
 
-    def _retune(self, event: i.NewSettings) -> None:
+    def _retune(self, event: SettingsChanged) -> None:
         self.s, self.ring_stale = event.settings, True
         self.turn_table = self._new_turns()
 
-    def _new_turns(self) -> TurnTable:
+    def _new_turns(self) -> SendSlotTable:
         """Turns under the present settings; what was sent under others counts as all that it might be."""
         s = self.s
         late_us = s.connect_timeout_us + HELD_UP_US
-        dealer = Dealer(s.position, s.fleet_size, s.fall_us, late_us, s.processes)
-        return TurnTable(dealer, self.random, self.now)
+        dealer = SlotSchedule(s.position, s.fleet_size, s.overload_window_us, late_us, s.processes)
+        return SendSlotTable(dealer, self.random, self.now)
 
-    def avoided(self, now_us: int) -> int:
-        """How many listed servers get nothing new now, or only where no others are left."""
+    def count_unavailable(self, now_us: int) -> int:
+        """How many listed backends get nothing new now, or only where no others are left."""
         return sum(
-            s.entry.state is not ServerState.READY or now_us < s.suspect_until for s in self.servers.values()
+            s.entry.state is not BackendState.READY or now_us < s.suspect_until
+            for s in self.backends.values()
         )
 
     # ---- the books of standing connections
 
-    def _book(self, request: i.Request, name: str) -> None:
+    def _book(self, request: Request, name: str) -> None:
         """A connection stands."""
-        klass = self.s.classes[min(max(request.klass, 0), len(self.s.classes) - 1)]
-        self.connections[request.request] = Connection(
-            name, klass, request.tenant, request.load_hint, request.group
+        request_class = self.s.classes[min(max(request.request_class, 0), len(self.s.classes) - 1)]
+        self.connections[request.request_id] = Connection(
+            name, request_class, request.tenant, request.load_hint, request.sticky_group
         )
         self.tenant_open[request.tenant] += 1
-        if request.group:
-            self.kin.setdefault(request.group, Counter())[name] += 1
-        if name in self.servers:
-            self.servers[name].open[request.request] = None
+        if request.sticky_group:
+            self.kin.setdefault(request.sticky_group, Counter())[name] += 1
+        if name in self.backends:
+            self.backends[name].open[request.request_id] = None
 
     def _drop(self, request: int) -> None:
         """A connection stands no more."""
         connection = self.connections.pop(request)
         self.tenant_open[connection.tenant] -= 1
         if kin := self.kin.get(connection.group):
-            kin[connection.server] -= 1
-            if not kin[connection.server]:
-                del kin[connection.server]
+            kin[connection.backend] -= 1
+            if not kin[connection.backend]:
+                del kin[connection.backend]
             if not kin:
                 del self.kin[connection.group]
-        server = self.servers.get(connection.server)
-        if server:
-            server.open.pop(request, None)
+        backend = self.backends.get(connection.backend)
+        if backend:
+            backend.open.pop(request, None)
 
-    def _holds(self, server: str, group: str) -> bool:
+    def _holds(self, backend: str, group: str) -> bool:
         """Whether some of the group stand there through this node."""
-        return bool(self.s.groups and group) and server in self.kin.get(group, ())
+        return bool(self.s.sticky_groups and group) and backend in self.kin.get(group, ())
 
-    def _load_note(self, note: i.LoadNote) -> None:
-        connection = self.connections.get(note.request)
+    def _load_note(self, note: ConnectionLoadReport) -> None:
+        connection = self.connections.get(note.request_id)
         if connection and math.isfinite(note.load) and note.load >= 0:
             connection.work = note.load
             self._learn_work(note.load)
@@ -128,9 +130,9 @@
     def _after(self, delay_us: float, then: Callable[[], None]) -> None:
         self.last_timer += 1
         self.timers[self.last_timer] = then
-        self._do(i.SetTimer(self.last_timer, max(1, int(delay_us))))
+        self._do(SetTimer(self.last_timer, max(1, int(delay_us))))
 
     def _log(self, kind: str, text: str) -> None:
         if self.now - self.logged.get(kind, -LOG_GAP_US) >= LOG_GAP_US:
             self.logged[kind] = self.now
-            self._do(i.Log(text))
+            self._do(WriteLog(text))
--- a/milletdeal/records.py
+++ b/balancer/records.py
@@ -1,18 +1,20 @@
-"""What the decision module remembers of servers, requests and connections. No decisions are made here."""
+"""What the decision module remembers of backends, requests and connections. No decisions are made here."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass, field
 
-from .interface import HoldReason, Request, RequestClass, ServerEntry
+from .actions import NotSentReason
+from .events import Endpoint, Request
+from .settings import RequestClass
 
 
 @dataclass(slots=True)
-class Server:
-    """What this node knows of one server process."""
+class Backend:
+    """What this node knows of one backend process."""
 
-    entry: ServerEntry
+    entry: Endpoint
     load: float | None = None  # load over capacity, as last reported
     load_at: int = 0
     own: float = 0.0  # load that this node has sent since the report
@@ -27,24 +29,24 @@
     delay: float = 0.0  # message delay by the last note, in aims
     probing: bool = False
     left: bool = False  # it drains, and what stands there has been told to move
-    waiters: list[int] = field(default_factory=list)  # requests that wait for the probe
+    waiters: list[int] = field(default_factory=list)  # requests that wait for the health check
 
 
 @dataclass(slots=True)
-class Job:
+class PendingRequest:
     """A request that is owed its answer."""
 
     request: Request
-    klass: RequestClass
+    request_class: RequestClass
     deadline: int
     most: int  # attempts: by the settings under which it came
     rounds: int = 0  # failed attempts and vain looks so far
     tried: list[str] = field(default_factory=list)
-    ran: list[tuple[ServerEntry, int]] = field(default_factory=list)  # may have run; and when sent
+    ran: list[tuple[Endpoint, int]] = field(default_factory=list)  # may have run; and when sent
     out: bool = False  # an attempt is pending
     candidates: list[str] = field(default_factory=list)
-    missing: dict[str, None] = field(default_factory=dict)  # candidates whose probe is not back
-    held: HoldReason = HoldReason.ATTEMPT_FAILED  # why it was not sent last
+    missing: dict[str, None] = field(default_factory=dict)  # candidates whose health check is not back
+    held: NotSentReason = NotSentReason.ATTEMPT_FAILED  # why it was not sent last
     turn: int = 0  # timers set in an earlier turn no longer matter
 
 
@@ -52,8 +54,8 @@
 class Connection:
     """A standing connection."""
 
-    server: str
-    klass: RequestClass
+    backend: str
+    request_class: RequestClass
     tenant: int
     work: float  # us of work a second; 0: not known
     group: str = ""
--- /dev/null
+++ b/balancer/settings.py
@@ -0,0 +1,145 @@
+"""What a node is told at its start and by a reload.
+
+Times are whole microseconds, loads are parts of a backend's capacity.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+CLASS_FIELDS_ABOVE_0 = ("latency_objective_us", "deadline_us")
+CLASS_FIELDS_NOT_NEGATIVE = ("dedup_window_us", "message_latency_objective_us", "priority_weight")
+FIELDS_FROM_1 = ("fleet_size", "max_attempts", "timer_resolution_us", "poll_within_us", "overload_window_us")
+FIELDS_NOT_NEGATIVE = (
+    "connect_timeout_us",
+    "max_retry_after_us",
+    "drain_grace_us",
+    "warm_up_us",
+    "zone",
+    "overload_multiple",
+    "over_quota_weight",
+    "cross_zone_cost",
+)
+
+
+class InvalidSetting(ValueError):
+    """A setting that makes no sense.
+
+    Attributes: `field` is the name of the field here, with `classes.` before one of a request class;
+    `problem` says what it must be.
+    """
+
+    def __init__(self, field: str, problem: str) -> None:
+        super().__init__(f"{field}: {problem}")
+        self.field = field
+        self.problem = problem
+
+
+class Idempotency(Enum):
+    """Whether a request may be sent again."""
+
+    IDEMPOTENT = "safe"
+    KEYED = "keyed"
+    NOT_IDEMPOTENT = "unsafe"
+
+
+class KeyScope(Enum):
+    """Which backends drop the repeats of a keyed request."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
+
+
+class WeightKind(Enum):
+    """What a backend's weight in the list means."""
+
+    NONE = "none"
+    NOMINAL = "nominal"
+    ROUGH = "rough"
+    LIVE = "live"
+
+
+class LoadReportSource(Enum):
+    """Where load reports come from."""
+
+    ATTEMPT_RESULTS = "outcomes"
+    HEALTH_CHECKS = "probes"
+    NONE = "none"
+
+
+@dataclass(slots=True, frozen=True)
+class RequestClass:
+    """One class of requests. A set-up within `aim_us` is in time; the client waits `deadline_us`."""
+
+    latency_objective_us: int
+    deadline_us: int
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    key_scope: KeyScope = KeyScope.ALL
+    dedup_window_us: int = 0
+    priority_weight: float = 1.0
+    message_latency_objective_us: int = 0
+
+
+@dataclass(slots=True, frozen=True)
+class Tenant:
+    """A tenant and the count of open connections, over all nodes, within its share (0: not told)."""
+
+    quota_share: float = 0.0
+    quota_connections: float = 0.0
+
+
+@dataclass(slots=True, frozen=True)
+class Settings:
+    """What a node is told at its start."""
+
+    classes: tuple[RequestClass, ...]
+    tenants: tuple[Tenant, ...] = ()
+    zone: int = 0
+    fleet_size: int = 1
+    position: int | None = None  # of this node among them, from 0
+    processes: int = 1  # that may run at a time under this position, as one takes over from another
+    polls_endpoint_list: bool = False
+    poll_within_us: int = 10_000_000
+    may_check_health: bool = False
+    load_report_source: LoadReportSource = LoadReportSource.NONE
+    reports_load: bool = False
+    reports_utilization: bool = False
+    weight_kind: WeightKind = WeightKind.NONE
+    max_attempts: int = 5
+    may_hedge: bool = False
+    connect_timeout_us: int = 250_000
+    retry_after: bool = False
+    max_retry_after_us: int = 0
+    over_quota_weight: float = 1.0
+    cross_zone_cost: float = 0.0  # price of a request that crosses zones
+    weight_by_work: bool = False
+    passes_packets: bool = False
+    sticky_groups: bool = False
+    timer_resolution_us: int = 1_000
+    drain_grace_us: int = 0
+    initial_capacity: float = 1.0
+    warm_up_us: int = 0
+    overload_multiple: float = 3.0
+    overload_window_us: int = 1_000_000
+
+    def __post_init__(self) -> None:
+        """Raise InvalidSetting for values that make no sense."""
+        if not self.classes:
+            raise InvalidSetting("classes", "at least one is needed")
+        for request_class in self.classes:
+            for name in CLASS_FIELDS_ABOVE_0:
+                if getattr(request_class, name) <= 0:
+                    raise InvalidSetting(f"classes.{name}", "must be above 0")
+            for name in CLASS_FIELDS_NOT_NEGATIVE:
+                if not getattr(request_class, name) >= 0:
+                    raise InvalidSetting(f"classes.{name}", "must not be negative")
+        for name in FIELDS_FROM_1:
+            if getattr(self, name) < 1:
+                raise InvalidSetting(name, "must be 1 or more")
+        for name in FIELDS_NOT_NEGATIVE:
+            if not getattr(self, name) >= 0:
+                raise InvalidSetting(name, "must not be negative")
+        if not 0 <= self.initial_capacity <= 1:
+            raise InvalidSetting("initial_capacity", "must be from 0 to 1")
--- a/milletdeal/simhost.py
+++ b/balancer/simulator_host.py
@@ -6,21 +6,21 @@
 import sys
 from typing import IO
 
-from . import wire
-from .balance import Balancer
+from . import simulator_wire
+from .balancer import Balancer
 
 
 class Node:
     """One instance: its balancer and the names of its report's figures."""
 
-    def __init__(self, message: wire.Message) -> None:
+    def __init__(self, message: simulator_wire.Message) -> None:
         info = message.get("bootInfo")
         if not isinstance(info, dict):
-            raise wire.WireError("Up: field 'bootInfo' is missing")
+            raise simulator_wire.WireError("Up: field 'bootInfo' is missing")
         seed = message.get("initSeed")
         if not isinstance(seed, int):
-            raise wire.WireError("Up: field 'initSeed' is missing")
-        told, self.names = wire.settings(info)
+            raise simulator_wire.WireError("Up: field 'initSeed' is missing")
+        told, self.names = simulator_wire.settings(info)
         self.balancer = Balancer(told, seed)
 
 
@@ -35,14 +35,14 @@
         try:
             message = json.loads(line)
         except ValueError as error:
-            raise wire.WireError(f"line {number}: not JSON: {error}") from None
+            raise simulator_wire.WireError(f"line {number}: not JSON: {error}") from None
         kind = message.get("type") if isinstance(message, dict) else None
         if not isinstance(kind, str):
-            raise wire.WireError(f"line {number}: field 'type' is missing")
+            raise simulator_wire.WireError(f"line {number}: field 'type' is missing")
         if kind == "Round":
             now = message.get("atTimeUs")
             if not isinstance(now, int):
-                raise wire.WireError("Round: field 'atTimeUs' is missing")
+                raise simulator_wire.WireError("Round: field 'atTimeUs' is missing")
         elif kind == "EofBatch":
             replies.append('{"type":"Ready"}\n')
             sink.write("".join(replies).encode())
@@ -52,10 +52,12 @@
             _handle(nodes, message, kind, now, replies)
 
 
-def _handle(nodes: dict[int, Node], message: wire.Message, kind: str, now: int, replies: list[str]) -> None:
+def _handle(
+    nodes: dict[int, Node], message: simulator_wire.Message, kind: str, now: int, replies: list[str]
+) -> None:
     number = message.get("nodeId")
     if not isinstance(number, int):
-        raise wire.WireError(f"{kind}: field 'nodeId' is missing")
+        raise simulator_wire.WireError(f"{kind}: field 'nodeId' is missing")
     if kind == "Retire":
         nodes.pop(number, None)
         return
@@ -65,10 +67,10 @@
             return
         node = nodes.get(number)
         if node is None:
-            raise wire.WireError(f"{kind}: field 'nodeId' names an instance that is not up")
-        event = wire.event(message, node.names)
+            raise simulator_wire.WireError(f"{kind}: field 'nodeId' names an instance that is not up")
+        event = simulator_wire.event(message, node.names)
         actions = node.balancer.handle(now, event) if event is not None else []
-    except wire.WireError:
+    except simulator_wire.WireError:
         raise
     except Exception as error:  # guards against a defect in the module: the bench must name its cause
         replies.append(
@@ -79,14 +81,14 @@
         )
         return
     for a in actions:
-        replies.append(json.dumps(wire.action(a, number), separators=(",", ":")) + "\n")
+        replies.append(json.dumps(simulator_wire.action(a, number), separators=(",", ":")) + "\n")
 
 
 def main() -> int:
     """Serve standard input; 0 at its end, 2 after a message that the wire does not allow."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except wire.WireError as error:
+    except simulator_wire.WireError as error:
         print(f"simhost: {error}", file=sys.stderr)
         return 2
     return 0
--- /dev/null
+++ b/balancer/simulator_wire.py
@@ -0,0 +1,307 @@
+"""Translation between the simulator's wire and the interface. No decisions are made here."""
+
+from __future__ import annotations
+
+import math
+from typing import Any
+
+from .actions import (
+    Action,
+    CheckHealth,
+    Fail,
+    Migrate,
+    Reject,
+    SetTimer,
+    StartAttempt,
+    WatchEndpointList,
+    WriteLog,
+)
+from .events import (
+    AttemptEnded,
+    AttemptResult,
+    BackendState,
+    ClientDisconnected,
+    ConnectionAdopted,
+    ConnectionEstablished,
+    ConnectionLoadReport,
+    Endpoint,
+    EndpointListError,
+    EndpointListUpdate,
+    Event,
+    HealthCheckResult,
+    LoadReport,
+    MessageLatencyReport,
+    Request,
+    TimerFired,
+)
+from .settings import (
+    Idempotency,
+    InvalidSetting,
+    KeyScope,
+    LoadReportSource,
+    RequestClass,
+    Settings,
+    Tenant,
+    WeightKind,
+)
+
+Message = dict[str, Any]
+
+
+class WireError(Exception):
+    """A message that the wire does not allow; its text names the message and the field."""
+
+
+def _need(message: Message, name: str, kind: type, within: str) -> Any:
+    value = message.get(name)
+    if kind is float and isinstance(value, int) and not isinstance(value, bool):
+        return value
+    if not isinstance(value, kind) or (kind is int and isinstance(value, bool)):
+        what = "is missing" if value is None else f"is not of type {kind.__name__}"
+        raise WireError(f"{within}: field '{name}' {what}")
+    return value
+
+
+def _number(value: object, default: float = 0.0) -> float:
+    good = isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value)
+    return float(value) if good else default  # type: ignore[arg-type]
+
+
+REPEATS = {r.value: r for r in Idempotency}
+SCOPES = {s.value: s for s in KeyScope}
+STATES = {
+    "healthy": BackendState.READY,
+    "cordoned": BackendState.DRAINING,
+    "deregistered": BackendState.GONE,
+}
+WEIGHTS = {
+    "silent": WeightKind.NONE,
+    "nominal": WeightKind.NOMINAL,
+    "rough": WeightKind.ROUGH,
+    "live": WeightKind.LIVE,
+}
+REPORTS = {
+    "piggyback": LoadReportSource.ATTEMPT_RESULTS,
+    "pull": LoadReportSource.HEALTH_CHECKS,
+    "silent": LoadReportSource.NONE,
+}
+RESULTS = {
+    "success": AttemptResult.OK,
+    "failure": AttemptResult.ERROR,
+    "overloaded": AttemptResult.OVERLOADED,
+    "timed_out": AttemptResult.TIMEOUT,
+    "unreachable": AttemptResult.CONNECT_FAILED,
+    "broken": AttemptResult.RESET,
+    "withdrawn": AttemptResult.CANCELLED,
+    "void": AttemptResult.NOT_SENT,
+}
+
+
+#: Field names that operators see in errors and that differ from the names in the code.
+PUBLISHED_FIELDS = {
+    "classes.latency_objective_us": "classes.aim_us",
+    "classes.message_latency_objective_us": "classes.message_aim_us",
+    "classes.priority_weight": "classes.worth",
+    "timer_resolution_us": "resolution_us",
+    "poll_within_us": "ask_within_us",
+    "overload_window_us": "fall_us",
+    "warm_up_us": "cold_us",
+    "overload_multiple": "tip_multiple",
+    "over_quota_weight": "over_share_worth",
+    "cross_zone_cost": "cross_zone",
+    "initial_capacity": "start_capacity",
+}
+
+
+def settings(info: Message) -> tuple[Settings, tuple[str, ...]]:
+    """The settings and the names of the load report's values, from the first message's `bootInfo`.
+
+    Raises WireError, or ValueError with the published name of the field that makes no sense.
+    """
+    try:
+        return _settings(info)
+    except InvalidSetting as error:
+        raise ValueError(f"{PUBLISHED_FIELDS.get(error.field, error.field)}: {error.problem}") from None
+
+
+def _settings(info: Message) -> tuple[Settings, tuple[str, ...]]:
+    grades = _need(info, "grades", list, "bootInfo")
+    family: Message = info.get("familyInfo") or {}
+    allow: Message = info.get("permissions") or {}
+    rules: Message = info.get("rules") or {}
+    report: Message = info.get("report") or {}
+    aims = family.get("messageAimUs") or []
+    quotas = family.get("tenantQuotaConnections") or []
+    names = tuple(str(n) for n in report.get("names") or [])
+    classes = tuple(
+        RequestClass(
+            latency_objective_us=int(_need(g, "aimUs", float, "grades")),
+            deadline_us=int(_need(g, "deadlineUs", float, "grades")),
+            idempotency=REPEATS.get(g.get("semantics", ""), Idempotency.NOT_IDEMPOTENT),
+            key_scope=SCOPES.get(g.get("keyScope", ""), KeyScope.CELL),
+            dedup_window_us=int(g.get("dedupWindowUs", 0)),
+            priority_weight=_number(g.get("points"), 1.0),
+            message_latency_objective_us=int(aims[n]) if n < len(aims) else 0,
+        )
+        for n, g in enumerate(grades)
+    )
+    tenants = tuple(
+        Tenant(_number(p.get("share")), _number(quotas[n]) if n < len(quotas) else 0.0)
+        for n, p in enumerate(info.get("parties") or [])
+    )
+    told = Settings(
+        classes=classes,
+        tenants=tenants,
+        zone=int(info.get("zone", 0)),
+        fleet_size=int(info.get("fleetSize", 1)),
+        position=int(info["position"]) if "position" in info else None,
+        polls_endpoint_list=info.get("discovery") == "ask",
+        poll_within_us=int(rules.get("askWithinUs", 10_000_000)),
+        may_check_health=bool(allow.get("probes")),
+        load_report_source=REPORTS.get(report.get("how", ""), LoadReportSource.NONE),
+        reports_load="x0" in names,
+        reports_utilization="cpu_share" in names,
+        weight_kind=WEIGHTS.get(info.get("weights", ""), WeightKind.NONE),
+        max_attempts=int(allow.get("maxAttempts", 5)),
+        may_hedge=bool(allow.get("secondCopies")),
+        connect_timeout_us=int(allow.get("connectTimeoutUs", 250_000)),
+        retry_after=bool(allow.get("retryAfter")),
+        max_retry_after_us=int(allow.get("maxRetryAfterUs", 0)),
+        over_quota_weight=_number(info.get("overShareWorth"), 1.0),
+        cross_zone_cost=_number((info.get("tariffs") or {}).get("crossZone")),
+        weight_by_work=info.get("worthBy") == "work",
+        passes_packets=family.get("mode") == "pass",
+        sticky_groups=bool(family.get("groups")),
+        timer_resolution_us=int(info.get("resolutionUs", 1_000)),
+        drain_grace_us=int(rules.get("drainGraceUs", 0)),
+        initial_capacity=_number(rules.get("startCapacity"), 1.0),
+        warm_up_us=int(rules.get("coldUs", 0)),
+        overload_multiple=_number(rules.get("tipMultiple"), 3.0),
+        overload_window_us=int(rules.get("fallUs", 1_000_000)),
+    )
+    return told, names
+
+
+def _report(row: object, names: tuple[str, ...]) -> LoadReport | None:
+    """Values by name; a row of another length than announced says nothing that can be trusted."""
+    if not isinstance(row, list) or len(row) != len(names):
+        return None
+    value = dict(zip(names, row, strict=True))
+
+    def figure(name: str) -> float | None:
+        return _number(value[name], math.nan) if name in value else None
+
+    return LoadReport(figure("x0"), figure("cpu_share"))
+
+
+def _entry(e: Message) -> Endpoint:
+    return Endpoint(
+        _need(e, "host", str, "View"),
+        STATES.get(e.get("mode", ""), BackendState.UNKNOWN),
+        int(e.get("zone", 0)),
+        int(e.get("bay", 0)),
+        int(e.get("familyType", 0)),
+        _number(e.get("nominal"), 1.0),
+        int(e.get("onlineSinceUs", 0)),
+    )
+
+
+def _request(m: Message, t: str) -> Request:
+    return Request(
+        _need(m, "corr", int, t),
+        _need(m, "expiresInUs", int, t),
+        _need(m, "profile", int, t),
+        int(m.get("org", 0)),
+        str(m.get("key", "")),
+        str(m.get("group", "")),
+        _number(m.get("estimateUs")),
+        bool(m.get("midFlow")),
+        bool(m.get("cameBack")),
+        bool(m.get("isRetry")),
+    )
+
+
+def event(m: Message, names: tuple[str, ...]) -> Event | None:
+    """One event for the module, or None where the message carries nothing for it."""
+    t = m["type"]
+    if t == "Accept":
+        return _request(m, t)
+    if t == "Ring":
+        return TimerFired(_need(m, "keyBack", int, t))
+    if t == "StatusBack":
+        return HealthCheckResult(
+            _need(m, "host", str, t),
+            _result(m, t),
+            int(m.get("tookUs", 0)),
+            _report(m.get("healthInfo"), names),
+        )
+    if t == "UnderWay":
+        return ConnectionEstablished(
+            _need(m, "corr", int, t),
+            _need(m, "go", int, t),
+            _need(m, "host", str, t),
+            int(m.get("tookUs", 0)),
+        )
+    if t == "Settled":
+        return AttemptEnded(
+            _need(m, "corr", int, t),
+            _need(m, "go", int, t),
+            _need(m, "host", str, t),
+            _result(m, t),
+            bool(m.get("doneFlag")),
+            int(m.get("tookUs", 0)),
+            _report(m.get("healthInfo"), names),
+        )
+    if t == "Change":
+        amount = _number(_need(m, "amount", float, t))
+        request, backend = _need(m, "corr", int, t), _need(m, "host", str, t)
+        what = _need(m, "what", int, t)
+        if what == 1:
+            return ConnectionLoadReport(request, backend, amount)
+        return MessageLatencyReport(request, backend, amount * 1000) if what == 2 else None
+    if t == "Expired":
+        return ClientDisconnected(_need(m, "corr", int, t))
+    if t == "View":
+        how = _need(m, "how", str, t)
+        if how == "error":
+            return EndpointListError()
+        entries = tuple(_entry(e) for e in m.get("elements") or [])
+        return EndpointListUpdate(entries, how != "diff")
+    if t == "Handover":
+        return ConnectionAdopted(_request(m, t), _need(m, "host", str, t))
+    if t == "Peer":
+        return None
+    raise WireError(f"unknown message type '{t}'")
+
+
+def _result(m: Message, t: str) -> AttemptResult:
+    code = _need(m, "rc", str, t)
+    if code not in RESULTS:
+        raise WireError(f"{t}: field 'rc' has the unknown value '{code}'")
+    return RESULTS[code]
+
+
+def action(a: Action, node: int) -> Message:
+    """The wire's message for an action."""
+    m: Message
+    match a:
+        case StartAttempt():
+            m = {"type": "Deliver", "corr": a.request_id, "host": a.backend, "allowForUs": a.timeout_us}
+        case Reject():
+            m = {"type": "Busy", "corr": a.request_id}
+            if a.retry_after_us:
+                m["pauseUs"] = a.retry_after_us
+        case Fail():
+            m = {"type": "Error", "corr": a.request_id}
+        case Migrate():
+            m = {"type": "Move", "corr": a.request_id}
+        case CheckHealth():
+            m = {"type": "HealthCheck", "host": a.backend}
+        case SetTimer():
+            m = {"type": "WakeAt", "spanUs": a.delay_us, "keyBack": a.timer_id}
+        case WatchEndpointList():
+            m = {"type": "Listen", "on": True}
+        case WriteLog():
+            m = {"type": "JournalLine", "text": a.text}
+    m["nodeId"] = node
+    return m
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,7 +1,7 @@
 """What a placement costs the relay, and its start: one checkout against others, in turns.
 
 `python -m benchmarks.placement [CHECKOUT ...]` prints a Markdown table; this checkout stands first.
-A round starts each program anew, has devices come one after the other to three push boxes, be served and leave.
+A round starts each program anew, has devices come one after the other to three backends, be served and leave.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from collections import defaultdict
 from pathlib import Path
 
-from lab.town import HERE, Discovery, LineDevice, PushBox, program, settings, soon
+from lab.stand_ins import HERE, Discovery, LineDevice, StandInBackend, program, settings, soon
 
 from .quic_flood import cpu_s, resident_kb
 
@@ -33,9 +33,9 @@
 
 async def play(tree: Path) -> dict[str, float]:
     """One round: us of processor time a placement, s of it up to the first one, MB, us of wall time of one."""
-    discovery, boxes = Discovery(), [PushBox(lambda line: "UP r-1") for _ in range(3)]
-    for number, box in enumerate(boxes):
-        discovery.add(f"box-{number}", await box.open())
+    discovery, backends = Discovery(), [StandInBackend(lambda line: "UP r-1") for _ in range(3)]
+    for number, backend in enumerate(backends):
+        discovery.add(f"box-{number}", await backend.open())
     with tempfile.TemporaryDirectory() as folder:
         async with program(Path(folder), discovery, settings(deadline_ms=4000), tree=tree) as relay:
             await soon(discovery.asked.wait())
--- a/benchmarks/quic_flood.py
+++ b/benchmarks/quic_flood.py
@@ -1,4 +1,4 @@
-"""Honest devices while Initials come under made-up addresses: how many stand, how fast, and what boxes see.
+"""Honest devices while Initials come under made-up addresses: how many stand, how fast, and what backends see.
 
 `python -m benchmarks.quic_flood [RATE ...]` prints a Markdown table.
 """
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any
 
-from lab.quic import Device, QuicBox, file_of
-from lab.town import Discovery, program, settings, soon
+from lab.quic import Device, QuicBackend, file_of
+from lab.stand_ins import Discovery, program, settings, soon
 
 HONEST = 60
 PACE_S = 0.05  # 20 honest devices a second
@@ -49,14 +49,14 @@
 async def once(rate: float, retry: str, late_s: float = 1.5) -> dict[str, Any]:
     """One flood."""
     keys = {KEY["sequence"]: (KEY["key"], KEY["iv"])}
-    boxes = [QuicBox(f"box-{n}", bytes([7, n]), token_keys=keys if retry != "never" else {}) for n in range(3)]
+    backends = [QuicBackend(f"box-{n}", bytes([7, n]), token_keys=keys if retry != "never" else {}) for n in range(3)]
     discovery = Discovery()
-    for box in boxes:
-        await box.open()
-        discovery.add(box.name, box.port)
+    for backend in backends:
+        await backend.open()
+        discovery.add(backend.name, backend.port)
     told: dict[str, Any] = {"mode": retry, "keys": [KEY]} if retry != "never" else {}
     with tempfile.TemporaryDirectory() as folder:
-        async with program(Path(folder), discovery, settings(), file_of(boxes, retry=told)) as relay:
+        async with program(Path(folder), discovery, settings(), file_of(backends, retry=told)) as relay:
             await soon(discovery.asked.wait())
             front = ("127.0.0.1", relay.ports[1])
             pid = relay.process.pid
@@ -86,8 +86,8 @@
             counts = await relay.counters()
             for device in devices:
                 device.close()
-            for box in boxes:
-                box.wire.close()
+            for backend in backends:
+                backend.wire.close()
     stood = [t for t in took if t < late_s]
     return {
         "rate": sent,
@@ -96,7 +96,7 @@
         "in_500": sum(t < 0.5 for t in took),
         "median_ms": round(statistics.median(took) * 1000),
         "worst_ms": round(max(took) * 1000),
-        "phantoms": sum(len(b.connections) for b in boxes) - len(devices),
+        "phantoms": sum(len(b.connections) for b in backends) - len(devices),
         "cpu": round(spent, 2),
         "grown_kb": grown,
         "counts": counts,
--- a/benchmarks/quic_forward.py
+++ b/benchmarks/quic_forward.py
@@ -1,7 +1,7 @@
 """What a datagram by id costs, against a bare forwarder in the same run.
 
 The bare forwarder is what one would write first: one process, one thread, `recvfrom`, a dictionary from client to
-push box, `sendto`. Both get the same datagrams from the same sender, one after the other in short turns, at a rate
+backend, `sendto`. Both get the same datagrams from the same sender, one after the other in short turns, at a rate
 that both can bear; the figure is CPU seconds of the process for each datagram passed on.
 
 `python -m benchmarks.quic_forward` prints a Markdown table.
@@ -23,7 +23,7 @@
 from typing import Any
 
 from gradefront.quic.ids import IdForm
-from lab.town import Discovery, program, settings, soon
+from lab.stand_ins import Discovery, program, settings, soon
 
 from .quic_flood import cpu_s
 
@@ -44,7 +44,7 @@
     back = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     back.bind(("127.0.0.1", 0))
     told.send(front.getsockname())
-    boxes: dict[Any, Any] = {}
+    backends: dict[Any, Any] = {}
     poll = select.epoll()
     poll.register(front.fileno(), select.EPOLLIN)
     while True:
@@ -54,14 +54,14 @@
                 datagram, client = front.recvfrom(9_216)
             except BlockingIOError:
                 break
-            where = boxes.get(client)
+            where = backends.get(client)
             if where is None:
-                where = boxes[client] = boxes_at[len(boxes) % len(boxes_at)]
+                where = backends[client] = boxes_at[len(backends) % len(boxes_at)]
             back.sendto(datagram, where)
 
 
 def sink(told: Connection) -> None:
-    """Push boxes that read and count."""
+    """Backends that read and count."""
     poll = select.epoll()
     takers = {}
     for _ in range(BOXES):
@@ -139,7 +139,7 @@
 async def compare(paths: int, hidden: bool) -> tuple[float, float]:
     """CPU us for each datagram: the bare forwarder's, ours."""
     form = IdForm(0, 2, 9, True, KEY if hidden else None)
-    box, pipe, boxes_at = child(sink)
+    backend, pipe, boxes_at = child(sink)
     forwarder, _, bare_at = child(bare, boxes_at)
     discovery = Discovery()
     for n, at in enumerate(boxes_at):
@@ -174,7 +174,7 @@
                     passed[name] += counted(pipe)
             if "-v" in sys.argv:
                 print(await relay.counters())
-    for process in (box, forwarder):
+    for process in (backend, forwarder):
         process.terminate()
     load.close()
     return spent["bare"] / passed["bare"] * 1e6, spent["ours"] / passed["ours"] * 1e6
--- a/benchmarks/quic_initials.py
+++ b/benchmarks/quic_initials.py
@@ -17,6 +17,9 @@
 from collections.abc import Callable
 from typing import Any
 
+from balancer import Balancer
+from balancer.events import Endpoint, EndpointListUpdate
+from balancer.settings import RequestClass, Settings
 from gradefront.config import Config
 from gradefront.core.relay import RelayCore
 from gradefront.quic import config as quic_config
@@ -26,12 +29,10 @@
 from gradefront.quic.initials import seal_initial
 from lab.conform.quic import WIDE as LAB_WIDE
 from lab.flood import Forge
-from milletdeal import Balancer
-from milletdeal import interface as i
 
 ROUNDS, EACH = 20, 30  # all of them standing together find a port
 FORM = IdForm(0, 2, 9, True, bytes(range(16)))
-SETTINGS = i.Settings(classes=(i.RequestClass(aim_us=300_000, deadline_us=1_500_000),), max_attempts=4)
+SETTINGS = Settings(classes=(RequestClass(latency_objective_us=300_000, deadline_us=1_500_000),), max_attempts=4)
 CONFIG = Config(
     name="n0",
     listen=("127.0.0.1", 0),
@@ -44,7 +45,7 @@
     models=(),
     tenants=(),
     report_names=(),
-    tells_delay=False,
+    reports_message_latency=False,
 )
 WIDE = {**LAB_WIDE, "cpu_share": 1.0}
 KEYS = [{"sequence": 1, "key": bytes(16).hex(), "iv": bytes(12).hex()}]
@@ -63,14 +64,14 @@
         """Forget it."""
 
 
-class Stage:
-    """A front, one push box that serves, one client."""
+class ConnectionState:
+    """A front, one backend that serves, one client."""
 
     def __init__(self, **more: Any) -> None:
         self.now = 1_000_000_000
-        self.box = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.box.bind(("127.0.0.1", 0))
-        self.box.setblocking(False)
+        self.backend = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.backend.bind(("127.0.0.1", 0))
+        self.backend.setblocking(False)
         self.client = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.client.bind(("127.0.0.1", 0))
         self.client.setblocking(False)
@@ -81,34 +82,38 @@
             "confirm_s": 60,
             "ids": [{"config_id": 0, "server_id_length": 2, "nonce_length": 9, "key": bytes(range(16)).hex()}],
             "boxes": {
-                "box-0": {"server_id": "0700", "reset_key": "00", "address": f"127.0.0.1:{self.box.getsockname()[1]}"}
+                "box-0": {
+                    "server_id": "0700",
+                    "reset_key": "00",
+                    "address": f"127.0.0.1:{self.backend.getsockname()[1]}",
+                }
             },
             **more,
         }
         self.core = RelayCore(Balancer(SETTINGS, 1), SETTINGS, lambda: self.now, lambda: None)
-        self.core.listed(i.ListUpdate((i.ServerEntry("box-0"),), True))
-        self.core.turn()
+        self.core.on_endpoint_list(EndpointListUpdate((Endpoint("box-0"),), True))
+        self.core.run_turn()
         reactor: Any = Still()
         self.front = QuicFront(CONFIG, quic_config.parse(told, CONFIG), self.core, reactor)
         self.hub = reactor.hub
-        self.door = self.front.doors[0].address
+        self.door = self.front.listeners[0].address
 
     def relay(self) -> float:
         """Let the relay do what there is; its CPU seconds."""
         began = time.process_time()
         self.hub._serve(0)
-        self.core.turn()
+        self.core.run_turn()
         return time.process_time() - began
 
     def answer(self) -> None:
-        """The push box serves all that came."""
+        """The backend serves all that came."""
         while True:
             try:
-                data, sender = self.box.recvfrom(2_048)
+                data, sender = self.backend.recvfrom(2_048)
             except BlockingIOError:
                 return
             packet = split(data)[0]
-            self.box.sendto(
+            self.backend.sendto(
                 seal_initial(1, packet.to_id, packet.from_id, FORM.make(b"\7\0"), b"\x06\x00\x04text"), sender
             )
 
@@ -124,7 +129,7 @@
         """Give everything back."""
         self.front.close()
         self.client.close()
-        self.box.close()
+        self.backend.close()
 
 
 def baseline(datagrams: list[bytes]) -> float:
@@ -146,7 +151,7 @@
     return spent
 
 
-def measure(stage: Stage, make: Callable[[], bytes], answered: bool) -> tuple[float, float]:
+def measure(stage: ConnectionState, make: Callable[[], bytes], answered: bool) -> tuple[float, float]:
     """Median CPU us of one Initial, and of the baseline's datagram beside it."""
     ours, theirs = [], []
     for _ in range(ROUNDS):
@@ -166,7 +171,7 @@
 
 def weight() -> tuple[float, float]:
     """Octets of a standing connection with its path, and of one more path."""
-    stage = Stage()
+    stage = ConnectionState()
     forge = Forge()
 
     def come(count: int) -> None:
@@ -189,7 +194,7 @@
     gc.collect()
     connection = (tracemalloc.get_traced_memory()[0] - before) / 400
     before = tracemalloc.get_traced_memory()[0]
-    an_ids = [next(reversed(owner.ids)) for owner in list(stage.front.visits)[:400]]
+    an_ids = [next(reversed(owner.ids)) for owner in list(stage.front.connections)[:400]]
     for an_id in an_ids:
         one = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         one.sendto(b"\x40" + an_id + os.urandom(40), stage.door)
@@ -219,7 +224,7 @@
         ("seen once, under pressure", False, {"limits": {**WIDE, "pressure": 1.0}}),
         ("denied by its network", False, {"limits": {**WIDE, "deny": ["127.0.0.0/8"]}}),
     ):
-        stage = Stage(**more)
+        stage = ConnectionState(**more)
         ours, theirs = measure(stage, forge.make, answered)
         stage.close()
         print(f"| {name} | {ours:.0f} us | {ours / theirs:.1f} |", flush=True)
--- a/benchmarks/quic_scale.py
+++ b/benchmarks/quic_scale.py
@@ -1,6 +1,6 @@
 """Thousands of standing connections that each migrate: descriptors, memory, lost and misled messages; then a kill.
 
-`python -m benchmarks.quic_scale [CONNECTIONS]` prints a Markdown table. Phones and push boxes are raw packets in two
+`python -m benchmarks.quic_scale [CONNECTIONS]` prints a Markdown table. Phones and backends are raw packets in two
 processes of this program's; the relay is the real one, its descriptors bounded to 1,024 by the system.
 """
 
@@ -23,7 +23,7 @@
 from gradefront.quic.ids import IdForm
 from gradefront.quic.initials import seal_initial
 from lab.conform.quic import WIDE
-from lab.town import Discovery, Program, program, settings, soon
+from lab.stand_ins import Discovery, Program, program, settings, soon
 
 from .quic_flood import cpu_s, resident_kb
 from .quic_forward import child
@@ -35,8 +35,8 @@
 PACE_S = 0.002
 
 
-def boxes(told: Connection) -> None:
-    """Push boxes: they serve every Initial, and answer a message with their number to the client id that it names.
+def backends(told: Connection) -> None:
+    """Backends: they serve every Initial, and answer a message with their number to the client id that it names.
     Whoever gets an id of another's says so."""
     poll = select.epoll()
     found: dict[int, tuple[int, socket.socket]] = {}
@@ -115,7 +115,7 @@
         for n in list(waiting):
             packet = self._packet(n)
             server = FORM.read(packet)
-            if server:  # a refusal comes from an id that names nobody
+            if server:  # a rejection comes from an id that names nobody
                 self.ids[n], self.homes[n] = packet, server[1]
                 waiting.discard(n)
                 self.sockets[n].sendto(b"\x40" + packet + self.client_ids[n] + bytes(4), self.front)
@@ -128,7 +128,7 @@
         return packets[0].from_id if packets and packets[0].kind is Kind.INITIAL else b""
 
     def migrate(self, fresh_ids: bool) -> None:
-        """Everybody takes a new address; with `fresh_ids` a new id of its push box's too, as RFC 9000 9.5 asks."""
+        """Everybody takes a new address; with `fresh_ids` a new id of its backend's too, as RFC 9000 9.5 asks."""
         for n in range(len(self.sockets)):
             self.sockets[n].close()
             self.sockets[n] = self.fresh()
@@ -180,7 +180,7 @@
 
 async def main(count: int) -> None:
     """The table."""
-    _, pipe, at = child(boxes)
+    _, pipe, at = child(backends)
 
     def misled() -> int:
         pipe.send("how many")
--- a/benchmarks/scrape.py
+++ b/benchmarks/scrape.py
@@ -13,7 +13,7 @@
 from itertools import count
 from pathlib import Path
 
-from lab.town import Discovery, LineDevice, Program, PushBox, program, settings, soon
+from lab.stand_ins import Discovery, LineDevice, Program, StandInBackend, program, settings, soon
 
 from .quic_flood import cpu_s
 
@@ -27,7 +27,7 @@
 
 
 async def stands(relay: Program) -> LineDevice:
-    """A device whose visit stands."""
+    """A device whose connection stands."""
     device = await LineDevice.connect(relay.ports[0])
     device.open(d=4000)
     assert (await device.line()).startswith("UP")
@@ -43,7 +43,7 @@
             await device.line()
             await asyncio.sleep(TALK_S)
 
-    async def visit() -> None:
+    async def connection() -> None:
         device = await stands(relay)
         device.writer.close()
 
@@ -53,7 +53,7 @@
         if time.monotonic() >= until:
             await asyncio.gather(*talking, *coming)
             return came
-        coming.append(asyncio.ensure_future(visit()))
+        coming.append(asyncio.ensure_future(connection()))
         await asyncio.sleep(COMING_S)
     raise AssertionError
 
@@ -72,8 +72,8 @@
 
 async def main() -> None:
     """All rounds."""
-    box, discovery = PushBox(lambda line: "UP r-1"), Discovery()
-    discovery.add("box-0", await box.open())
+    backend, discovery = StandInBackend(lambda line: "UP r-1"), Discovery()
+    discovery.add("box-0", await backend.open())
     with tempfile.TemporaryDirectory() as folder:
         async with program(Path(folder), discovery, settings(deadline_ms=4000), admin=True) as relay:
             await soon(discovery.asked.wait())
--- a/gradefront/__init__.py
+++ b/gradefront/__init__.py
@@ -1,3 +1,3 @@
-"""gradefront: the relay between clients and the push boxes of one deployment."""
+"""gradefront: the relay between clients and the backends of one deployment."""
 
 __version__ = "0.2.0"
--- a/gradefront/ops/figures.py
+++ b/gradefront/admin/metrics.py
@@ -23,9 +23,9 @@
     told = list(dict.fromkeys(classes))
     return [
         *(
-            f'{PREFIX}{name}{{{CLASS}="{escaped(klass)}"}} {counters.of_class(name, klass)}'
+            f'{PREFIX}{name}{{{CLASS}="{escaped(request_class)}"}} {counters.of_class(name, request_class)}'
             for name in BY_CLASS
-            for klass in told
+            for request_class in told
         ),
         *(f"{PREFIX}{name} {counters.counts[name]}" for name in COUNTS),
         *(f"{PREFIX}{name} {value}" for name, value in levels.items()),
--- a/gradefront/ops/door.py
+++ b/gradefront/admin/server.py
@@ -1,4 +1,4 @@
-"""The operators' door: one line to a connection, one answer, the end.
+"""The admin interface: one line to a connection, one answer, the end.
 
 Whoever holds a connection without a whole call is bounded in number, time and bytes, and can't shut the next
 caller out.
@@ -33,22 +33,22 @@
     delimiter = b"\n"  # with or without a CR before it
     MAX_LENGTH = LONGEST
 
-    def __init__(self, door: Door) -> None:
-        self.door = door
+    def __init__(self, server: AdminServer) -> None:
+        self.server = server
         self.answered = False
 
     def connectionMade(self) -> None:
         """A caller came."""
-        self.came_us = self.door.core.clock()
-        self.patience = self.door.core.after(PATIENCE_US, lambda: self.answer(["fail no call came"]))
-        self.door.came(self)
+        self.arrived_us = self.server.core.clock()
+        self.timeout = self.server.core.after(PATIENCE_US, lambda: self.answer(["fail no call came"]))
+        self.server.on_connected(self)
 
     def lineReceived(self, line: bytes) -> None:
         """The call. Guards the relay: an exception ends this connection only."""
         if self.answered:
             return
         try:
-            self.answer(self.door.call(line))
+            self.answer(self.server.call(line))
         except Exception:
             log.exception("a call at the door failed")
             self.answer(["fail an error in the relay"])
@@ -62,20 +62,20 @@
         if self.answered:
             return
         self.answered = True
-        self.patience.cancel()
+        self.timeout.cancel()
         for line in lines:
             self.say(line.encode())
-        self.finish(self.door.closing)
+        self.finish(self.server.closing)
 
     def connectionLost(self, reason: Any = None) -> None:
         """The caller left, or has its answer."""
         super().connectionLost(reason)
         self.answered = True
-        self.patience.cancel()
-        self.door.callers.pop(self, None)
+        self.timeout.cancel()
+        self.server.callers.pop(self, None)
 
 
-class Door(ServerFactory):
+class AdminServer(ServerFactory):
     """Answers calls from a table of them."""
 
     noisy = False
@@ -93,15 +93,15 @@
             return None
         return CallerLine(self)
 
-    def came(self, caller: CallerLine) -> None:
+    def on_connected(self, caller: CallerLine) -> None:
         """Where callers crowd, who has stood longest goes."""
         self.callers[caller] = None
         oldest = next(iter(self.callers))
-        if len(self.callers) > CALLERS and caller.came_us - oldest.came_us > FRESH_US:
+        if len(self.callers) > CALLERS and caller.arrived_us - oldest.arrived_us > FRESH_US:
             self.core.counters.add("door_ended_for_room")
             del self.callers[oldest]
             if oldest.answered:
-                self.closing.make_room()
+                self.closing.free_descriptor()
             oldest.answer(["fail others wait"])
 
     def call(self, line: bytes) -> list[str]:
--- a/gradefront/cli/__init__.py
+++ b/gradefront/cli/__init__.py
@@ -56,7 +56,7 @@
 )
 @click.version_option(__version__, prog_name="gradefront")
 def gradefront() -> None:
-    """The relay between clients and push boxes."""
+    """The relay between clients and backends."""
 
 
 def command(arguments: list[str] | None = None) -> int:
--- a/gradefront/cli/check.py
+++ b/gradefront/cli/check.py
@@ -67,7 +67,7 @@
 
             found = parse(told, relay, quic)
             click.echo(
-                f"{quic.name}: good; {'on' if told.get('on') else 'off'}, {len(found.boxes)} push boxes, "
+                f"{quic.name}: good; {'on' if told.get('on') else 'off'}, {len(found.backends)} push boxes, "
                 f"{len(found.forms)} configurations of ids"
             )
     except ConfigError as error:
--- a/gradefront/cli/labs.py
+++ b/gradefront/cli/labs.py
@@ -20,7 +20,7 @@
 
 @click.command()
 def demo() -> int:
-    """A relay, three push boxes and some devices on loopback, told as it happens; one box drains, one is killed.
+    """A relay, three backends and some devices on loopback, told as it happens; one backend drains, one is killed.
 
     It ends with the relay's counters, and status 0 if every device was served."""
     return _lab("demo", [])
--- a/gradefront/config.py
+++ b/gradefront/config.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import Any
 
-from milletdeal import interface as i
-from milletdeal import wire
+from balancer import simulator_wire
+from balancer.settings import Settings
 
 Address = tuple[str, int]
 
@@ -34,23 +34,23 @@
     discovery: Address
     seed: int
     sockets: int
-    settings: i.Settings
+    settings: Settings
     class_names: tuple[str, ...]
     zones: tuple[str, ...]
     models: tuple[str, ...]
     tenants: tuple[str, ...]
     report_names: tuple[str, ...]
-    tells_delay: bool
+    reports_message_latency: bool
     known: dict[str, Any] = field(default_factory=dict)
     filed_discovery: Address | None = None  # what the file itself says, whatever the variable says
-    numbers: dict[str, int] = field(default_factory=dict)  # of the classes in force, by name
-    told: dict[str, Any] = field(default_factory=dict, repr=False)  # the file's object, but for the list
+    class_numbers: dict[str, int] = field(default_factory=dict)  # of the classes in force, by name
+    given: dict[str, Any] = field(default_factory=dict, repr=False)  # the file's object, but for the list
     socket_fd: int | None = None  # a listener that the platform holds and every process of this relay inherits
-    admin: Address | None = None  # the operators' door; none where neither file nor variable tells one
+    admin: Address | None = None  # the admin interface; none where neither file nor variable tells one
 
     def __post_init__(self) -> None:
-        if not self.numbers:
-            object.__setattr__(self, "numbers", {name: n for n, name in enumerate(self.class_names)})
+        if not self.class_numbers:
+            object.__setattr__(self, "class_numbers", {name: n for n, name in enumerate(self.class_names)})
 
 
 def address(text: object, what: str) -> Address:
@@ -90,8 +90,8 @@
     info = told["settings"]
     _check(info)
     try:
-        settings, report_names = wire.settings(info)
-    except (wire.WireError, ValueError, TypeError) as error:
+        settings, report_names = simulator_wire.settings(info)
+    except (simulator_wire.WireError, ValueError, TypeError) as error:
         raise ConfigError(f"settings: {error}") from None
 
     def names(key: str) -> tuple[str, ...]:
@@ -122,11 +122,11 @@
         models=names("models"),
         tenants=names("parties"),
         report_names=report_names,
-        tells_delay=bool(family.get("tellsDelay", False)),
+        reports_message_latency=bool(family.get("tellsDelay", False)),
         known=known if isinstance(known, dict) else {},
         filed_discovery=filed,
         socket_fd=int(fd) if fd else None,
-        told={**told, "known": {}},
+        given={**told, "known": {}},
         admin=address(admin, "LB_ADMIN") if admin else None,
     )
 
--- a/gradefront/core/__init__.py
+++ b/gradefront/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core: visits, their attempts, deadlines and answers. It knows no wire: fronts and backends plug in."""
+"""The core: connections, their attempts, deadlines and answers. It knows no wire: fronts and backends plug in."""
--- a/gradefront/core/attempt_error.py
+++ b/gradefront/core/attempt_error.py
@@ -1,11 +1,11 @@
-"""Attempt errors as values: how far an attempt at a push box came, and what stopped it."""
+"""Attempt errors as values: how far an attempt at a backend came, and what stopped it."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum, IntEnum
 
-from milletdeal.interface import Result
+from balancer.events import AttemptResult
 
 
 class AttemptPhase(IntEnum):
@@ -13,8 +13,8 @@
 
     CONNECTING = 0  # nothing of the request has left
     WRITING = 1  # a part of the request may have left
-    SENT = 2  # the push box may hold the whole request
-    UP = 3  # the push box has taken the visit
+    SENT = 2  # the backend may hold the whole request
+    UP = 3  # the backend has taken the connection
 
 
 class Cause(Enum):
@@ -22,11 +22,11 @@
 
     BROKEN = "broken"  # refused, reset or ended without a word
     UNREACHABLE = "unreachable"  # nothing listens there: whatever was sent was never taken
-    SILENT = "silent"  # patience ran out
-    FULL = "full"  # the push box turned it away, unseen
-    ERROR = "error"  # the push box answered with an error
-    SERVED = "served"  # the push box served it to its end
-    SENT_AWAY = "sent away"  # the push box asked the client to come again
+    SILENT = "silent"  # timeout ran out
+    FULL = "full"  # the backend turned it away, unseen
+    ERROR = "error"  # the backend answered with an error
+    SERVED = "served"  # the backend served it to its end
+    SENT_AWAY = "sent away"  # the backend asked the client to come again
     CALLED_OFF = "called off"  # this relay or the client ended it
     NOT_TRIED = "not tried"  # nothing was sent at all
 
@@ -39,16 +39,16 @@
     cause: Cause
 
     @property
-    def result(self) -> Result:
+    def result(self) -> AttemptResult:
         """The decision module's word for it."""
         if self.cause is Cause.BROKEN:
-            return Result.RESET if self.phase >= AttemptPhase.SENT else Result.CONNECT_FAILED
+            return AttemptResult.RESET if self.phase >= AttemptPhase.SENT else AttemptResult.CONNECT_FAILED
         if self.cause is Cause.SILENT:
             if self.phase is AttemptPhase.UP:
-                return Result.RESET
-            return Result.TIMEOUT if self.phase is AttemptPhase.SENT else Result.CONNECT_FAILED
+                return AttemptResult.RESET
+            return AttemptResult.TIMEOUT if self.phase is AttemptPhase.SENT else AttemptResult.CONNECT_FAILED
         if self.cause is Cause.UNREACHABLE and self.phase is AttemptPhase.UP:
-            return Result.RESET
+            return AttemptResult.RESET
         return _PLAIN[self.cause]
 
     def __str__(self) -> str:
@@ -56,11 +56,11 @@
 
 
 _PLAIN = {
-    Cause.UNREACHABLE: Result.CONNECT_FAILED,
-    Cause.FULL: Result.FULL,
-    Cause.ERROR: Result.ERROR,
-    Cause.SERVED: Result.OK,
-    Cause.SENT_AWAY: Result.CANCELLED,
-    Cause.CALLED_OFF: Result.CANCELLED,
-    Cause.NOT_TRIED: Result.MOOT,
+    Cause.UNREACHABLE: AttemptResult.CONNECT_FAILED,
+    Cause.FULL: AttemptResult.OVERLOADED,
+    Cause.ERROR: AttemptResult.ERROR,
+    Cause.SERVED: AttemptResult.OK,
+    Cause.SENT_AWAY: AttemptResult.CANCELLED,
+    Cause.CALLED_OFF: AttemptResult.CANCELLED,
+    Cause.NOT_TRIED: AttemptResult.NOT_SENT,
 }
--- a/gradefront/core/backends.py
+++ b/gradefront/core/backends.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Iterator
 
-from milletdeal.interface import ListUpdate, ServerEntry, ServerState
+from balancer.events import BackendState, Endpoint, EndpointListUpdate
 
 
 class Backends:
     """One entry for each backend that is in the list."""
 
     def __init__(self) -> None:
-        self.entries: dict[str, ServerEntry] = {}
+        self.entries: dict[str, Endpoint] = {}
 
     def __len__(self) -> int:
         return len(self.entries)
@@ -22,7 +22,7 @@
     def __iter__(self) -> Iterator[str]:
         return iter(self.entries)
 
-    def state(self, backend: str) -> ServerState | None:
+    def state(self, backend: str) -> BackendState | None:
         """Its state; None where it is not in the list."""
         entry = self.entries.get(backend)
         return entry.state if entry else None
@@ -32,17 +32,17 @@
         entry = self.entries.get(backend)
         return entry.zone if entry else None
 
-    def apply(self, update: ListUpdate) -> tuple[list[str], list[str]]:
+    def apply(self, update: EndpointListUpdate) -> tuple[list[str], list[str]]:
         """Take a whole list or changes. The backends that begin to drain, and those that are gone by name."""
-        if update.whole:
+        if update.is_complete:
             self.entries = {}
         draining, gone = [], []
         for entry in update.entries:
-            if entry.state is ServerState.DRAINING and self.state(entry.server) is not entry.state:
-                draining.append(entry.server)
-            if entry.state is ServerState.GONE:
-                self.entries.pop(entry.server, None)
-                gone.append(entry.server)
+            if entry.state is BackendState.DRAINING and self.state(entry.backend) is not entry.state:
+                draining.append(entry.backend)
+            if entry.state is BackendState.GONE:
+                self.entries.pop(entry.backend, None)
+                gone.append(entry.backend)
             else:
-                self.entries[entry.server] = entry
+                self.entries[entry.backend] = entry
         return draining, gone
--- a/gradefront/core/counters.py
+++ b/gradefront/core/counters.py
@@ -32,13 +32,13 @@
             log.warning("%s (and %d more since the last such line)", what, more)
             self.told_us[name], self.told[name] = now_us, self.counts[name]
 
-    def add_of_class(self, name: str, klass: str) -> None:
+    def add_of_class(self, name: str, request_class: str) -> None:
         """Count for one request class."""
-        self.by_class[name, klass] += 1
+        self.by_class[name, request_class] += 1
 
-    def of_class(self, name: str, klass: str) -> int:
+    def of_class(self, name: str, request_class: str) -> int:
         """The count for one request class."""
-        return self.by_class[name, klass]
+        return self.by_class[name, request_class]
 
     def line(self, **levels: int) -> str:
         """All counts and the given levels as JSON, names in order."""
--- a/gradefront/core/classes.py
+++ b/gradefront/core/request_classes.py
@@ -1,30 +1,32 @@
-"""All request classes that were ever told, by number. A number keeps its rules while a visit may hold it."""
+"""All request classes that were ever told, by number. A number keeps its rules while a connection may hold it."""
 
 from __future__ import annotations
 
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from milletdeal.interface import RequestClass
+from balancer.settings import RequestClass
 
-MOST = 128  # numbers; beyond it those are used anew that no visit holds
+MOST = 128  # numbers; beyond it those are used anew that no connection holds
 
 
-class NoRoom(Exception):
+class TooManyClasses(Exception):
     """More classes are in use than there are numbers."""
 
 
 @dataclass(frozen=True)
-class ClassBook:
+class RequestClassTable:
     """An immutable value: taking new classes makes a new book."""
 
     names: tuple[str, ...] = ()
     rules: tuple[RequestClass, ...] = ()
     current: tuple[int, ...] = ()  # the numbers in force
 
-    def take(self, names: tuple[str, ...], rules: tuple[RequestClass, ...], held: Collection[int]) -> ClassBook:
-        """The book after these classes were told; `held` are the numbers that visits hold. A class told again with
-        the same rules has its number of before. Raises NoRoom."""
+    def extended(
+        self, names: tuple[str, ...], rules: tuple[RequestClass, ...], held: Collection[int]
+    ) -> RequestClassTable:
+        """The book after these classes were told; `held` are the numbers that connections hold. A class told again
+        with the same rules has its number of before. Raises NoRoom."""
         book = list(zip(self.names, self.rules, strict=True))
         told = list(zip(names, rules, strict=True))
         free = [n for n, entry in enumerate(book) if n not in held and entry not in told]
@@ -39,9 +41,9 @@
                 number = free.pop(0)
                 book[number] = entry
             else:
-                raise NoRoom(f"visits hold classes under all of {MOST} numbers")
+                raise TooManyClasses(f"visits hold classes under all of {MOST} numbers")
             current.append(number)
-        return ClassBook(tuple(n for n, _ in book), tuple(r for _, r in book), tuple(current))
+        return RequestClassTable(tuple(n for n, _ in book), tuple(r for _, r in book), tuple(current))
 
     def numbers(self) -> dict[str, int]:
         """The classes in force, by name."""
--- a/gradefront/core/request_log.py
+++ b/gradefront/core/request_log.py
@@ -1,7 +1,7 @@
 """Counters and log lines on single requests: how each was answered and why, and what went to servers in slow start.
 
 A line for each request would cost more than it tells. So there is one for each send to a server in slow start, which
-are few, and one a second for each reason of a refusal; all of them are counted.
+are few, and one a second for each reason of a rejection; all of them are counted.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from milletdeal.interface import Fail, HoldReason, Refuse, SlowStartRoom
+from balancer.actions import Fail, NotSentReason, Reject, SlowStartAllowance
 
 from .attempt_error import AttemptError
+from .connection import Attempt, Connection
 from .counters import Counters
-from .visit import Attempt, Visit
 
 log = logging.getLogger("gradefront.request")
 
@@ -27,7 +27,7 @@
     counters: Counters
     clock: Callable[[], int]
 
-    def count(self, name: str, klass: int) -> None:
+    def count_answer(self, name: str, request_class: int) -> None:
         """Count an answer for its class."""
 
 
@@ -36,27 +36,27 @@
 
     def __init__(self, core: Core) -> None:
         self.core = core
-        self.logged_us: dict[HoldReason | None, int] = {}  # by reason: when its last line was written
-        self.unlogged: dict[HoldReason | None, int] = {}  # by reason: answers since that line
+        self.logged_us: dict[NotSentReason | None, int] = {}  # by reason: when its last line was written
+        self.unlogged: dict[NotSentReason | None, int] = {}  # by reason: answers since that line
 
-    def on_established(self, visit: Visit) -> None:
+    def on_established(self, connection: Connection) -> None:
         """A server took the request."""
         self.core.counters.add("stood")
-        self.core.count("answered_total", visit.call.klass)
+        self.core.count_answer("answered_total", connection.connect_request.request_class)
 
-    def on_refused(self, visit: Visit, answer: Refuse) -> None:
+    def on_rejected(self, connection: Connection, answer: Reject) -> None:
         """The client is told that to come again is harmless."""
         self.core.counters.add("refused")
-        self.core.count("deferred_total", visit.call.klass)
-        self._answered("refused", visit, answer.reason)
+        self.core.count_answer("deferred_total", connection.connect_request.request_class)
+        self._answered("refused", connection, answer.reason)
 
-    def on_failed(self, visit: Visit, answer: Fail | None) -> None:
+    def on_failed(self, connection: Connection, answer: Fail | None) -> None:
         """The client is promised nothing; without an answer of the module, the core itself gave up."""
         self.core.counters.add("failed")
-        self.core.count("errored_total", visit.call.klass)
-        self._answered("failed", visit, answer.reason if answer else None)
+        self.core.count_answer("errored_total", connection.connect_request.request_class)
+        self._answered("failed", connection, answer.reason if answer else None)
 
-    def _answered(self, how: str, visit: Visit, reason: HoldReason | None) -> None:
+    def _answered(self, how: str, connection: Connection, reason: NotSentReason | None) -> None:
         """Count the reason; log it once a second, with the request's id."""
         now = self.core.clock()
         if reason:
@@ -66,33 +66,38 @@
             return
         self.logged_us[reason] = now
         why = reason.value if reason else "given up by the relay itself"
-        waited_ms = (now - visit.came_us) // 1000
+        waited_ms = (now - connection.arrived_us) // 1000
         log.info(
             "request %s %s after %d ms and %d attempts: %s (and %d more)",
-            visit.call.connection_id,
+            connection.connect_request.connection_id,
             how,
             waited_ms,
-            visit.attempts,
+            connection.attempts,
             why,
             self.unlogged.pop(reason, 0),
         )
 
-    def on_send(self, attempt: Attempt, room: SlowStartRoom | None) -> None:
+    def on_send(self, attempt: Attempt, room: SlowStartAllowance | None) -> None:
         """A request goes to a server, which is in slow start where it had this `room`."""
         if room is None:
             return
         self.core.counters.add("slow_start_sends")
-        log.info("request %s goes to %s in slow start: %s", attempt.visit.call.connection_id, attempt.box, room)
+        log.info(
+            "request %s goes to %s in slow start: %s",
+            attempt.connection.connect_request.connection_id,
+            attempt.backend,
+            room,
+        )
 
     def on_attempt_end(self, attempt: Attempt, error: AttemptError) -> None:
         """An attempt, or the connection that it made, has ended."""
         if not attempt.slow_start:
             return
-        took_ms = (self.core.clock() - attempt.began_us) // 1000
+        took_ms = (self.core.clock() - attempt.started_us) // 1000
         log.info(
             "request %s at %s in slow start ended after %d ms: %s",
-            attempt.visit.call.connection_id,
-            attempt.box,
+            attempt.connection.connect_request.connection_id,
+            attempt.backend,
             took_ms,
             error,
         )
--- a/gradefront/fleet/swim.py
+++ b/gradefront/fleet/swim.py
@@ -21,12 +21,12 @@
 from .wire import Message, Told, fill, heard, told
 
 DIRECT = 0.75  # paces: until a probe's answer is missed and others are asked to try
-HELP = 0.4  # paces: a helper's patience; its word must be back before the prober's is over
+HELP = 0.4  # paces: a helper's timeout; its word must be back before the prober's is over
 INDIRECT = 2.0  # paces: until the target is suspected, from the probe on
 SUSPECT = 7.0  # paces: until a suspected member is dead; a pause of a second must be over by then
 DOUBT = 3.0  # times as long, where this relay itself seems to be cut off
 HELPERS = 3  # asked to try a target that did not answer
-MOST_HEALTH = 8  # steps of self-doubt, each makes this relay's patience a pace's share longer
+MOST_HEALTH = 8  # steps of self-doubt, each makes this relay's timeout a pace's share longer
 HEARD = 8.0  # paces: whoever spoke to this relay within that is heard
 SENT = 3.0  # times log2 of the members: how often a record is passed on
 TICKS = 4  # a pace: how often the owner calls `tick`
--- a/gradefront/net/__init__.py
+++ b/gradefront/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's wire: clients' lines, push boxes' lines, probes and the box list, on Twisted."""
+"""The platform's wire: clients' lines, backends' lines, health checks and the endpoint list, on Twisted."""
--- a/gradefront/net/upstream.py
+++ b/gradefront/net/backend_connection.py
@@ -1,4 +1,5 @@
-"""Upstream connections to push boxes: one connection for each attempt, which becomes the visit's when it stands."""
+"""Upstream connections to backends: one connection for each attempt, which becomes the connection's when it
+stands."""
 
 from __future__ import annotations
 
@@ -9,10 +10,10 @@
 
 from twisted.internet.protocol import ClientFactory
 
+from balancer.settings import LoadReportSource
 from gradefront.core.attempt_error import AttemptPhase, Cause
-from gradefront.core.ports import Ending, UpstreamConnection
-from gradefront.core.visit import Attempt
-from milletdeal.interface import Reports
+from gradefront.core.connection import Attempt
+from gradefront.core.ports import BackendConnection, ConnectionEnd
 
 from .base import Lines, ending
 from .closing import ConnectionCloser
@@ -21,13 +22,13 @@
 
 log = logging.getLogger("gradefront.upstream")
 
-SERVED = re.compile(rb"UP [!-~][ -~]*")  # the answer that makes a visit stand: with a receipt, for the client
+SERVED = re.compile(rb"UP [!-~][ -~]*")  # the answer that makes a connection stand: with a receipt, for the client
 
 
 class BackendProtocol(Lines):
-    """The lines to and from one push box."""
+    """The lines to and from one backend."""
 
-    def __init__(self, upstream: PlatformUpstream) -> None:
+    def __init__(self, upstream: LineBackendConnection) -> None:
         self.upstream = upstream
         self.stage = 0  # 1: the first line is with the transport, 2: it has left
 
@@ -37,19 +38,19 @@
         self.send_at_once()
         transport.before_send = self._may_leave
         transport.registerProducer(self, False)
-        # At once, not when the loop comes round: until then the client may leave, or the push box be told to drain.
+        # At once, not when the loop comes round: until then the client may leave, or the backend be told to drain.
         transport.flush()
 
     def _may_leave(self) -> bool:
         """Asked before each piece of the first line leaves: a short write may leave the rest for later, and what
-        forbids the first piece forbids the last. Until the last has left, the push box has no request."""
+        forbids the first piece forbids the last. Until the last has left, the backend has no request."""
         attempt = self.upstream.attempt
-        why = attempt.barred()
+        why = attempt.send_veto()
         if why:
-            attempt.ends(why)
+            attempt.end(why)
             self.abort()
             return False
-        attempt.came(AttemptPhase.WRITING)
+        attempt.advance(AttemptPhase.WRITING)
         return True
 
     def resumeProducing(self) -> None:
@@ -57,12 +58,12 @@
         transport = self.wire
         if self.stage == 0:
             self.stage = 1
-            self.say(self.upstream.first.with_time(self.upstream.attempt.left_us()))
+            self.say(self.upstream.first.with_time(self.upstream.attempt.remaining_us()))
         elif self.stage == 1:
             self.stage = 2
             transport.before_send = None
             transport.unregisterProducer()
-            self.upstream.attempt.came(AttemptPhase.SENT)
+            self.upstream.attempt.advance(AttemptPhase.SENT)
 
     def stopProducing(self) -> None:
         """The transport is gone; `connectionLost` tells the rest."""
@@ -79,17 +80,17 @@
         """An overlong line ends this connection; whoever stands on it is told to come again."""
         self.upstream.bad("sent an overlong line")
         attempt = self.upstream.attempt
-        attempt.core.move(attempt.visit)
+        attempt.core.migrate(attempt.connection)
         self.abort()
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Tell the upstream connection, after what the push box sent of an unfinished line."""
+        """Tell the upstream connection, after what the backend sent of an unfinished line."""
         super().connectionLost(reason)
         self.upstream.lost(ending(reason), self.unfinished())
 
 
-class PlatformUpstream(ClientFactory):
-    """One attempt's connection to its push box."""
+class LineBackendConnection(ClientFactory):
+    """One attempt's connection to its backend."""
 
     noisy = False
 
@@ -102,7 +103,7 @@
         self.to_client: Callable[[bytes], None] | None = None
         self.cause = Cause.BROKEN
         self.gone = False
-        self.reports = attempt.visit.settings.reports is Reports.OUTCOMES
+        self.reports = attempt.connection.settings.load_report_source is LoadReportSource.ATTEMPT_RESULTS
 
     # ---- as Twisted's factory
 
@@ -114,14 +115,14 @@
     def clientConnectionFailed(self, connector: object, reason: object) -> None:
         """Refused, or never came up."""
         self.gone = True
-        self.attempt.ends(Cause.BROKEN)
+        self.attempt.end(Cause.BROKEN)
 
-    # ---- what the push box says
+    # ---- what the backend says
 
     def heard(self, line: bytes) -> None:
-        """A whole line from the push box."""
+        """A whole line from the backend."""
         attempt = self.attempt
-        if attempt.over:
+        if attempt.is_over:
             return
         word = line.partition(b" ")[0]
         if word in (b"BYE", b"ERR", b"BUSY") and self.reports:
@@ -131,11 +132,11 @@
             return
         if line.startswith(b"LOAD "):
             try:
-                attempt.told_load(float(line[5:]))
+                attempt.on_load_report(float(line[5:]))
             except ValueError:
                 self.bad("told a load that is no number")
         else:
-            attempt.heard_box()
+            attempt.on_message_received()
             if line == b"MOVE":
                 self.cause = Cause.SENT_AWAY
             elif word == b"BYE":
@@ -144,40 +145,40 @@
             self.to_client(line + b"\r\n")
 
     def _answered(self, line: bytes, word: bytes) -> None:
-        """The push box's answer to the first line."""
+        """The backend's answer to the first line."""
         attempt = self.attempt
         if word == b"BUSY":
-            attempt.ends(Cause.FULL)
+            attempt.end(Cause.FULL)
         elif attempt.phase < AttemptPhase.SENT:  # it has not left whole, and has not run
             self.bad("answered before it was asked")
-            attempt.ends(Cause.BROKEN)
+            attempt.end(Cause.BROKEN)
         elif SERVED.fullmatch(line):
-            attempt.stands(line)
+            attempt.succeed(line)
         elif word == b"MOVE":
-            attempt.ends(Cause.SENT_AWAY)
+            attempt.end(Cause.SENT_AWAY)
         else:
             if word != b"ERR":
                 self.bad("gave no answer of the protocol")
-            attempt.ends(Cause.ERROR)
+            attempt.end(Cause.ERROR)
 
     def bad(self, what: str) -> None:
-        """The push box sent what none sends."""
+        """The backend sent what none sends."""
         core = self.attempt.core
-        core.counters.bad("bad_answers", f"push box {self.attempt.box} {what}", core.clock())
+        core.counters.bad("bad_answers", f"push box {self.attempt.backend} {what}", core.clock())
 
-    def lost(self, how: Ending, rest: bytes) -> None:
-        """The connection to the push box ended."""
+    def lost(self, how: ConnectionEnd, rest: bytes) -> None:
+        """The connection to the backend ended."""
         self.gone = True
-        if rest and self.to_client and not self.attempt.over:
+        if rest and self.to_client and not self.attempt.is_over:
             self.to_client(rest)
-        self.attempt.ends(self.cause if how is Ending.ORDERLY else Cause.BROKEN, how)
+        self.attempt.end(self.cause if how is ConnectionEnd.ORDERLY else Cause.BROKEN, how)
 
     # ---- what the client's side says
 
     def pass_on(self, line: bytes) -> None:
         """A whole line from the client."""
         if self.line and self.line.transport and not self.gone:
-            self.attempt.asked_box()
+            self.attempt.on_message_sent()
             self.line.wire.write(line + b"\r\n")
 
     def pass_rest(self, rest: bytes) -> None:
@@ -185,7 +186,7 @@
         if self.line and self.line.transport and not self.gone:
             self.line.wire.write(rest)
 
-    def hang_up(self, how: Ending) -> None:
+    def close(self, how: ConnectionEnd) -> None:
         """End this connection, in the way given."""
         self.to_client = None
         if self.line is None:
@@ -195,15 +196,15 @@
         elif self.line.transport and not self.gone:
             # An attempt that is given up must leave nothing that could still arrive: another one may follow, and
             # what is written, here or in the kernel, goes on its way until the connection is reset.
-            if how is Ending.BROKEN or self.attempt.phase < AttemptPhase.UP:
+            if how is ConnectionEnd.BROKEN or self.attempt.phase < AttemptPhase.UP:
                 self.line.abort()
             else:
                 self.line.wire.unregisterProducer()
                 self.line.finish(self.closing)
 
 
-class PlatformConnector:
-    """Reaches push boxes over the platform's lines."""
+class LineBackendConnector:
+    """Reaches backends over the platform's lines."""
 
     def __init__(
         self, reactor: Reactor, address: Callable[[str], tuple[str, int] | None], closing: ConnectionCloser
@@ -212,13 +213,13 @@
         self.closing = closing
         self.address = address
 
-    def call(self, attempt: Attempt, parcel: object) -> UpstreamConnection:
+    def connect(self, attempt: Attempt, request_line: object) -> BackendConnection:
         """Connect and send the client's first line."""
-        assert isinstance(parcel, FirstLine)
-        upstream = PlatformUpstream(attempt, parcel, self.closing)
-        where = self.address(attempt.box)
-        if where is None:  # not in the box list any more: nothing was sent
-            attempt.ends(Cause.BROKEN)
+        assert isinstance(request_line, FirstLine)
+        upstream = LineBackendConnection(attempt, request_line, self.closing)
+        where = self.address(attempt.backend)
+        if where is None:  # not in the endpoint list any more: nothing was sent
+            attempt.end(Cause.BROKEN)
         else:
             upstream.connector = self.reactor.connectTCP(*where, upstream, timeout=None)
         return upstream
--- a/gradefront/net/base.py
+++ b/gradefront/net/base.py
@@ -11,7 +11,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from gradefront.core.ports import Ending
+from gradefront.core.ports import ConnectionEnd
 
 from .closing import MAX_DISCARDED, ConnectionCloser
 from .lines import MAX_LINE
@@ -41,7 +41,7 @@
         """Send a line."""
         self.wire.write(line + b"\r\n")
 
-    def finish(self, closer: ConnectionCloser, how: Ending = Ending.ORDERLY) -> None:
+    def finish(self, closer: ConnectionCloser, how: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
         """End once all that was said has left. Nothing that comes from here on counts."""
         if self.closer is None and not self.aborted:
             self.closer = closer
@@ -106,6 +106,6 @@
         cast(Any, self).setLineMode(rest)
 
 
-def ending(reason: Any) -> Ending:
+def ending(reason: Any) -> ConnectionEnd:
     """How the other side ended its connection."""
-    return Ending.ORDERLY if reason.check(ConnectionDone) else Ending.BROKEN
+    return ConnectionEnd.ORDERLY if reason.check(ConnectionDone) else ConnectionEnd.BROKEN
--- a/gradefront/net/front.py
+++ b/gradefront/net/client_protocol.py
@@ -1,6 +1,6 @@
-"""The platform's front: clients' connections, one visit each.
+"""The platform's front: clients' connections, one connection each.
 
-A connection stands at the door until its first line has made a visit. Whoever stays there, or says what no
+A connection stands at the door until its first line has made a connection. Whoever stays there, or says what no
 device says, is sent away soon and cheaply: such clients come by hundreds, and come back at once.
 """
 
@@ -13,21 +13,21 @@
 from twisted.internet.protocol import ServerFactory
 
 from gradefront.config import Config
-from gradefront.core.ports import Ending, UpstreamConnection
+from gradefront.core.connection import BackendConnector, Connection
+from gradefront.core.ports import BackendConnection, ConnectionEnd
 from gradefront.core.relay import RelayCore
-from gradefront.core.visit import UpstreamConnector, Visit
 
+from .backend_connection import LineBackendConnection
 from .base import Lines, ending
 from .closing import DESCRIPTOR_SHARE, ConnectionCloser
 from .lines import BadLine, read_first, read_id
-from .upstream import PlatformUpstream
 
 log = logging.getLogger("gradefront.front")
 
-DOOR_US = 2_200_000  # from connecting: an error or the end is owed within 3 s to whoever has made no visit
+DOOR_US = 2_200_000  # from connecting: an error or the end is owed within 3 s to whoever has made no connection
 MOST_PINGS = 32  # on one connection; a front asks a few times until the relay is ready
-SPARE_SOCKETS = 48  # kept back from visits: the list, probes, listening, the platform's own
-ROOM_PART = 8  # of the descriptors, one part in so many is kept free of the door for visits that come
+SPARE_SOCKETS = 48  # kept back from connections: the list, health checks, listening, the platform's own
+ROOM_PART = 8  # of the descriptors, one part in so many is kept free of the door for connections that come
 FRESH_US = 250_000  # a connection so new is not ended for want of room: its line may be on its way
 IDS_KEPT = 4_096  # ids remembered: each connection has a new one, so that a second use is somebody else's
 
@@ -35,12 +35,12 @@
 class ClientProtocol(Lines):
     """The lines to and from one client."""
 
-    def __init__(self, front: PlatformFront) -> None:
+    def __init__(self, front: ClientProtocolFactory) -> None:
         self.front = front
-        self.visit: Visit | None = None
-        self.upstream: PlatformUpstream | None = None
+        self.connection: Connection | None = None
+        self.upstream: LineBackendConnection | None = None
         self.pings = 0
-        self.id = b""  # of the visit that it made
+        self.id = b""  # of the connection that it made
         self.closing = False
 
     # ---- as Twisted's protocol
@@ -48,9 +48,9 @@
     def connectionMade(self) -> None:
         """A device connected."""
         self.send_at_once()
-        self.came_us = self.front.core.clock()
-        self.patience = self.front.core.after(DOOR_US, self._mute)
-        self.front.came(self)
+        self.arrived_us = self.front.core.clock()
+        self.timeout = self.front.core.after(DOOR_US, self._mute)
+        self.front.on_connected(self)
 
     def _mute(self) -> None:
         """Guards the descriptors: silence, half a line, dripping bytes, endless `PING` get no more time."""
@@ -64,71 +64,71 @@
         except Exception:
             log.exception("a client's line failed")
             self.front.core.counters.add("exceptions")
-            self.reject()
+            self.fail_protocol()
 
     def _line(self, line: bytes) -> None:
         if self.closing:
             return
         if self.upstream:
             self.upstream.pass_on(line)
-        elif self.visit:
+        elif self.connection:
             self.front.bad("a line before its visit stood")  # a device waits for its answer first
-            self.front.core.turn_away(self.visit)
+            self.front.core.reject_unestablished(self.connection)
         elif line == b"PING" and self.pings < MOST_PINGS:
             self.pings += 1
-            self.say(b"PONG" if self.front.core.lifecycle.takes_clients else b"ERR")
+            self.say(b"PONG" if self.front.core.lifecycle.accepts_clients else b"ERR")
         else:
             self._first(line)
 
     def _first(self, line: bytes) -> None:
         front = self.front
         try:
-            call, box = read_first(line, front.config)
+            call, backend = read_first(line, front.config)
             self.id = read_id(line)
             front.new_id(self.id)
         except BadLine as error:
-            if error.klass in front.core.book.names:  # it was in force before
-                front.core.counters.add_of_class("errored_total", error.klass)
+            if error.request_class in front.core.request_classes.names:  # it was in force before
+                front.core.counters.add_of_class("errored_total", error.request_class)
             front.bad(str(error))
             self._last(b"ERR")
             return
-        if front.held() + 1 > front.config.sockets - SPARE_SOCKETS:
-            # Guards against running out of descriptors: a visit holds one more, to its push box.
+        if front.descriptors_held() + 1 > front.config.sockets - SPARE_SOCKETS:
+            # Guards against running out of descriptors: a connection holds one more, to its backend.
             front.core.counters.add("no_sockets")
-            front.core.count("deferred_total", call.klass)
+            front.core.count_answer("deferred_total", call.request_class)
             self._last(b"BUSY")
             return
-        self.patience.cancel()
-        front.door.pop(self, None)
-        if box:
-            self.visit = front.core.adopt_connection(call, self, front.caller, box)
+        self.timeout.cancel()
+        front.pre_request.pop(self, None)
+        if backend:
+            self.connection = front.core.adopt_connection(call, self, front.connector, backend)
         else:
-            self.visit = front.core.arrive(call, self, front.caller)
+            self.connection = front.core.accept(call, self, front.connector)
 
     def lineLengthExceeded(self, line: bytes) -> None:
         """An overlong line ends this connection."""
         if not self.closing:
             self.front.bad("an overlong line")
-            self.reject()
+            self.fail_protocol()
 
-    def reject(self) -> None:
+    def fail_protocol(self) -> None:
         """End a connection on which nothing more can be understood: whoever waits for an answer gets it."""
-        if self.visit and self.upstream:
-            self.front.core.move(self.visit)
-        elif self.visit:
-            self.front.core.turn_away(self.visit)
+        if self.connection and self.upstream:
+            self.front.core.migrate(self.connection)
+        elif self.connection:
+            self.front.core.reject_unestablished(self.connection)
         self._last(b"ERR")
 
     def peer_ended(self) -> None:
-        """The client has shut its sending side, and may read on: nothing more is sent on for it, but a final answer
+        """The client has shut its sending side, and may read on: nothing more is forwarded for it, but a final answer
         harms in neither reading."""
         rest = self.unfinished()
         if self.upstream and rest:
             self.upstream.pass_rest(rest)
         stood = self.upstream is not None
-        if self.visit:
-            self.front.core.client_left(self.visit, Ending.ORDERLY)
-        if self.visit and not stood:
+        if self.connection:
+            self.front.core.on_client_closed(self.connection, ConnectionEnd.ORDERLY)
+        if self.connection and not stood:
             self._last(b"ERR")
         self._close()
         self.front.closing.on_peer_ended(self)
@@ -136,26 +136,26 @@
     def connectionLost(self, reason: Any = None) -> None:
         """The device ended its side, or this relay did."""
         super().connectionLost(reason)
-        self.front.open -= 1
-        self.front.door.pop(self, None)
-        self.patience.cancel()
+        self.front.open_connections -= 1
+        self.front.pre_request.pop(self, None)
+        self.timeout.cancel()
         rest = self.unfinished()
         if self.upstream and rest and not self.closing:
             self.upstream.pass_rest(rest)
         self.closing = True
-        if self.visit:
-            self.front.core.client_left(self.visit, ending(reason))
+        if self.connection:
+            self.front.core.on_client_closed(self.connection, ending(reason))
 
     # ---- as the core's client side
 
-    def seat(self, upstream: UpstreamConnection, receipt: object) -> None:
-        """Pass the push box's own line on, then all lines."""
-        assert isinstance(upstream, PlatformUpstream) and isinstance(receipt, bytes)
-        self.say(receipt)
+    def establish(self, upstream: BackendConnection, response_line: object) -> None:
+        """Pass the backend's own line on, then all lines."""
+        assert isinstance(upstream, LineBackendConnection) and isinstance(response_line, bytes)
+        self.say(response_line)
         if not self.closing:
             self.join(upstream)
 
-    def join(self, upstream: PlatformUpstream) -> None:
+    def join(self, upstream: LineBackendConnection) -> None:
         """Pass all lines on, both ways, each side held back by the other's pace."""
         assert upstream.line
         ours, theirs = self.wire, upstream.line.wire
@@ -164,7 +164,7 @@
         ours.registerProducer(theirs, True)
         theirs.registerProducer(ours, True)
 
-    def refuse(self, pause_us: int) -> None:
+    def reject(self, pause_us: int) -> None:
         """`BUSY`, with the pause if one is advised."""
         self._last(b"BUSY %d" % -(-pause_us // 1000) if pause_us > 0 else b"BUSY")
 
@@ -172,12 +172,12 @@
         """A line that promises nothing."""
         self._last(b"ERR")
 
-    def move(self) -> None:
+    def migrate(self) -> None:
         """`MOVE`, which always stands between whole lines here: only whole lines are passed on."""
         self._last(b"MOVE")
 
-    def end(self, how: Ending) -> None:
-        """End as the push box did."""
+    def close(self, how: ConnectionEnd) -> None:
+        """End as the backend did."""
         self._close(how)  # broken or not, its `UP` or its last line may still lie in the transport's buffer
 
     def _last(self, line: bytes) -> None:
@@ -185,47 +185,49 @@
             self.say(line)
             self._close()
 
-    def _close(self, how: Ending = Ending.ORDERLY) -> None:
+    def _close(self, how: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
         if self.closing:
             return
         self.closing = True
         self.wire.unregisterProducer()  # else the transport would wait for its producer's end
-        self.patience.cancel()
-        self.front.door.pop(self, None)
+        self.timeout.cancel()
+        self.front.pre_request.pop(self, None)
         self.finish(self.front.closing, how)
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the device has ended its side, even where that lies unread. What it sent before that is taken."""
         return self.catch_up()
 
-    def make_room(self) -> None:
+    def free_descriptor(self) -> None:
         """Others need the descriptor more."""
         self.front.core.counters.add("ended_for_room")
         self._last(b"BUSY")
 
-    def turn_away_for_room(self) -> None:
+    def reject_for_descriptors(self) -> None:
         """No descriptor is left for this client: what it has asked already is answered, and it ends at once."""
         self.front.core.counters.add("no_sockets")
         self.catch_up()
         self._last(b"BUSY")
 
 
-class PlatformFront(ServerFactory):
+class ClientProtocolFactory(ServerFactory):
     """Takes in clients' connections on the platform's protocol."""
 
     noisy = False
 
     def __init__(
-        self, config: Config, core: RelayCore, caller: UpstreamConnector, upstreams: ConnectionCloser | None = None
+        self, config: Config, core: RelayCore, caller: BackendConnector, upstreams: ConnectionCloser | None = None
     ) -> None:
         self.config = config
         self.core = core
-        self.caller = caller
-        self.open = 0
-        self.door: dict[ClientProtocol, None] = {}  # connections that have made no visit yet, the oldest first
-        self.ids: dict[bytes, None] = {}  # of connections that made a visit, the oldest first
+        self.connector = caller
+        self.open_connections = 0
+        self.pre_request: dict[
+            ClientProtocol, None
+        ] = {}  # connections that have made no connection yet, the oldest first
+        self.ids: dict[bytes, None] = {}  # of connections that made a connection, the oldest first
         self.closing = ConnectionCloser(core, config.sockets // DESCRIPTOR_SHARE)
-        # Connections to push boxes that are being ended.
+        # Connections to backends that are being ended.
         self.upstreams = upstreams or ConnectionCloser(core, config.sockets // DESCRIPTOR_SHARE)
 
     def buildProtocol(self, addr: object) -> ClientProtocol:
@@ -236,39 +238,44 @@
         """No connection could be accepted for want of something. Where that is descriptors of this process, what is
         needed least is given up."""
         self.core.counters.bad("accept_errors", f"no connection could be accepted: {error}", self.core.clock())
-        if error.errno != errno.EMFILE or self.closing.make_room() or self.upstreams.make_room() or not self.door:
+        if (
+            error.errno != errno.EMFILE
+            or self.closing.free_descriptor()
+            or self.upstreams.free_descriptor()
+            or not self.pre_request
+        ):
             return
-        next(iter(self.door)).make_room()
+        next(iter(self.pre_request)).free_descriptor()
 
     def end_rest(self) -> None:
         """The relay ends: whoever stands at the door still is told to come again."""
-        for line in list(self.door):
-            line.make_room()
+        for line in list(self.pre_request):
+            line.free_descriptor()
 
-    def held(self) -> int:
-        """Descriptors held for devices: one a connection, and one more to the push box of each visit, which is held
-        for a moment longer than the visit."""
-        return self.open + len(self.core.visits) + len(self.upstreams)
+    def descriptors_held(self) -> int:
+        """Descriptors held for devices: one a connection, and one more to the backend of each connection, which is
+        held for a moment longer than the connection."""
+        return self.open_connections + len(self.core.connections) + len(self.upstreams)
 
-    def came(self, line: ClientProtocol) -> None:
+    def on_connected(self, line: ClientProtocol) -> None:
         """A connection came to the door. Where descriptors run short, who stood there longest goes."""
-        self.open += 1
-        self.door[line] = None
+        self.open_connections += 1
+        self.pre_request[line] = None
         room = self.config.sockets - SPARE_SOCKETS - self.config.sockets // ROOM_PART
-        while self.held() > room and (self.closing.make_room() or self.upstreams.make_room()):
+        while self.descriptors_held() > room and (self.closing.free_descriptor() or self.upstreams.free_descriptor()):
             pass  # who has had its answer needs its descriptor least
-        if self.held() > room:
-            oldest = next(iter(self.door))
-            if line.came_us - oldest.came_us > FRESH_US:
-                oldest.make_room()
+        if self.descriptors_held() > room:
+            oldest = next(iter(self.pre_request))
+            if line.arrived_us - oldest.arrived_us > FRESH_US:
+                oldest.free_descriptor()
         # Guards the last descriptors, which what stands needs. The pages let a new connection be shut unread then;
         # here its request, if it has come, is answered all the same.
-        if self.held() > self.config.sockets - SPARE_SOCKETS // 2:
-            line.turn_away_for_room()
+        if self.descriptors_held() > self.config.sockets - SPARE_SOCKETS // 2:
+            line.reject_for_descriptors()
 
     def new_id(self, connection: bytes) -> None:
-        """Take note of an id, or raise. Guards an open visit, and the push box that counts by ids, against a
-        client that names another's id: at the box its end would be the other's."""
+        """Take note of an id, or raise. Guards an open connection, and the backend that counts by ids, against a
+        client that names another's id: at the backend its end would be the other's."""
         if connection in self.ids:
             raise BadLine("an id that was used before")
         if len(self.ids) >= IDS_KEPT:
--- a/gradefront/net/closing.py
+++ b/gradefront/net/closing.py
@@ -16,7 +16,7 @@
 from typing import Any, Protocol
 
 from gradefront.core.counters import Counters
-from gradefront.core.ports import Ending
+from gradefront.core.ports import ConnectionEnd
 from gradefront.core.timer_wheel import Timer
 
 LINGER_US = 2_000_000  # us: after all was sent, how long a slow peer may take to read it and to end its side
@@ -52,7 +52,7 @@
 class _State:
     """How far the end of one connection has come."""
 
-    how: Ending
+    how: ConnectionEnd
     timer: Timer
     sent: bool = False  # the kernel has all that was written
     peer_ended: bool = False
@@ -74,12 +74,12 @@
         """How many still hold something that the kernel has not taken."""
         return sum(not state.sent for state in self.waiting.values())
 
-    def begin(self, connection: Closable, how: Ending = Ending.ORDERLY) -> None:
+    def begin(self, connection: Closable, how: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
         """End a connection once all that was written has left; broken: by a reset then."""
         if connection in self.waiting:
             return
         if len(self.waiting) >= self.most:
-            self.make_room()
+            self.free_descriptor()
         timer = self.core.after(UNSENT_US, partial(self._give_up, connection))
         self.waiting[connection] = _State(how, timer)
         wire = connection.wire
@@ -94,7 +94,7 @@
             return
         state.sent = True
         state.timer.cancel()
-        if state.how is Ending.BROKEN:
+        if state.how is ConnectionEnd.BROKEN:
             connection.abort()
         elif state.peer_ended:
             connection.wire.loseConnection()
@@ -124,7 +124,7 @@
         if state:
             state.timer.cancel()
 
-    def make_room(self) -> bool:
+    def free_descriptor(self) -> bool:
         """Close the one that has waited longest of those that have been sent all. False: there is none."""
         for connection, state in list(self.waiting.items()):
             if not state.sent:
@@ -136,7 +136,7 @@
 
     def close_all(self) -> None:
         """The process ends."""
-        while self.make_room():
+        while self.free_descriptor():
             pass
         for connection in list(self.waiting):
             self._give_up(connection)
--- a/gradefront/net/boxlist.py
+++ b/gradefront/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The box list, read from discovery's form."""
+"""The endpoint list, read from discovery's form."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
+from balancer.events import BackendState, Endpoint, EndpointListUpdate
 from gradefront.config import Config
 from gradefront.core.relay import RelayCore
 from gradefront.core.start_times import NOTICE_US, Hearing, Start, start_time
-from milletdeal import interface as i
 
-STATES = {"SERVING": i.ServerState.READY, "DRAINING": i.ServerState.DRAINING, "DELETED": i.ServerState.GONE}
+STATES = {"SERVING": BackendState.READY, "DRAINING": BackendState.DRAINING, "DELETED": BackendState.GONE}
 
 
 class Place(NamedTuple):
-    """One push box: what the module is told of it, and where it listens, which only the wire needs."""
+    """One backend: what the module is told of it, and where it listens, which only the wire needs."""
 
-    entry: i.ServerEntry
+    entry: Endpoint
     where: tuple[str, int]
     start: Start
 
 
-class BoxList:
-    """The push boxes by id: what the core is told of, and the addresses that only the wire needs."""
+class EndpointList:
+    """The backends by id: what the core is told of, and the addresses that only the wire needs."""
 
     def __init__(self, config: Config, core: RelayCore, stepped: Callable[[], bool] = lambda: False) -> None:
         self.config = config
@@ -31,26 +31,26 @@
         self.stepped = stepped  # whether the wall clock has been stepped since the start
         self.revision = 0
         self.places: dict[str, Place] = {}
-        self.alive_us: int | None = None  # when discovery was last heard; None: not since the start
+        self.last_heartbeat_us: int | None = None  # when discovery was last heard; None: not since the start
 
-    def alive(self) -> None:
+    def on_heartbeat(self) -> None:
         """Discovery is there, and has nothing else to tell."""
-        self.alive_us = self.core.clock()
+        self.last_heartbeat_us = self.core.clock()
 
     def _hearing(self) -> Hearing:
         """How far the times of day in a list that comes now can be believed."""
         now = self.core.clock()
-        since_us = now - self.alive_us if self.alive_us is not None else 0
-        oldest_us = max(self.core.settings.cold_us, since_us + NOTICE_US)
+        since_us = now - self.last_heartbeat_us if self.last_heartbeat_us is not None else 0
+        oldest_us = max(self.core.settings.warm_up_us, since_us + NOTICE_US)
         # What differs from a list that this relay had, be it from before its start, happened of late.
         return Hearing(now, self.stepped(), bool(self.places), oldest_us)
 
-    def address(self, box: str) -> tuple[str, int] | None:
-        """Where a push box listens."""
-        place = self.places.get(box)
+    def address(self, backend: str) -> tuple[str, int] | None:
+        """Where a backend listens."""
+        place = self.places.get(backend)
         return place.where if place else None
 
-    def take(self, told: dict[str, Any], whole: bool | None = None) -> None:
+    def apply(self, told: dict[str, Any], whole: bool | None = None) -> None:
         """Take one object of discovery's form: all of it is read first, then it counts at once. Raises ValueError,
         and changes nothing, where it makes no sense."""
         full = bool(told.get("complete")) if whole is None else whole
@@ -72,25 +72,25 @@
                 place = known  # guards against losing one that serves, for a slip in its line
             entry = place.entry
             entries.append(entry)
-            if entry.state is i.ServerState.GONE:
-                places.pop(entry.server, None)
+            if entry.state is BackendState.GONE:
+                places.pop(entry.backend, None)
             else:
-                places[entry.server] = place
+                places[entry.backend] = place
         if bad:
             self.core.counters.bad(
                 "bad_list_lines", f"a line of the box list makes no sense: {bad[0]}", self.core.clock(), len(bad)
             )  # left out, the others stand
         self.places, self.revision = places, revision
         if whole is None:  # it comes from discovery now, not from before the start
-            self.alive()
-        self.core.listed(i.ListUpdate(tuple(entries), full))
+            self.on_heartbeat()
+        self.core.on_endpoint_list(EndpointListUpdate(tuple(entries), full))
 
     def _place(self, member: Any, hearing: Hearing) -> Place:
         """One line of the list. Raises where it makes no sense."""
         config = self.config
-        state = STATES.get(member["phase"], i.ServerState.UNKNOWN)
+        state = STATES.get(member["phase"], BackendState.UNKNOWN)
         where = "", 0
-        if state is not i.ServerState.GONE:
+        if state is not BackendState.GONE:
             host, _, port = member["host_port"].rpartition(":")
             where = host.strip("[]"), _whole(int(port), "host_port")
             if not host or not 0 < where[1] < 65536:
@@ -102,7 +102,7 @@
         known = self.places.get(backend)
         start = start_time(int(member.get("up_since_ms") or 0) * 1000, known.start if known else None, hearing)
         return Place(
-            i.ServerEntry(
+            Endpoint(
                 backend,
                 state,
                 _number(config.zones, member.get("locality")),
--- a/gradefront/net/watch.py
+++ b/gradefront/net/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch on the box list, over HTTP."""
+"""The watch on the endpoint list, over HTTP."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from gradefront.core.timer_wheel import Timer
 
 from .base import Lines
-from .boxlist import BoxList
+from .endpoint_list import EndpointList
 from .objects import Objects
 from .reactor import Reactor
 
@@ -24,10 +24,10 @@
 LEAST_GRACE_US = 150_000  # of the told time after a drain, where it is shorter or not told
 
 
-class WatchLine(Lines):
+class EndpointWatchProtocol(Lines):
     """One watch: an HTTP answer in chunks, with one JSON object a line."""
 
-    def __init__(self, call: WatchCall) -> None:
+    def __init__(self, call: EndpointWatchCall) -> None:
         self.call = call
         self.state = "status"
         self.chunked = False
@@ -35,11 +35,11 @@
 
     def connectionMade(self) -> None:
         """Ask for the changes since the revision known."""
-        box_list, (host, port) = self.call.watch.box_list, self.call.where
+        endpoint_list, (host, port) = self.call.watch.endpoint_list, self.call.where
         transport = self.wire
         transport.setTcpNoDelay(True)
         transport.write(
-            f"GET /discovery/hosts?stream=1&index={box_list.revision} HTTP/1.1\r\n"
+            f"GET /discovery/hosts?stream=1&index={endpoint_list.revision} HTTP/1.1\r\n"
             f"Host: {host}:{port}\r\nAccept: application/json\r\n\r\n".encode()
         )
 
@@ -96,26 +96,26 @@
         self.call.over("the connection ended")
 
 
-class WatchCall(ClientFactory):
+class EndpointWatchCall(ClientFactory):
     """One call for a watch. It ends once, with one word to the core unless a newer call took its place."""
 
     noisy = False
 
-    def __init__(self, watch: ListWatch) -> None:
+    def __init__(self, watch: EndpointWatch) -> None:
         self.watch = watch
         self.where = watch.where
         self.news = False
         self.objects = Objects()
         self.looked = False  # once more after the time was over
-        self.line: WatchLine | None = None
+        self.line: EndpointWatchProtocol | None = None
         self.ended = False
         self.connector: Any = None
-        self.patience_us = watch.retry_us if watch.pushed else ANSWER_US
-        self.silence: Timer = self._wait(self.patience_us)
+        self.timeout_us = watch.retry_us if watch.pushed else ANSWER_US
+        self.silence: Timer = self._wait(self.timeout_us)
 
-    def buildProtocol(self, addr: object) -> WatchLine:
+    def buildProtocol(self, addr: object) -> EndpointWatchProtocol:
         """The connection stands."""
-        self.line = WatchLine(self)
+        self.line = EndpointWatchProtocol(self)
         return self.line
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:
@@ -127,18 +127,18 @@
         would stand for ever."""
         if self.ended:
             return
-        self.watch.box_list.alive()
+        self.watch.endpoint_list.on_heartbeat()
         self.silence.cancel()
         self.looked = False
-        self.patience_us = SILENCE_US
-        self.silence = self._wait(self.patience_us)
+        self.timeout_us = SILENCE_US
+        self.silence = self._wait(self.timeout_us)
 
-    def _wait(self, patience_us: int) -> Timer:
-        return self.watch.core.after(patience_us, partial(self._silent, self.watch.core.clock() + patience_us))
+    def _wait(self, timeout_us: int) -> Timer:
+        return self.watch.core.after(timeout_us, partial(self._silent, self.watch.core.clock() + timeout_us))
 
     def _silent(self, due_us: int) -> None:
         """Guards against a watch cut off without a word: news told meanwhile would stand unheard."""
-        if self.watch.core.clock() - due_us > self.patience_us // 2 and not self.looked:
+        if self.watch.core.clock() - due_us > self.timeout_us // 2 and not self.looked:
             # This relay was held up, and may not have read yet what came: one more look, and no more than that.
             self.looked = True
             self.silence = self._wait(LOOK_AGAIN_US)
@@ -162,7 +162,7 @@
 
     def _heard(self, told: dict[str, Any]) -> None:
         """One object."""
-        self.watch.box_list.take(told)
+        self.watch.endpoint_list.apply(told)
         if not self.news:
             self.news = True
             self.watch.failures = 0
@@ -173,7 +173,7 @@
                 "whole" if told.get("complete") else "changes",
                 len(told.get("members") or ()),
             )
-        self.watch.core.lifecycle.has_news()
+        self.watch.core.lifecycle.on_fresh_endpoint_list()
 
     def over(self, why: str) -> None:
         """End this call and tell the core."""
@@ -191,24 +191,26 @@
             self.connector.disconnect()
 
 
-class ListWatch:
+class EndpointWatch:
     """The core's port to discovery. Where lists are asked for, the module says when to call, as every call costs a
     service that all relays share. Where they are pushed, an agent on this machine has them, answers at no cost, and
     what it has counts as told, watch or not: so this port itself keeps a watch open from the start on."""
 
-    def __init__(self, reactor: Reactor, core: RelayCore, box_list: BoxList, where: tuple[str, int]) -> None:
+    def __init__(
+        self, reactor: Reactor, core: RelayCore, endpoint_list: EndpointList, where: tuple[str, int]
+    ) -> None:
         self.reactor = reactor
         self.core = core
-        self.box_list = box_list
+        self.endpoint_list = endpoint_list
         self.where = where
-        self.call: WatchCall | None = None
+        self.call: EndpointWatchCall | None = None
         self.called_us = 0  # when the last call began
         self.failures = 0  # calls in a row that brought nothing
 
     @property
     def pushed(self) -> bool:
         """Whether the lists come from an agent unasked."""
-        return not self.core.settings.ask_for_list
+        return not self.core.settings.polls_endpoint_list
 
     @property
     def retry_us(self) -> int:
@@ -219,7 +221,7 @@
     def lost(self, why: str) -> None:
         """A call failed, or the watch ended."""
         if not self.pushed:
-            self.core.list_lost(why)
+            self.core.on_endpoint_list_lost(why)
             return
         self.core.counters.add("list_errors")
         if not self.failures:  # one line for an outage, not one for each call
@@ -234,7 +236,7 @@
         if self.call is None or self.call.ended:
             self._call()
 
-    def catch_up(self) -> None:
+    def read_pending(self) -> None:
         """Take what lies unread on the watch: a drain that was told a moment ago counts for what is sent now."""
         call = self.call
         if call and not call.ended and call.line and call.line.connected:
@@ -244,7 +246,7 @@
         """Discovery is elsewhere now. The old watch ends here and now: nothing late from it counts, and its
         end is no news. The numbers of its revisions mean nothing at the new address, so all is asked for."""
         self.where = where
-        self.box_list.revision = 0
+        self.endpoint_list.revision = 0
         self.close()
         self._call()
 
@@ -255,5 +257,5 @@
 
     def _call(self) -> None:
         self.called_us = self.core.clock()
-        self.call = WatchCall(self)
+        self.call = EndpointWatchCall(self)
         self.call.connector = self.reactor.connectTCP(*self.where, self.call, timeout=None)
--- a/gradefront/net/lines.py
+++ b/gradefront/net/lines.py
@@ -1,18 +1,18 @@
-"""The platform's lines: what a client's first line asks, and the load report in a push box's answer."""
+"""The platform's lines: what a client's first line asks, and the load report in a backend's answer."""
 
 from __future__ import annotations
 
 import re
 from dataclasses import dataclass
 
+from balancer.events import LoadReport
 from gradefront.config import CLASS_NAME, Config
-from gradefront.core.ports import Call
-from milletdeal import interface as i
+from gradefront.core.connect_request import ConnectRequest
 
 MAX_LINE = 4096
 MOST_MS = 4_294_967  # the longest time that a line tells: what fits into 32 bits of microseconds
 
-# What usual devices send. Guards push boxes against all else: a line that no device sent voids what they do.
+# What usual devices send. Guards backends against all else: a line that no device sent voids what they do.
 FIRST = re.compile(rb"OPEN ([0-9a-f]{16}) ([0-9a-f]{16}) ([!-~]+)")
 FORMS = {
     name: re.compile(form)
@@ -33,9 +33,9 @@
 class BadLine(Exception):
     """A first line that no client sends."""
 
-    def __init__(self, why: str, klass: str = "") -> None:
+    def __init__(self, why: str, request_class: str = "") -> None:
         super().__init__(why)
-        self.klass = klass  # the class that it names and that is not in force
+        self.request_class = request_class  # the class that it names and that is not in force
 
 
 @dataclass(slots=True, frozen=True)
@@ -47,14 +47,14 @@
     has_time: bool
 
     def with_time(self, left_us: int) -> bytes:
-        """The line for a push box, told how long this relay will wait."""
+        """The line for a backend, told how long this relay will wait."""
         if not self.has_time:
             return self.head
         return self.head + str(max(1, left_us // 1000)).encode() + self.tail
 
 
-def read_first(line: bytes, config: Config) -> tuple[Call, str]:
-    """The call that an `OPEN` line makes, and the push box that it stood at before the run, if any."""
+def read_first(line: bytes, config: Config) -> tuple[ConnectRequest, str]:
+    """The call that an `OPEN` line makes, and the backend that it stood at before the run, if any."""
     first = FIRST.fullmatch(line)
     if not first:
         raise BadLine("not an OPEN line")
@@ -66,19 +66,19 @@
         if not FORMS.get(name, FURTHER).fullmatch(value):
             raise BadLine(f"{name}={value[:80]}")
         named[name] = value
-    needed = ("c", "d", "g") if config.settings.groups else ("c", "d")
+    needed = ("c", "d", "g") if config.settings.sticky_groups else ("c", "d")
     if missing := [name for name in needed if name not in named]:
         raise BadLine(f"no {missing[0]}")
-    klass = config.numbers.get(named["c"])
-    if klass is None:
+    request_class = config.class_numbers.get(named["c"])
+    if request_class is None:
         raise BadLine(f"class {named['c']!r}", named["c"])
     if int(named["d"]) > MOST_MS:
         raise BadLine(f"d={named['d']}")
     tenant = config.tenants.index(named["t"]) if named.get("t") in config.tenants else 0
-    call = Call(
+    call = ConnectRequest(
         int(named["d"]) * 1000,
         _split(line),
-        klass,
+        request_class,
         tenant,
         first[2].decode("ascii"),
         named.get("g", ""),
@@ -107,7 +107,7 @@
     return FirstLine(line, b"", False)
 
 
-def read_report(line: bytes) -> i.LoadReport | None:
+def read_report(line: bytes) -> LoadReport | None:
     """The load report after an answer's first word, by the names that the settings give its figures."""
     values: dict[str, float] = {}
     for pair in line.partition(b" ")[2].split(b","):
@@ -119,4 +119,4 @@
                 continue  # a figure that is no number says nothing; the others may
     if not values:
         return None
-    return i.LoadReport(values.get("x0"), values.get("util", values.get("cpu_share")))
+    return LoadReport(values.get("x0"), values.get("util", values.get("cpu_share")))
--- a/gradefront/net/reactor.py
+++ b/gradefront/net/reactor.py
@@ -123,29 +123,29 @@
         self.reactor = reactor
         self.clock = clock
         self.core: RelayCore | None = None
-        self.poked = False
+        self.woken = False
         self.armed: Any = None
         self.armed_us = 0
 
-    def poke(self) -> None:
+    def wake(self) -> None:
         """Take a turn once all that is ready now has been gathered."""
-        if not self.poked:
-            self.poked = True
+        if not self.woken:
+            self.woken = True
             self.reactor.callLater(0, self._turn)
 
     def _turn(self) -> None:
-        self.poked = False
+        self.woken = False
         if self.core is None:
             return
         try:
-            self.core.turn()
+            self.core.run_turn()
         finally:  # guards all timers against an error that the core did not catch
             self._arm(self.core)
 
     def _arm(self, core: RelayCore) -> None:
         """Have the next turn come when the wheel is due."""
         due = core.timers.next_due()
-        if due is None or self.poked:
+        if due is None or self.woken:
             return
         if self.armed is not None and self.armed.active():
             if self.armed_us == due:
--- a/gradefront/quic/__init__.py
+++ b/gradefront/quic/__init__.py
@@ -1,1 +1,1 @@
-"""The second front: QUIC connections kept with their push boxes by connection id."""
+"""The second front: QUIC connections kept with their backends by connection id."""
--- a/gradefront/quic/config.py
+++ b/gradefront/quic/config.py
@@ -1,4 +1,4 @@
-"""The second front's file: where it listens, which push box is meant by which id, and what its door bears.
+"""The second front's file: where it listens, which backend is meant by which id, and what its door bears.
 
 The file is checked whole, and an error names file, field and value. What is read of it is typed by msgspec, which
 is imported only where the front is on or checked.
@@ -20,8 +20,8 @@
 
 
 @dataclass(frozen=True)
-class QuicBox:
-    """A push box as the second front reaches it."""
+class QuicBackend:
+    """A backend as the second front reaches it."""
 
     server_ids: tuple[bytes, ...]
     address: Address
@@ -34,7 +34,7 @@
 
     listen: dict[int, Address]  # by class
     forms: tuple[IdForm, ...]
-    boxes: dict[str, QuicBox]
+    backends: dict[str, QuicBackend]
     path_idle_us: int
     visit_idle_us: int
     confirm_us: int
@@ -53,11 +53,11 @@
         return IdBook(self.forms)
 
     def server_ids(self) -> dict[tuple[int, bytes], str]:
-        """Push boxes by configuration and server id."""
+        """Backends by configuration and server id."""
         return {
             (form.number, server_id): name
-            for name, box in self.boxes.items()
-            for server_id in box.server_ids
+            for name, backend in self.backends.items()
+            for server_id in backend.server_ids
             for form in self.forms
             if len(server_id) == form.server_id_length
         }
@@ -77,7 +77,7 @@
 
 def _build(file: Any, config: Config, folder: Path) -> QuicConfig:
     forms = _forms(file, folder)
-    boxes = _boxes(file, forms)
+    backends = _boxes(file, forms)
     limits, prove = _limits(file), file.retry
     keys = {
         key.sequence: TokenKey(
@@ -95,7 +95,7 @@
             _class(name, config, "listen"): address(where, f"listen.{name}") for name, where in file.listen.items()
         },
         forms=forms,
-        boxes=boxes,
+        backends=backends,
         path_idle_us=round(file.path_idle_s * 1e6),
         visit_idle_us=round(file.visit_idle_s * 1e6),
         confirm_us=round(file.confirm_s * 1e6),
@@ -112,9 +112,9 @@
 
 
 def _class(name: str, config: Config, where: str) -> int:
-    if name not in config.numbers:
+    if name not in config.class_numbers:
         raise ValueError(f"{where}: no class is named '{name}'")
-    return config.numbers[name]
+    return config.class_numbers[name]
 
 
 def _forms(file: Any, folder: Path) -> tuple[IdForm, ...]:
@@ -128,7 +128,7 @@
     for n, one in enumerate(told):
         key = secret(one.key, one.key_file, 16, f"ids[{n}]", folder) if one.key or one.key_file else None
         try:
-            forms.append(IdForm(one.config_id, one.server_id_length, one.nonce_length, one.tells_length, key))
+            forms.append(IdForm(one.config_id, one.server_id_length, one.nonce_length, one.encodes_length, key))
         except ValueError as error:
             raise ValueError(f"ids[{n}].{error}") from None
     try:
@@ -138,17 +138,17 @@
     return tuple(forms)
 
 
-def _boxes(file: Any, forms: Iterable[IdForm]) -> dict[str, QuicBox]:
+def _boxes(file: Any, forms: Iterable[IdForm]) -> dict[str, QuicBackend]:
     from gradefront.settings.typed import checked
 
     from .settings import Box
 
     lengths = {form.server_id_length for form in forms}
-    boxes: dict[str, QuicBox] = {}
+    backends: dict[str, QuicBackend] = {}
     owners: dict[bytes, str] = {}
-    for name, entry in file.boxes.items():
-        box = checked(entry, Box, f"boxes.{name}")
-        texts = ([box.server_id] if box.server_id else []) + list(box.server_ids)
+    for name, entry in file.backends.items():
+        backend = checked(entry, Box, f"boxes.{name}")
+        texts = ([backend.server_id] if backend.server_id else []) + list(backend.server_ids)
         if not texts:
             raise ValueError(f"boxes.{name}.server_id: missing")
         ids = []
@@ -161,12 +161,12 @@
                 raise ValueError(f"boxes.{name}.server_id: '{text}': {owners[server_id]} has the same server_id")
             owners[server_id] = name
             ids.append(server_id)
-        boxes[name] = QuicBox(
+        backends[name] = QuicBackend(
             tuple(ids),
-            address(box.address, f"boxes.{name}.address"),
-            octets(box.reset_key, f"boxes.{name}.reset_key"),
+            address(backend.address, f"boxes.{name}.address"),
+            octets(backend.reset_key, f"boxes.{name}.reset_key"),
         )
-    return boxes
+    return backends
 
 
 def _limits(file: Any) -> Any:
--- a/gradefront/quic/visits.py
+++ b/gradefront/quic/connections.py
@@ -7,26 +7,26 @@
 
 from gradefront.config import Address
 from gradefront.core.attempt_error import AttemptPhase, Cause
-from gradefront.core.ports import Ending, UpstreamConnection
-from gradefront.core.visit import Attempt, Stage, Visit
+from gradefront.core.connection import Attempt, Connection, ConnectionState
+from gradefront.core.ports import BackendConnection, ConnectionEnd
 
 from .config import QuicConfig
-from .door import Door
 from .headers import Kind, Packet, split, stateless_reset
 from .hello import HelloReader, Unsound
 from .initials import CONNECTION_REFUSED, Opened, busy, close_initial, open_initial, sound_retry
+from .listener import Listener
 from .paths import Path
 
-KEPT = 12  # datagrams of a waiting client, for the next push box; a post-quantum ClientHello makes two
-EARLY = 4  # of a push box, that overtook its first Initial
-IDS = 16  # ids remembered for one visit
+KEPT = 12  # datagrams of a waiting client, for the next backend; a post-quantum ClientHello makes two
+EARLY = 4  # of a backend, that overtook its first Initial
+IDS = 16  # ids remembered for one connection
 
 
 class Tables(Protocol):
-    """What a visit uses of its front."""
+    """What a connection uses of its front."""
 
     quic: QuicConfig
-    owners: dict[bytes, QuicVisit]
+    owners: dict[bytes, QuicClientConnection]
 
     def now(self) -> int:
         """The time."""
@@ -34,14 +34,16 @@
     def drop(self, why: str) -> None:
         """Count a datagram that goes nowhere."""
 
-    def path(self, client: Address, box: str, owner: QuicVisit | None, door: Door) -> Path | None:
+    def path(
+        self, client: Address, backend: str, owner: QuicClientConnection | None, listener: Listener
+    ) -> Path | None:
         """A path, new where there is none."""
 
-    def close_paths(self, owner: QuicVisit) -> None:
+    def close_paths(self, owner: QuicClientConnection) -> None:
         """Give all its places back."""
 
-    def adopt(self, owner: QuicVisit, box: str) -> bool:
-        """Take over paths that may be this visit's."""
+    def adopt(self, owner: QuicClientConnection, backend: str) -> bool:
+        """Take over paths that may be this connection's."""
 
     def answer(self, an_id: bytes, datagram: bytes) -> None:
         """Remember a final answer."""
@@ -49,20 +51,20 @@
     def left(self, an_id: bytes, key: bytes) -> None:
         """Remember an id that was moved."""
 
-    def settled(self, owner: QuicVisit) -> None:
-        """A visit stands, or is over: it waits no more."""
+    def settled(self, owner: QuicClientConnection) -> None:
+        """A connection stands, or is over: it waits no more."""
 
-    def forgot(self, owner: QuicVisit) -> None:
-        """A visit is over."""
+    def forgot(self, owner: QuicClientConnection) -> None:
+        """A connection is over."""
 
 
-class QuicVisit:
+class QuicClientConnection:
     """One QUIC connection. It may use many client addresses and ids."""
 
     def __init__(
         self,
         front: Tables,
-        door: Door,
+        listener: Listener,
         client: Address,
         first_id: bytes,
         client_id: bytes,
@@ -70,7 +72,7 @@
         network: bytes = b"",
     ) -> None:
         self.front = front
-        self.door = door
+        self.listener = listener
         self.first_id = first_id  # what the keys of its Initials come from
         self.client_id = client_id
         self.version = version
@@ -78,15 +80,15 @@
         self.network = network
         self.waits = False  # whether it counts among those who wait
         self.by_retry = False  # it came with a token of ours: a second Retry would be ignored
-        self.confirmed = False  # the client has used an id that only the push box's answer held
-        self.last_id = b""  # the push box's id that it used last
+        self.confirmed = False  # the client has used an id that only the backend's answer held
+        self.last_id = b""  # the backend's id that it used last
         self.kept: list[bytes] = []
         self.hello: HelloReader | None = None
         self.ids: OrderedDict[bytes, None] = OrderedDict()
         self.paths: dict[Address, Path] = {}
-        self.brought: Path | None = None  # a path that had no visit, which this one is made for
-        self.upstream: QuicUpstream | None = None
-        self.visit: Visit | None = None
+        self.brought: Path | None = None  # a path that had no connection, which this one is made for
+        self.upstream: QuicBackendConnection | None = None
+        self.connection: Connection | None = None
         self.since_us = self.used_us = front.now()
         self.unanswered = 0
         self.unanswered_us = 0
@@ -94,13 +96,13 @@
 
     @property
     def stands(self) -> bool:
-        """Whether a push box serves it."""
-        return self.visit is not None and self.visit.stage is Stage.ESTABLISHED
+        """Whether a backend serves it."""
+        return self.connection is not None and self.connection.state is ConnectionState.ESTABLISHED
 
     @property
     def reaching(self) -> bool:
         """Whether an attempt is out."""
-        return self.visit is not None and self.visit.stage is Stage.CONNECTING
+        return self.connection is not None and self.connection.state is ConnectionState.CONNECTING
 
     def learn(self, an_id: bytes) -> None:
         """An id is this connection's. The oldest goes where there are too many."""
@@ -122,7 +124,7 @@
         self.front.forgot(self)
 
     def waiting(self, datagram: bytes, client: Address) -> None:
-        """A datagram before the visit stands: kept for the next push box, and sent to the present one."""
+        """A datagram before the connection stands: kept for the next backend, and sent to the present one."""
         self.client = client
         if datagram not in self.kept:
             self.kept = [*self.kept[:1], *self.kept[1:][-KEPT + 2 :], datagram]
@@ -146,19 +148,19 @@
 
     # ---- as the core's client side
 
-    def seat(self, upstream: UpstreamConnection, receipt: object) -> None:
-        """The push box's first sound answer goes to the client; from here on packets go by id."""
+    def establish(self, upstream: BackendConnection, response_line: object) -> None:
+        """The backend's first sound answer goes to the client; from here on packets go by id."""
         self.kept = []
         self.hello = None
         for path in self.paths.values():
             path.plain = True
         self.front.settled(self)
-        if isinstance(receipt, tuple):
-            path, datagrams = receipt
+        if isinstance(response_line, tuple):
+            path, datagrams = response_line
             for datagram in datagrams:
-                self.door.reply(datagram, path.client)
+                self.listener.reply(datagram, path.client)
 
-    def refuse(self, pause_us: int) -> None:
+    def reject(self, pause_us: int) -> None:
         """The final answer: a close, with the advised pause as its reason."""
         self._close(busy(pause_us))
 
@@ -169,37 +171,37 @@
     def _close(self, reason: str) -> None:
         datagram = close_initial(self.version, self.first_id, self.client_id, reason)
         self.front.answer(self.first_id, datagram)
-        self.door.reply(datagram, self.client)
+        self.listener.reply(datagram, self.client)
         self.forget()
 
-    def move(self) -> None:
-        """A stateless reset, which the client takes as the push box's own: it comes again with an Initial."""
+    def migrate(self) -> None:
+        """A stateless reset, which the client takes as the backend's own: it comes again with an Initial."""
         if self.upstream:
-            self.front.adopt(self, self.upstream.attempt.box)
+            self.front.adopt(self, self.upstream.attempt.backend)
         self._reset()
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """A datagram client says nothing as it leaves."""
         return False
 
-    def end(self, how: Ending) -> None:
-        """The push box is gone: the client learns by a reset rather than by its own idle time."""
+    def close(self, how: ConnectionEnd) -> None:
+        """The backend is gone: the client learns by a reset rather than by its own idle time."""
         self._reset()
 
     def _reset(self) -> None:
-        box = self.front.quic.boxes.get(self.upstream.attempt.box) if self.upstream else None
-        if box:
+        backend = self.front.quic.backends.get(self.upstream.attempt.backend) if self.upstream else None
+        if backend:
             if self.last_id:
-                self.door.reply(stateless_reset(box.reset_key, self.last_id), self.client)
+                self.listener.reply(stateless_reset(backend.reset_key, self.last_id), self.client)
             for an_id in self.ids:
-                self.front.left(an_id, box.reset_key)
+                self.front.left(an_id, backend.reset_key)
         self.forget()
 
 
-class QuicUpstream:
-    """One attempt at a push box, and after it the visit's place there."""
+class QuicBackendConnection:
+    """One attempt at a backend, and after it the connection's place there."""
 
-    def __init__(self, front: Tables, owner: QuicVisit, attempt: Attempt) -> None:
+    def __init__(self, front: Tables, owner: QuicClientConnection, attempt: Attempt) -> None:
         self.front = front
         self.owner = owner
         self.attempt = attempt
@@ -209,42 +211,42 @@
         """Send all that the client has sent so far."""
         for datagram in list(self.owner.kept):
             self.send(datagram, self.owner.client)
-        self.attempt.came(AttemptPhase.SENT)
+        self.attempt.advance(AttemptPhase.SENT)
 
     def send(self, datagram: bytes, client: Address) -> None:
-        """To the push box. Guards against a retransmit that opens a connection at a box told to drain."""
-        if self.attempt.barred() is None:
-            self.attempt.came(AttemptPhase.WRITING)
-            path = self.front.path(client, self.attempt.box, self.owner, self.owner.door)
+        """To the backend. Guards against a retransmit that opens a connection at a backend told to drain."""
+        if self.attempt.send_veto() is None:
+            self.attempt.advance(AttemptPhase.WRITING)
+            path = self.front.path(client, self.attempt.backend, self.owner, self.owner.listener)
             if path:
                 path.send(datagram)
 
     def heard(self, path: Path, datagram: bytes) -> None:
-        """From the push box while the attempt is out: only a sound answer counts."""
+        """From the backend while the attempt is out: only a sound answer counts."""
         owner = self.owner
         for packet in split(datagram, len(owner.client_id)):
             if packet.to_id != owner.client_id:
                 break
             if packet.kind is Kind.NEGOTIATION:
                 if packet.from_id == owner.first_id:
-                    self.attempt.ends(Cause.ERROR)
+                    self.attempt.end(Cause.ERROR)
                     return
                 break
             if sound_retry(packet, owner.first_id):
                 if owner.by_retry:  # RFC 9000 17.2.5.2: a client takes one Retry only, and had ours
-                    self.attempt.ends(Cause.ERROR)
+                    self.attempt.end(Cause.ERROR)
                 else:
                     self._stands(packet, path, datagram)
                 return
             opened = open_initial(packet, owner.first_id, from_client=False)
             if opened and opened.close_code is not None:
                 full = opened.close_code == CONNECTION_REFUSED
-                self.attempt.ends(Cause.FULL if full else Cause.ERROR)
+                self.attempt.end(Cause.FULL if full else Cause.ERROR)
                 return
             if opened and opened.crypto:
                 self._stands(packet, path, datagram)
                 return
-            if opened:  # only an ACK: no client may hear of a push box that doesn't go on
+            if opened:  # only an ACK: no client may hear of a backend that doesn't go on
                 self.front.drop("ack_only")
                 return
             if packet.kind in (Kind.HANDSHAKE, Kind.SHORT) and len(self.early) < EARLY:
@@ -255,19 +257,21 @@
     def _stands(self, packet: Packet, path: Path, datagram: bytes) -> None:
         self.owner.learn(packet.from_id)
         self.owner.last_id = packet.from_id
-        self.attempt.stands((path, (datagram, *self.early)))
+        self.attempt.succeed((path, (datagram, *self.early)))
         self.early = []
 
-    def hang_up(self, how: Ending) -> None:
-        """Its places are given back, so that what the push box still sends reaches nobody."""
+    def close(self, how: ConnectionEnd) -> None:
+        """Its places are given back, so that what the backend still sends reaches nobody."""
         self.front.close_paths(self.owner)
         if self.owner.upstream is self and self.owner.reaching:
             self.owner.upstream = None
 
 
-def adopted_over(front: Any, path: Path) -> QuicVisit:
-    """A visit for a path that has none: a connection from before this relay's start, or another relay's."""
-    owner = QuicVisit(front, path.door, path.client, path.last_id, path.client_id if path.plain else b"", 0)
+def adopted_over(front: Any, path: Path) -> QuicClientConnection:
+    """A connection for a path that has none: a connection from before this relay's start, or another relay's."""
+    owner = QuicClientConnection(
+        front, path.listener, path.client, path.last_id, path.client_id if path.plain else b"", 0
+    )
     owner.brought = path
     owner.confirmed = True
     owner.last_id = path.last_id
--- a/gradefront/quic/front.py
+++ b/gradefront/quic/front.py
@@ -1,8 +1,8 @@
-"""The QUIC front: an Initial with an unknown id is a visit that the core places; later packets go by id.
+"""The QUIC front: an Initial with an unknown id is a connection that the core places; later packets go by id.
 
-Packets pass through, and QUIC ends at the push box. This front reads headers, and the payload of Initial
+Packets pass through, and QUIC ends at the backend. This front reads headers, and the payload of Initial
 packets only, whose keys anyone on the path can derive. A datagram's way: `door.Door` (known path: straight to
-its push box) or `take` below; back through `paths.Port`.
+its backend) or `take` below; back through `paths.Port`.
 """
 
 from __future__ import annotations
@@ -11,13 +11,14 @@
 import time
 
 from gradefront.config import Address, Config
-from gradefront.core.ports import Call, Ending
+from gradefront.core.connect_request import ConnectRequest
+from gradefront.core.ports import ConnectionEnd
 from gradefront.core.relay import RelayCore
 from gradefront.net.reactor import Reactor
 from gradefront.routing.admission import Verdict
 
 from .config import QuicConfig
-from .door import Door
+from .connections import QuicClientConnection
 from .headers import (
     KINDS,
     LEAST_ID,
@@ -34,47 +35,48 @@
 from .hello import HelloReader
 from .ids import UNROUTABLE
 from .initials import INVALID_TOKEN, Opened, busy, close_initial, make_retry, open_initial
-from .looks import SERVING, TICK_US, Looks
+from .listener import Listener
+from .maintenance import SERVING, TICK_US, Maintenance
 from .paths import Path
 from .tables import ANSWERED_US
 from .tokens import Standing
-from .visits import QuicVisit
 
 MOST_USED_TOKENS = 16_384
 HELLO_US = 250_000  # how long a ClientHello in pieces is waited for; then the port tells the class
 
 
-class QuicFront(Looks):
+class QuicFront(Maintenance):
     """The front: its doors, and what becomes of each datagram that no known path takes."""
 
     def __init__(self, config: Config, quic: QuicConfig, core: RelayCore, reactor: Reactor) -> None:
         super().__init__(config, quic, core, reactor)
-        self.doors = [
-            Door(self.hub, klass, where, self.routes, self.lengths, self.take) for klass, where in quic.listen.items()
+        self.listeners = [
+            Listener(self.hub, request_class, where, self.routes, self.lengths, self.take)
+            for request_class, where in quic.listen.items()
         ]
         core.after(TICK_US, self._tick)
 
     # ---- from clients
 
-    def take(self, door: Door, datagram: bytes, client: Address) -> None:
+    def take(self, listener: Listener, datagram: bytes, client: Address) -> None:
         """A client's datagram that the door knows no path for."""
         self.core.counters.add("quic_datagrams_in")
         if not datagram:
             self.drop("malformed")
         elif datagram[0] & LONG:
-            self._long(door, datagram, client)
+            self._long(listener, datagram, client)
         elif an_id := self.book.id_of(datagram):
-            self._by_id(door, an_id, datagram, client)
+            self._by_id(listener, an_id, datagram, client)
         else:
             self.drop("malformed" if len(datagram) < 21 else "unknown_id")
 
-    def _long(self, door: Door, datagram: bytes, client: Address) -> None:
+    def _long(self, listener: Listener, datagram: bytes, client: Address) -> None:
         head = invariants(datagram)
         if head is None or head.version == 0:  # RFC 9000 6.1: never an answer to Version Negotiation
             self.drop("malformed")
             return
         if head.version not in KINDS:
-            self._other_version(door, head, datagram, client)
+            self._other_version(listener, head, datagram, client)
             return
         packets = split(datagram)
         if not packets:
@@ -83,34 +85,34 @@
         first = packets[0]
         owner = self.owners.get(first.to_id)
         if owner is None and first.kind is Kind.INITIAL:
-            self._initial(door, packets, datagram, client)
+            self._initial(listener, packets, datagram, client)
         elif owner and not owner.stands:
             self._before_it_stands(owner, packets, datagram, client)
         elif owner or first.kind is Kind.HANDSHAKE:
-            self._by_id(door, first.to_id, datagram, client)
+            self._by_id(listener, first.to_id, datagram, client)
         else:  # 0-RTT without its Initial, or what no client sends
             self.drop("unknown_id")
 
-    def _other_version(self, door: Door, head: Invariants, datagram: bytes, client: Address) -> None:
+    def _other_version(self, listener: Listener, head: Invariants, datagram: bytes, client: Address) -> None:
         """RFC 9000 6 and RFC 8999: on a connection that stands, ids alone count; else we tell our versions."""
         owner = self.owners.get(head.to_id)
         if owner and owner.stands:
-            self._by_id(door, head.to_id, datagram, client)
+            self._by_id(listener, head.to_id, datagram, client)
             return
         self.drop("version")
         if len(datagram) >= LEAST_INITIAL and self.negotiations.take(self.now()):
             self.core.counters.add("quic_negotiations")
-            door.reply(version_negotiation(head), client)
+            listener.reply(version_negotiation(head), client)
 
     # ---- requests
 
-    def _initial(self, door: Door, packets: list[Packet], datagram: bytes, client: Address) -> None:
-        """An Initial whose id no visit has: a request, whatever push box the id happens to name."""
+    def _initial(self, listener: Listener, packets: list[Packet], datagram: bytes, client: Address) -> None:
+        """An Initial whose id no connection has: a request, whatever backend the id happens to name."""
         first = packets[0]
         an_id = first.to_id
         if an_id in self.answered:  # the answer was lost, or crossed with this: it is given again, not anew
             self.drop("answered")
-            door.reply(self.answered[an_id][0], client)
+            listener.reply(self.answered[an_id][0], client)
             return
         if len(datagram) < LEAST_INITIAL or len(an_id) < LEAST_ID:
             self.drop("malformed")
@@ -118,7 +120,7 @@
         now = self.now()
         shown = self.mint.read(first.token, client[:2], an_id, now) if self.mint and first.token else None
         if shown and shown.standing not in (Standing.NONE, Standing.PROVEN):
-            self._bad_token(door, first, client, shown.standing, now)
+            self._bad_token(listener, first, client, shown.standing, now)
             return
         proven = shown is not None and shown.standing is Standing.PROVEN
         if proven and shown and shown.number in self.used_tokens:
@@ -128,9 +130,9 @@
         if verdict is Verdict.TAKE:
             opened = self._open(first, an_id)
             if opened is None or opened.close_code is not None:
-                self._stray(door, first, opened, datagram, client)
+                self._stray(listener, first, opened, datagram, client)
                 return
-            owner = self._arrive(door, packets, opened, datagram, client)
+            owner = self._arrive(listener, packets, opened, datagram, client)
             if proven and shown:
                 owner.by_retry = bool(shown.first_id)
                 self.used_tokens[shown.number] = None
@@ -138,22 +140,22 @@
                     self.used_tokens.popitem(last=False)
         elif verdict is Verdict.PROVE and self.mint and self.retries.take(now):
             self.core.counters.add("quic_retries")
-            new_id = bytes([UNROUTABLE << 5]) + os.urandom(LEAST_ID)  # names no push box, whatever it is taken for
+            new_id = bytes([UNROUTABLE << 5]) + os.urandom(LEAST_ID)  # names no backend, whatever it is taken for
             token = self.mint.make(client[:2], an_id, new_id, now)
-            door.reply(make_retry(first.version, an_id, first.from_id, new_id, token), client)
+            listener.reply(make_retry(first.version, an_id, first.from_id, new_id, token), client)
         elif verdict is Verdict.LATER:
             self.core.counters.add("quic_refused_at_door")
             answer = close_initial(first.version, an_id, first.from_id, busy(pause_us))
             self.answer(an_id, answer, min(pause_us, ANSWERED_US))
-            door.reply(answer, client)
+            listener.reply(answer, client)
         else:
             self.drop(f"at_door_{verdict.value}")
 
-    def _bad_token(self, door: Door, first: Packet, client: Address, standing: Standing, now: int) -> None:
+    def _bad_token(self, listener: Listener, first: Packet, client: Address, standing: Standing, now: int) -> None:
         """RFC 9000 8.1.2: a client whose Retry token isn't good is told, rather than left to time out."""
         self.drop(f"token_{standing.value}")
         if self.admission.refusals.take(now):
-            door.reply(close_initial(first.version, first.to_id, first.from_id, "", INVALID_TOKEN), client)
+            listener.reply(close_initial(first.version, first.to_id, first.from_id, "", INVALID_TOKEN), client)
 
     def _open(self, packet: Packet, first_id: bytes) -> Opened | None:
         """Open a client's Initial on the door's budget of CPU."""
@@ -162,62 +164,66 @@
         self.admission.cpu.spend(self.now(), (time.perf_counter_ns() - began) / 1_000)
         return opened
 
-    def _stray(self, door: Door, first: Packet, opened: Opened | None, datagram: bytes, client: Address) -> None:
+    def _stray(
+        self, listener: Listener, first: Packet, opened: Opened | None, datagram: bytes, client: Address
+    ) -> None:
         """An Initial that is no request. It may belong to a connection that another relay set up, or this one
         before a restart: its keys come from an id that is gone. It may go on where new work may go."""
-        box = self._named(first.to_id) if opened is None else None
-        if box and self.core.serves(box):
-            self._by_id(door, first.to_id, datagram, client)
+        backend = self._named(first.to_id) if opened is None else None
+        if backend and self.core.is_ready(backend):
+            self._by_id(listener, first.to_id, datagram, client)
         else:
             self.drop("malformed" if opened is None else "closed")
 
     def _arrive(
-        self, door: Door, packets: list[Packet], opened: Opened, datagram: bytes, client: Address
-    ) -> QuicVisit:
+        self, listener: Listener, packets: list[Packet], opened: Opened, datagram: bytes, client: Address
+    ) -> QuicClientConnection:
         first = packets[0]
         network = self.quic.limits.prefixes.of(client[0])
-        owner = QuicVisit(self, door, client, first.to_id, first.from_id, first.version, network)
+        owner = QuicClientConnection(self, listener, client, first.to_id, first.from_id, first.version, network)
         owner.waits = True
         self.admission.enter(network)
-        self.visits[owner] = None
+        self.connections[owner] = None
         owner.kept.append(datagram)
         if self.quic.class_of_protocol or self.quic.class_of_name:
             owner.hello = HelloReader()
             self._gather(owner, opened)
-            if owner.visit is None:
-                self.core.after(HELLO_US, lambda: self._place(owner, door.klass))
+            if owner.connection is None:
+                self.core.after(HELLO_US, lambda: self._place(owner, listener.request_class))
         else:
-            self._place(owner, door.klass)
+            self._place(owner, listener.request_class)
         return owner
 
-    def _gather(self, owner: QuicVisit, opened: Opened) -> None:
+    def _gather(self, owner: QuicClientConnection, opened: Opened) -> None:
         """A ClientHello may tell the class better than the port does; it may come in several datagrams."""
         found = owner.read_hello(opened)
         if found is None:
             return
         name, protocols = found
-        klass = self.quic.class_of_name.get(name, owner.door.klass)
+        request_class = self.quic.class_of_name.get(name, owner.listener.request_class)
         for protocol in protocols:
             if protocol in self.quic.class_of_protocol:
-                klass = self.quic.class_of_protocol[protocol]
+                request_class = self.quic.class_of_protocol[protocol]
                 break
-        self._place(owner, klass)
+        self._place(owner, request_class)
 
-    def _place(self, owner: QuicVisit, klass: int) -> None:
-        if owner.visit is None and owner in self.visits:
+    def _place(self, owner: QuicClientConnection, request_class: int) -> None:
+        if owner.connection is None and owner in self.connections:
             spent = self.now() - owner.since_us
-            patience = max(1, self.config.settings.classes[klass].deadline_us - spent)
+            timeout = max(1, self.config.settings.classes[request_class].deadline_us - spent)
             owner.hello = None
-            owner.visit = self.core.arrive(Call(patience, owner, klass), owner, self)
+            owner.connection = self.core.accept(ConnectRequest(timeout, owner, request_class), owner, self)
 
-    def _before_it_stands(self, owner: QuicVisit, packets: list[Packet], datagram: bytes, client: Address) -> None:
+    def _before_it_stands(
+        self, owner: QuicClientConnection, packets: list[Packet], datagram: bytes, client: Address
+    ) -> None:
         for packet in packets:
             if packet.kind is not Kind.INITIAL:
                 continue
             opened = self._open(packet, owner.first_id)
             if opened and opened.close_code is not None:
-                if owner.visit:
-                    self.core.client_left(owner.visit, Ending.ORDERLY)
+                if owner.connection:
+                    self.core.on_client_closed(owner.connection, ConnectionEnd.ORDERLY)
                 owner.forget()
                 return
             if opened and owner.hello:
@@ -226,8 +232,8 @@
 
     # ---- packets of connections that stand
 
-    def _by_id(self, door: Door, an_id: bytes, datagram: bytes, client: Address) -> None:
-        """A packet of a connection that stands goes to its push box, whatever address it comes from."""
+    def _by_id(self, listener: Listener, an_id: bytes, datagram: bytes, client: Address) -> None:
+        """A packet of a connection that stands goes to its backend, whatever address it comes from."""
         owner = self.owners.get(an_id)
         if owner is not None and not owner.stands:
             owner.waiting(datagram, client)
@@ -235,22 +241,22 @@
         if owner is None and an_id in self.moved:
             self.drop("moved")
             if len(datagram) > 22:  # RFC 9000 10.3.3: smaller than what it answers, so that no loop can run
-                door.reply(stateless_reset(self.moved[an_id][0], an_id, len(datagram) - 1), client)
+                listener.reply(stateless_reset(self.moved[an_id][0], an_id, len(datagram) - 1), client)
             return
-        box = owner.upstream.attempt.box if owner and owner.upstream else self._named(an_id)
-        if box is None:
+        backend = owner.upstream.attempt.backend if owner and owner.upstream else self._named(an_id)
+        if backend is None:
             self.drop("unknown_id")
             return
-        if self.core.backends.state(box) not in SERVING:
+        if self.core.backends.state(backend) not in SERVING:
             self.drop("gone_box")
             return
-        path = self.path(client, box, owner, door)
+        path = self.path(client, backend, owner, listener)
         if path is None:
             self.drop("no_room")
             return
         owner = path.owner
         if owner:
-            self._used(owner, path, an_id, door, client)
+            self._used(owner, path, an_id, listener, client)
         path.last_id = an_id
         path.used_us = self.now()
         path.plain = path.plain or owner is not None
@@ -258,11 +264,13 @@
             self._route(an_id, path)
         path.send(datagram)
 
-    def _used(self, owner: QuicVisit, path: Path, an_id: bytes, door: Door, client: Address) -> None:
+    def _used(
+        self, owner: QuicClientConnection, path: Path, an_id: bytes, listener: Listener, client: Address
+    ) -> None:
         owner.learn(an_id)  # a fresh id on a known path is the same connection's
-        owner.client, owner.used_us, owner.door = client, self.now(), door
+        owner.client, owner.used_us, owner.listener = client, self.now(), listener
         if owner.upstream:
-            owner.upstream.attempt.alive()
+            owner.upstream.attempt.on_activity()
         if an_id != owner.first_id:
             owner.last_id = an_id
             if not owner.confirmed:
--- a/gradefront/quic/headers.py
+++ b/gradefront/quic/headers.py
@@ -17,7 +17,7 @@
 LEAST_ID = 8  # RFC 9000 7.2: the id that a client makes up is at least this long
 LONGEST_ID = 20  # RFC 9000 17.2
 TOKEN = 16  # octets of a stateless reset token and of an AEAD tag
-LONGEST_TOKEN = 512  # of an Initial; ours take 110, and a box's has to fit a datagram with a ClientHello
+LONGEST_TOKEN = 512  # of an Initial; ours take 110, and a backend's has to fit a datagram with a ClientHello
 MOST_PACKETS = 8  # coalesced in one datagram: a flight has one for each of four keys
 LONG = 0x80
 FIXED = 0x40
@@ -171,7 +171,7 @@
 
 
 def reset_token(key: bytes, connection_id: bytes) -> bytes:
-    """The token that a push box gives out with an id: the start of HMAC-SHA256 of the id by its key."""
+    """The token that a backend gives out with an id: the start of HMAC-SHA256 of the id by its key."""
     return hmac.digest(key, connection_id, "sha256")[:TOKEN]
 
 
--- a/gradefront/quic/ids.py
+++ b/gradefront/quic/ids.py
@@ -1,4 +1,4 @@
-"""Connection ids that name their push box: draft-ietf-quic-load-balancers, all of its forms.
+"""Connection ids that name their backend: draft-ietf-quic-load-balancers, all of its forms.
 
 An id is a first octet (3 bits: number of the configuration; 5 bits: length of the rest, or noise), a server id
 and a nonce. The latter two are plain, or hidden with AES-128-ECB: in a single pass where they make 16 octets
@@ -15,7 +15,7 @@
 from cryptography.hazmat.primitives.ciphers import Cipher, algorithms, modes
 
 LONGEST_ID = 20  # RFC 9000 17.2; the draft keeps one octet of it for itself
-UNROUTABLE = 7  # 0b111: the number of ids that name no push box (section 3.1 of the draft)
+UNROUTABLE = 7  # 0b111: the number of ids that name no backend (section 3.1 of the draft)
 KEY_LENGTH = 16
 BLOCK = 16
 CACHED = 8_192  # decoded ids remembered; about 200 octets each
@@ -45,7 +45,7 @@
     number: int
     server_id_length: int
     nonce_length: int
-    tells_length: bool = True
+    encodes_length: bool = True
     key: bytes | None = field(default=None, repr=False)  # never shown: a log line may hold a form
     _aes: _Aes | None = field(default=None, init=False, repr=False, compare=False)
 
@@ -69,13 +69,13 @@
         return 1 + self.server_id_length + self.nonce_length
 
     def make(self, server_id: bytes, nonce: bytes | None = None) -> bytes:
-        """An id for a push box, fresh unless the nonce is given. Raises ValueError on a wrong length."""
+        """An id for a backend, fresh unless the nonce is given. Raises ValueError on a wrong length."""
         if len(server_id) != self.server_id_length:
             raise ValueError(f"server_id: must be {self.server_id_length} octets")
         nonce = os.urandom(self.nonce_length) if nonce is None else nonce
         if len(nonce) != self.nonce_length:
             raise ValueError(f"nonce: must be {self.nonce_length} octets")
-        low = self.length - 1 if self.tells_length else os.urandom(1)[0] & 0x1F
+        low = self.length - 1 if self.encodes_length else os.urandom(1)[0] & 0x1F
         hidden = server_id + nonce
         if self._aes:
             hidden = self._aes.encrypt(hidden) if len(hidden) == BLOCK else _passes(self._aes, hidden, (1, 2, 3, 4))
@@ -86,7 +86,7 @@
         length = self.length
         if len(connection_id) < length or connection_id[0] >> 5 != self.number:
             return None
-        if self.tells_length and connection_id[0] & 0x1F != length - 1:
+        if self.encodes_length and connection_id[0] & 0x1F != length - 1:
             return None
         plain = connection_id[1:length]
         if self._aes:
--- a/gradefront/quic/initials.py
+++ b/gradefront/quic/initials.py
@@ -18,7 +18,7 @@
 
 CONNECTION_REFUSED = 0x02  # RFC 9000 20.1
 INVALID_TOKEN = 0x0B
-KEYS_KEPT = 512  # derived keys remembered: those of visits that wait
+KEYS_KEPT = 512  # derived keys remembered: those of connections that wait
 
 SALTS = {
     V1: bytes.fromhex("38762cf7f55934b34d179ae6a4c80cadccbb7f0a"),  # RFC 9001 5.2
--- a/gradefront/quic/door.py
+++ b/gradefront/quic/listener.py
@@ -18,20 +18,20 @@
 BUFFER = 4 << 20  # asked of the system for the doors: a batch must not overrun while the module thinks
 
 
-class Door(Socket):
+class Listener(Socket):
     """Where clients of one class come in. Packets of paths that stand pass here and nowhere else."""
 
     def __init__(
         self,
         hub: Hub,
-        klass: int,
+        request_class: int,
         where: Address,
         routes: dict[bytes, Path],
         lengths: list[int],
-        take: Callable[[Door, bytes, Address], None],
+        take: Callable[[Listener, bytes, Address], None],
     ) -> None:
         super().__init__(hub, where[0], where[1], BUFFER)
-        self.klass = klass
+        self.request_class = request_class
         self.routes = routes
         self.lengths = lengths
         self.take = take
--- a/gradefront/quic/looks.py
+++ b/gradefront/quic/maintenance.py
@@ -5,40 +5,41 @@
 import logging
 from itertools import islice
 
+from balancer.events import BackendState
 from gradefront.core.attempt_error import Cause
-from gradefront.core.ports import Call, Ending, UpstreamConnection
-from gradefront.core.visit import Attempt
-from milletdeal.interface import ServerState
+from gradefront.core.connect_request import ConnectRequest
+from gradefront.core.connection import Attempt
+from gradefront.core.ports import BackendConnection, ConnectionEnd
 
+from .connections import QuicBackendConnection, QuicClientConnection, adopted_over
 from .paths import Path
 from .tables import Tables
-from .visits import QuicUpstream, QuicVisit, adopted_over
 
 log = logging.getLogger("gradefront.quic")
 
 TICK_US = 125_000  # between two looks at a part of the tables; all are looked at in eight of them
 TICKS = 8
-SILENT_US = 5_000_000  # a push box that answers none of several datagrams for so long is gone
+SILENT_US = 5_000_000  # a backend that answers none of several datagrams for so long is gone
 SILENT_DATAGRAMS = 4
 QUIET_US = 5_000_000  # devices speak every 2 s: one quiet for longer may have gone on at another address
-ALONE_US = 6_000_000  # a path that no visit took over by then is a visit of its own
-START_US = 10_000_000  # after a start paths are adopted at once: no visit of ours can have left them
+ALONE_US = 6_000_000  # a path that no connection took over by then is a connection of its own
+START_US = 10_000_000  # after a start paths are adopted at once: no connection of ours can have left them
 EXCHANGES = 2  # datagrams each way that show a connection which goes on
-SERVING = (ServerState.READY, ServerState.DRAINING)
+SERVING = (BackendState.READY, BackendState.DRAINING)
 
 
-class Looks(Tables):
+class Maintenance(Tables):
     """Looks at a part of the tables at a time, and tells the core."""
 
-    def call(self, attempt: Attempt, parcel: object) -> UpstreamConnection:
+    def connect(self, attempt: Attempt, request_line: object) -> BackendConnection:
         """Begin an attempt."""
-        assert isinstance(parcel, QuicVisit)
-        upstream = parcel.upstream = QuicUpstream(self, parcel, attempt)
-        if parcel.brought is not None:  # it stands there already
+        assert isinstance(request_line, QuicClientConnection)
+        upstream = request_line.upstream = QuicBackendConnection(self, request_line, attempt)
+        if request_line.brought is not None:  # it stands there already
             attempt.upstream = upstream
-            attempt.stands(None)
-        elif attempt.box not in self.quic.boxes:
-            attempt.ends(Cause.UNREACHABLE)
+            attempt.succeed(None)
+        elif attempt.backend not in self.quic.backends:
+            attempt.end(Cause.UNREACHABLE)
         else:
             upstream.begin()
         return upstream
@@ -57,36 +58,38 @@
         self._gone_boxes()
         if now - self.began_us < START_US + ALONE_US:  # later no path is young enough for the question
             self.placed_since = self._placed_since()
-        # An eighth of the paths, the oldest first, each to the end of the line; then an eighth of the visits.
+        # An eighth of the paths, the oldest first, each to the end of the line; then an eighth of the connections.
         for path in list(islice(self.route_ids, len(self.route_ids) // TICKS + 1)):
             self.route_ids[path] = self.route_ids.pop(path)
             self._look_at_path(path, now)
-        for owner in list(islice(self.visits, len(self.visits) // TICKS + 1)):
-            del self.visits[owner]
-            self.visits[owner] = None
+        for owner in list(islice(self.connections, len(self.connections) // TICKS + 1)):
+            del self.connections[owner]
+            self.connections[owner] = None
             if owner.stands:
                 self._look_at_visit(owner, now)
 
-    def _nobody_there(self, owner: QuicVisit) -> None:
-        """The push box answered, and no client went on: a made-up sender, or one who left."""
+    def _nobody_there(self, owner: QuicClientConnection) -> None:
+        """The backend answered, and no client went on: a made-up sender, or one who left."""
         self.core.counters.add("quic_unconfirmed")
         self.admission.credit(owner.client[0], came=False)
-        if owner.visit:
-            self.core.client_left(owner.visit, Ending.ORDERLY)
+        if owner.connection:
+            self.core.on_client_closed(owner.connection, ConnectionEnd.ORDERLY)
         owner.forget()
 
     def _gone_boxes(self) -> None:
-        """A push box that the list no longer names gets nothing more, by any path."""
-        for box in self.quic.boxes:
-            serving = self.core.backends.state(box) in SERVING
-            if self.states.get(box, True) and not serving:
-                for path in [p for p in self.route_ids if p.box == box]:
+        """A backend that the list no longer names gets nothing more, by any path."""
+        for backend in self.quic.backends:
+            serving = self.core.backends.state(backend) in SERVING
+            if self.states.get(backend, True) and not serving:
+                for path in [p for p in self.route_ids if p.backend == backend]:
                     if path.owner is None:
                         self._close_path(path)
-                for owner in [v for v in self.visits if v.stands and v.upstream and v.upstream.attempt.box == box]:
+                for owner in [
+                    v for v in self.connections if v.stands and v.upstream and v.upstream.attempt.backend == backend
+                ]:
                     assert owner.upstream
-                    owner.upstream.attempt.ends(Cause.BROKEN, Ending.BROKEN)
-            self.states[box] = serving
+                    owner.upstream.attempt.end(Cause.BROKEN, ConnectionEnd.BROKEN)
+            self.states[backend] = serving
 
     def _look_at_path(self, path: Path, now: int) -> None:
         owner = path.owner
@@ -95,7 +98,7 @@
             if sent:
                 owner.used_us, owner.client, owner.last_id = now, path.client, path.last_id or owner.last_id
             if (sent or heard) and owner.upstream:
-                owner.upstream.attempt.alive()
+                owner.upstream.attempt.on_activity()
             if heard:
                 owner.unanswered = 0
             elif sent:
@@ -109,68 +112,73 @@
             and path.plain
             and path.heard >= EXCHANGES
             and path.sent >= EXCHANGES
-            and self.core.begins
-            and self.core.backends.state(path.box) in SERVING
+            and self.core.accepts_work
+            and self.core.backends.state(path.backend) in SERVING
             and (now - path.since_us > ALONE_US or self._from_before(path))
         ):
             self._bring_over(path)
 
     def _from_before(self, path: Path) -> bool:
-        """Whether a path without a visit goes on from before this relay's start: no visit that was placed
+        """Whether a path without a connection goes on from before this relay's start: no connection that was placed
         since can have left its old address for it."""
-        first = self.placed_since.get(path.box)
+        first = self.placed_since.get(path.backend)
         return path.since_us - self.began_us < START_US and (first is None or first >= path.since_us)
 
     def _placed_since(self) -> dict[str, int]:
-        """By push box, since when the first of the visits there that this relay placed has been."""
+        """By backend, since when the first of the connections there that this relay placed has been."""
         since: dict[str, int] = {}
-        for v in self.visits:
+        for v in self.connections:
             if v.brought is None and v.upstream:
-                box = v.upstream.attempt.box
-                since[box] = min(v.since_us, since.get(box, v.since_us))
+                backend = v.upstream.attempt.backend
+                since[backend] = min(v.since_us, since.get(backend, v.since_us))
         return since
 
     def _bring_over(self, path: Path) -> None:
-        """A path that no visit has, and on which both sides speak: the module must count it."""
+        """A path that no connection has, and on which both sides speak: the module must count it."""
         owner = adopted_over(self, path)
-        self.visits[owner] = None
+        self.connections[owner] = None
         self._give(path, owner)
-        owner.visit = self.core.adopt_connection(
-            Call(self.config.settings.classes[path.door.klass].deadline_us, owner, path.door.klass),
+        owner.connection = self.core.adopt_connection(
+            ConnectRequest(
+                self.config.settings.classes[path.listener.request_class].deadline_us,
+                owner,
+                path.listener.request_class,
+            ),
             owner,
             self,
-            path.box,
+            path.backend,
         )
 
-    def _look_at_visit(self, owner: QuicVisit, now: int) -> None:
-        assert owner.upstream and owner.visit
+    def _look_at_visit(self, owner: QuicClientConnection, now: int) -> None:
+        assert owner.upstream and owner.connection
         attempt = owner.upstream.attempt
         if owner.unanswered >= SILENT_DATAGRAMS and now - owner.unanswered_us > SILENT_US:
-            attempt.ends(Cause.SILENT, Ending.BROKEN)
-        elif now - owner.used_us > QUIET_US and self.adopt(owner, attempt.box):
-            log.debug("visit %d goes on at another address", owner.visit.number)
+            attempt.end(Cause.SILENT, ConnectionEnd.BROKEN)
+        elif now - owner.used_us > QUIET_US and self.adopt(owner, attempt.backend):
+            log.debug("visit %d goes on at another address", owner.connection.number)
         elif now - owner.used_us > self.quic.visit_idle_us:
-            log.info("visit %d at push box %s has gone quiet", owner.visit.number, attempt.box)
-            self.core.client_left(owner.visit, Ending.ORDERLY)
+            log.info("visit %d at push box %s has gone quiet", owner.connection.number, attempt.backend)
+            self.core.on_client_closed(owner.connection, ConnectionEnd.ORDERLY)
             owner.forget()
 
-    def adopt(self, owner: QuicVisit, box: str) -> bool:
+    def adopt(self, owner: QuicClientConnection, backend: str) -> bool:
         """A connection that takes a new address and a fresh id at once can't be told from others, by QUIC's
-        design. So a visit that has gone quiet takes over the paths at its push box that no visit has and that
-        began since: the core goes on holding one visit for each connection, and a move reaches its client."""
+        design. So a connection that has gone quiet takes over the paths at its backend that no connection has and
+        that began since: the core goes on holding one connection for each connection, and a move reaches its
+        client."""
         found = False
         for path in list(owner.paths.values()):
             if self.freshen(path, self.now())[0]:
                 owner.used_us = self.now()
-        while lone := [p for p in self.lone.values() if p.box == box and p.since_us > owner.used_us]:
+        while lone := [p for p in self.lone.values() if p.backend == backend and p.since_us > owner.used_us]:
             path = min(lone, key=lambda p: p.since_us)
             self.freshen(path, self.now())
             self._give(path, owner)
             owner.learn(path.last_id)
-            owner.client, owner.door = path.client, path.door
+            owner.client, owner.listener = path.client, path.listener
             owner.last_id, owner.used_us = path.last_id, max(path.used_us, path.since_us)
             owner.unanswered = 0
             if owner.upstream:
-                owner.upstream.attempt.alive()
+                owner.upstream.attempt.on_activity()
             found = True
         return found
--- a/gradefront/quic/paths.py
+++ b/gradefront/quic/paths.py
@@ -1,9 +1,9 @@
-"""Upstream ports: through which a client's datagrams reach a push box, and how the answers find back.
+"""Upstream ports: through which a client's datagrams reach a backend, and how the answers find back.
 
-QUIC hides which connection a short packet from a push box belongs to. So a port is used by one client path for
-each push box: sender and port together tell whose the answer is. The same port serves other paths at other push
-boxes. Only when the bound on ports is reached do paths share a place: told apart by the client ids that the
-push box writes to, with at most one path in it whose id hasn't been seen yet.
+QUIC hides which connection a short packet from a backend belongs to. So a port is used by one client path for
+each backend: sender and port together tell whose the answer is. The same port serves other paths at other push
+backends. Only when the bound on ports is reached do paths share a place: told apart by the client ids that the
+backend writes to, with at most one path in it whose id hasn't been seen yet.
 """
 
 from __future__ import annotations
@@ -30,18 +30,18 @@
 PORT_BUFFER = 1 << 18
 LEARNED = 2  # answers that tell a client's id
 LEAST_LEARNED = 4  # octets alike in so many answers are no chance
-IP_RECVERR, IPV6_RECVERR = 11, 25  # Linux: ICMP refusals on a socket that isn't connected
+IP_RECVERR, IPV6_RECVERR = 11, 25  # Linux: ICMP rejections on a socket that isn't connected
 MSG_ERRQUEUE = 0x2000
 
 
 class Path:
-    """One client address at one push box, through one port."""
+    """One client address at one backend, through one port."""
 
     __slots__ = (
         "client",
-        "box",
+        "backend",
         "where",
-        "door",
+        "listener",
         "owner",
         "port",
         "sent",
@@ -57,24 +57,24 @@
         "answers",
     )
 
-    def __init__(self, client: Address, box: str, where: Address, door: Any, owner: Any, now_us: int) -> None:
+    def __init__(self, client: Address, backend: str, where: Address, listener: Any, owner: Any, now_us: int) -> None:
         self.client = client
-        self.box = box
+        self.backend = backend
         self.where = where
-        self.door = door
+        self.listener = listener
         self.owner = owner
         self.port: Port | None = None
         self.go: Callable[[bytes, Address], int] | None = None  # the port's way out, kept for the door's loop
-        self.sent = self.heard = 0  # datagrams to and from the push box
+        self.sent = self.heard = 0  # datagrams to and from the backend
         self.seen_sent = self.seen_heard = 0  # of which the last sweep knew
         self.since_us = self.used_us = now_us
         self.last_id = b""
         self.plain = False  # its answers need no look: they go to the client
-        self.client_id = b""  # what its push box writes to, as far as its answers tell
+        self.client_id = b""  # what its backend writes to, as far as its answers tell
         self.answers = 0  # of those that were looked at
 
     def send(self, datagram: bytes) -> bool:
-        """To the push box. A full socket buffer drops it, as any network may."""
+        """To the backend. A full socket buffer drops it, as any network may."""
         if self.go is None:
             return False
         self.sent += 1
@@ -86,7 +86,7 @@
             return False
 
     def learn(self, datagram: bytes) -> bool:
-        """Find out from answers what the push box writes to: where they begin alike is the client's id, for what
+        """Find out from answers what the backend writes to: where they begin alike is the client's id, for what
         follows it is encrypted. Whether enough were seen. A chance octet too many makes an id that later answers
         don't match: on a shared place they are copied then, not lost."""
         if datagram and datagram[0] < 0x80:
@@ -101,13 +101,13 @@
         return True
 
     def sent_in_vain(self) -> None:
-        """The system didn't take it: a full buffer drops it, as any network may; a refusal waits to be read."""
+        """The system didn't take it: a full buffer drops it, as any network may; a rejection waits to be read."""
         if self.port is not None:
             self.port.errors()
 
 
 class Place:
-    """One push box at one port, and whose answers come there."""
+    """One backend at one port, and whose answers come there."""
 
     __slots__ = ("only", "by_id", "unsettled", "unsure")
 
@@ -151,7 +151,7 @@
             self.unsettled = path
 
     def settle(self, path: Path, client_id: bytes) -> None:
-        """What an unsettled path's push box writes to is known now."""
+        """What an unsettled path's backend writes to is known now."""
         if self.unsettled is path and self.by_id is not None and client_id and client_id not in self.by_id:
             self.unsettled = None
             self._enter(path, client_id)
@@ -195,21 +195,21 @@
 
 
 class Port(Socket):
-    """One upstream port. `places` holds a path, or a few, for each push box."""
+    """One upstream port. `places` holds a path, or a few, for each backend."""
 
     def __init__(self, pool: PortPool, number: int, host: str) -> None:
         super().__init__(pool.hub, host, 0, PORT_BUFFER)
         self.pool = pool
         self.column = number
         self.places: dict[Address, Place] = {}
-        with suppress(OSError):  # elsewhere than on Linux refusals are found by silence
+        with suppress(OSError):  # elsewhere than on Linux rejections are found by silence
             if ":" in host:
                 self.socket.setsockopt(socket.IPPROTO_IPV6, IPV6_RECVERR, 1)
             else:
                 self.socket.setsockopt(socket.IPPROTO_IP, IP_RECVERR, 1)
 
     def read(self) -> int:
-        """Answers of push boxes: the usual way of a datagram, with nothing that it doesn't need. Mostly there is
+        """Answers of backends: the usual way of a datagram, with nothing that it doesn't need. Mostly there is
         one; to look for a second would cost as much as the first. The hub comes again if there is."""
         try:
             datagram, sender = self.recvfrom(LONGEST_DATAGRAM)
@@ -226,7 +226,7 @@
         if path is not None and path.plain:
             path.heard += 1
             try:
-                path.door.sendto(datagram, path.client)
+                path.listener.sendto(datagram, path.client)
             except OSError:
                 self.pool.lost()
         elif datagram:
@@ -263,11 +263,11 @@
                 found.add(probe.getsockname()[0])
     if len(found) == 1:
         return str(found.pop())
-    return "::" if any(":" in host for host in found) else "0.0.0.0"  # noqa: S104 - only push boxes are heard
+    return "::" if any(":" in host for host in found) else "0.0.0.0"  # noqa: S104 - only backends are heard
 
 
 class PortPool:
-    """All upstream ports: at most `most`, each with one path a push box, or `share` where that doesn't do."""
+    """All upstream ports: at most `most`, each with one path a backend, or `share` where that doesn't do."""
 
     def __init__(
         self,
@@ -287,12 +287,12 @@
         self.refused = refused
         self.count = count
         self.ports: list[Port] = []
-        self.fresh: dict[Address, int] = {}  # by push box: ports from this number on have never held it
+        self.fresh: dict[Address, int] = {}  # by backend: ports from this number on have never held it
         self.rested: dict[Address, deque[tuple[int, int]]] = {}  # places that were given back, and when
-        self.full_until: dict[Address, int] = {}  # a push box without a place: not asked for by each datagram
+        self.full_until: dict[Address, int] = {}  # a backend without a place: not asked for by each datagram
 
     def stranger(self) -> None:
-        """Someone who is no push box, or whose path is gone, wrote to a port."""
+        """Someone who is no backend, or whose path is gone, wrote to a port."""
         self.count("quic_dropped_stranger")
 
     def lost(self) -> None:
@@ -310,8 +310,8 @@
     def place(
         self, path: Path, client_id: bytes, avoid: set[Port], now_us: int, known: Callable[[Path], bytes]
     ) -> bool:
-        """Find the path a port where its connection isn't yet: the push box must see each client address as
-        another one. `client_id`: what the push box will write to, if that is known. False: no room."""
+        """Find the path a port where its connection isn't yet: the backend must see each client address as
+        another one. `client_id`: what the backend will write to, if that is known. False: no room."""
         where = path.where
         if now_us < self.full_until.get(where, 0):
             return False
@@ -382,7 +382,7 @@
 
     @staticmethod
     def settle(path: Path, client_id: bytes) -> None:
-        """A path that no visit had is one's now, whose client id is known."""
+        """A path that no connection had is one's now, whose client id is known."""
         if path.port is not None and path.where in path.port.places:
             path.port.places[path.where].settle(path, client_id)
 
--- a/gradefront/quic/settings.py
+++ b/gradefront/quic/settings.py
@@ -22,13 +22,13 @@
     config_id: int
     server_id_length: int
     nonce_length: int
-    tells_length: bool = True
+    encodes_length: bool = msgspec.field(name="tells_length", default=True)
     key: str = ""
     key_file: str = ""
 
 
 class Box(Part, frozen=True):
-    """A push box."""
+    """A backend."""
 
     address: str
     reset_key: str
@@ -37,7 +37,7 @@
 
 
 class RetryKey(Part, frozen=True):
-    """One key of the sequence that relays and push boxes share."""
+    """One key of the sequence that relays and backends share."""
 
     sequence: Annotated[int, Meta(ge=0, le=127)]
     iv: str
@@ -72,7 +72,7 @@
 
 
 class Classes(Part, frozen=True):
-    """Which class a visit is of, where its ClientHello tells more than its port."""
+    """Which class a connection is of, where its ClientHello tells more than its port."""
 
     alpn: dict[str, str] = {}
     sni: dict[str, str] = {}
@@ -82,7 +82,7 @@
     """The whole file."""
 
     listen: dict[str, str]
-    boxes: dict[str, Any]  # of Box; each is checked with its name
+    backends: dict[str, Any] = msgspec.field(name="boxes")  # of Box; each is checked with its name
     on: bool = False
     config_id: int | None = None
     server_id_length: int | None = None
