--- a/gradefront/quic/tables.py
+++ b/gradefront/quic/tables.py
@@ -1,4 +1,4 @@
-"""The QUIC front's tables: its visits and paths by id, and how paths come and go."""
+"""The QUIC front's tables: its connections and paths by id, and how paths come and go."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 from gradefront.config import Address, Config
 from gradefront.core.attempt_error import Cause
-from gradefront.core.ports import Ending
+from gradefront.core.ports import ConnectionEnd
 from gradefront.core.relay import RelayCore
 from gradefront.net.reactor import Reactor
 from gradefront.routing.admission import Admission
 from gradefront.routing.buckets import Bucket
 
 from .config import QuicConfig
-from .door import Door
+from .connections import QuicClientConnection
+from .listener import Listener
 from .paths import Path, Port, PortPool, source_of
 from .sockets import Hub
 from .tokens import TokenMint
-from .visits import QuicVisit
 
 ANSWERED_US = 10_000_000  # how long a given answer is repeated to a client that asks with the same id
 MOST_ANSWERED = 4_096
@@ -28,16 +28,16 @@
 
 
 class Tables:
-    """The front's tables. `owners`: visits by id; `routes`: paths by id, for the door; `lone`: paths that no
-    visit has, by client address and push box; `answered` and `moved`: answers given, by id."""
+    """The front's tables. `owners`: connections by id; `routes`: paths by id, for the door; `lone`: paths that no
+    connection has, by client address and backend; `answered` and `moved`: answers given, by id."""
 
     def __init__(self, config: Config, quic: QuicConfig, core: RelayCore, reactor: Reactor) -> None:
         self.config = config
         self.core = core
         self.now = core.clock
-        self.visits: dict[QuicVisit, None] = {}
-        self.unconfirmed: OrderedDict[QuicVisit, None] = OrderedDict()
-        self.owners: dict[bytes, QuicVisit] = {}
+        self.connections: dict[QuicClientConnection, None] = {}
+        self.unconfirmed: OrderedDict[QuicClientConnection, None] = OrderedDict()
+        self.owners: dict[bytes, QuicClientConnection] = {}
         self.routes: dict[bytes, Path] = {}
         self.route_ids: dict[Path, deque[bytes]] = {}  # every path, oldest first, with its ids in `routes`
         self.lone: dict[tuple[Address, str], Path] = {}
@@ -50,18 +50,18 @@
         self.negotiations = Bucket(NEGOTIATIONS, NEGOTIATIONS, self.began_us)
         self.retries = Bucket(RETRIES, RETRIES / 4, self.began_us)
         self.states: dict[str, bool] = {}
-        self.placed_since: dict[str, int] = {}  # by push box: the first visit there that was placed, at this tick
+        self.placed_since: dict[str, int] = {}  # by backend: the first connection there that was placed, at this tick
         self.admission = Admission(quic.limits, self.began_us)
         self.configure(quic)
-        host = source_of(box.address for box in quic.boxes.values())
+        host = source_of(backend.address for backend in quic.backends.values())
         self.hub = Hub(reactor)
         self.pool = PortPool(
             self.hub, host, quic.most_ports, quic.port_share, self._heard, self._refused, core.counters.add
         )
 
     def configure(self, quic: QuicConfig) -> None:
-        """Take settings, at the start or while serving: ids, boxes, keys, limits. What stands goes on; paths to
-        a push box that has another address now are closed, and the next datagram opens them anew."""
+        """Take settings, at the start or while serving: ids, backends, keys, limits. What stands goes on; paths to
+        a backend that has another address now are closed, and the next datagram opens them anew."""
         self.quic = quic
         self.book = quic.book()
         self.lengths[:] = self.book.lengths
@@ -69,15 +69,15 @@
         admission = Admission(quic.limits, self.now())
         admission.proven = self.admission.proven  # who has shown to be there, has
         self.admission = admission
-        for owner in self.visits:
+        for owner in self.connections:
             if owner.waits:
                 self.admission.enter(owner.network)
         self.mint = None
         if quic.token_keys:
             self.mint = TokenMint(quic.token_keys, quic.newest_token_key, quic.token_life_us)
         for path in list(self.route_ids):
-            box = quic.boxes.get(path.box)
-            if box is None or box.address != path.where:
+            backend = quic.backends.get(path.backend)
+            if backend is None or backend.address != path.where:
                 self._close_path(path)
 
     def drop(self, why: str) -> None:
@@ -87,7 +87,7 @@
     def levels(self) -> dict[str, int]:
         """Present sizes of the tables, for the counters."""
         return {
-            "quic_visits_now": len(self.visits),
+            "quic_visits_now": len(self.connections),
             "quic_paths_now": len(self.route_ids),
             "quic_ports_now": len(self.pool.ports),
             "quic_ids_now": len(self.owners) + len(self.routes),
@@ -115,23 +115,25 @@
 
     # ---- paths
 
-    def path(self, client: Address, box: str, owner: QuicVisit | None, door: Door) -> Path | None:
-        """The path of a client address to a push box; a new one where there is none. None: there's no room."""
-        key = (client, box)
+    def path(
+        self, client: Address, backend: str, owner: QuicClientConnection | None, listener: Listener
+    ) -> Path | None:
+        """The path of a client address to a backend; a new one where there is none. None: there's no room."""
+        key = (client, backend)
         path = owner.paths.get(client) if owner else self.latest.get(key)
-        if path is not None and path.box == box:
+        if path is not None and path.backend == backend:
             return path
         if owner and key in self.lone:
-            # A known id on a path that no visit had: the path is that visit's, and keeps its port.
+            # A known id on a path that no connection had: the path is that connection's, and keeps its port.
             path = self.lone[key]
             self._give(path, owner)
             return path
-        place = self.quic.boxes.get(box)
+        place = self.quic.backends.get(backend)
         if place is None:
             return None
         if len(self.route_ids) >= self.quic.most_paths and not self._make_room():
             return None
-        path = Path(client, box, place.address, door, owner, self.now())
+        path = Path(client, backend, place.address, listener, owner, self.now())
         path.plain = owner is not None and owner.stands
         avoid: set[Port] = {p.port for p in owner.paths.values() if p.port} if owner else set()
         client_id = owner.client_id if owner and owner.client_id else b""
@@ -150,9 +152,9 @@
     def _client_id(path: Path) -> bytes:
         return path.owner.client_id if path.owner else path.client_id if path.plain else b""
 
-    def _give(self, path: Path, owner: QuicVisit) -> None:
-        """A path that had no visit is this one's."""
-        self.lone.pop((path.client, path.box), None)
+    def _give(self, path: Path, owner: QuicClientConnection) -> None:
+        """A path that had no connection is this one's."""
+        self.lone.pop((path.client, path.backend), None)
         path.owner = owner
         path.plain = owner.stands
         old = owner.paths.get(path.client)
@@ -182,7 +184,7 @@
         for an_id in self.route_ids.pop(path, ()):
             if self.routes.get(an_id) is path:
                 del self.routes[an_id]
-        key = (path.client, path.box)
+        key = (path.client, path.backend)
         for table in (self.lone, self.latest):
             if table.get(key) is path:
                 del table[key]
@@ -190,46 +192,46 @@
             del path.owner.paths[path.client]
         self.pool.give_back(path, self.now())
 
-    def close_paths(self, owner: QuicVisit) -> None:
-        """Give all places of a visit back."""
+    def close_paths(self, owner: QuicClientConnection) -> None:
+        """Give all places of a connection back."""
         for path in list(owner.paths.values()):
             self._close_path(path)
 
     def _heard(self, path: Path, datagram: bytes) -> None:
-        """From a push box, where the port doesn't know that it may go straight to the client."""
+        """From a backend, where the port doesn't know that it may go straight to the client."""
         path.heard += 1
         owner = path.owner
         if owner and not owner.stands:
-            if owner.upstream and not owner.upstream.attempt.over:
+            if owner.upstream and not owner.upstream.attempt.is_over:
                 owner.upstream.heard(path, datagram)
             return
         if not path.plain and path.learn(datagram):
             path.plain = True
             self.pool.settle(path, path.client_id)
-        path.door.reply(datagram, path.client)
+        path.listener.reply(datagram, path.client)
 
     def _refused(self, path: Path) -> None:
-        """The system says that nothing listens at the push box."""
+        """The system says that nothing listens at the backend."""
         owner = path.owner
-        if owner and owner.upstream and not owner.upstream.attempt.over:
-            owner.upstream.attempt.ends(Cause.UNREACHABLE, Ending.BROKEN)
+        if owner and owner.upstream and not owner.upstream.attempt.is_over:
+            owner.upstream.attempt.end(Cause.UNREACHABLE, ConnectionEnd.BROKEN)
         else:
             self._close_path(path)
 
-    # ---- what visits tell
+    # ---- what connections tell
 
-    def settled(self, owner: QuicVisit) -> None:
-        """A visit stands, or is over: it waits no more."""
+    def settled(self, owner: QuicClientConnection) -> None:
+        """A connection stands, or is over: it waits no more."""
         if owner.waits:
             owner.waits = False
             self.admission.leave(owner.network)
-        if not owner.confirmed and owner in self.visits:
+        if not owner.confirmed and owner in self.connections:
             self.unconfirmed[owner] = None
 
-    def forgot(self, owner: QuicVisit) -> None:
-        """A visit is over."""
+    def forgot(self, owner: QuicClientConnection) -> None:
+        """A connection is over."""
         self.settled(owner)
-        self.visits.pop(owner, None)
+        self.connections.pop(owner, None)
         self.unconfirmed.pop(owner, None)
 
     def answer(self, an_id: bytes, datagram: bytes, for_us: int = ANSWERED_US) -> None:
@@ -246,7 +248,7 @@
 
     @staticmethod
     def freshen(path: Path, now: int) -> tuple[int, int]:
-        """What passed since the last look, to and from the push box."""
+        """What passed since the last look, to and from the backend."""
         sent, heard = path.sent - path.seen_sent, path.heard - path.seen_heard
         if sent or heard:
             path.used_us, path.seen_sent, path.seen_heard = now, path.sent, path.heard
--- a/gradefront/quic/tokens.py
+++ b/gradefront/quic/tokens.py
@@ -1,4 +1,4 @@
-"""Retry tokens that relays and push boxes share keys for: the shared-state form of draft-ietf-quic-retry-offload.
+"""Retry tokens that relays and backends share keys for: the shared-state form of draft-ietf-quic-retry-offload.
 
 A token proves that whoever shows it could read what was sent to its address. Layout, in octets:
 
@@ -9,7 +9,7 @@
     16  tag
 
 The nonce is the key's IV xor the unique number; the first octet and the number are authenticated beside the rest.
-The address is inside, for a push box behind the relay sees the relay's and still has to read the ids. No I/O.
+The address is inside, for a backend behind the relay sees the relay's and still has to read the ids. No I/O.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 class Standing(Enum):
     """What a token proves."""
 
-    NONE = "none"  # there is none, or it is a push box's own
+    NONE = "none"  # there is none, or it is a backend's own
     PROVEN = "proven"  # the client could read at this address
     FORGED = "forged"  # it claims to be ours and does not open
     STOLEN = "stolen"  # it is another address's
@@ -98,7 +98,7 @@
         )
 
     def make_new(self, client: tuple[str, int], now_us: int, life_us: int) -> bytes:
-        """A NEW_TOKEN's token, as a push box that knows its client's address would make it."""
+        """A NEW_TOKEN's token, as a backend that knows its client's address would make it."""
         return self._seal(
             NEW_TOKEN | self.newest,
             b"".join((bytes(2), packed(client[0]), bytes(2), ((now_us + life_us) // 1000).to_bytes(8))),
@@ -127,7 +127,7 @@
         return body if bool(first) is not bool(token[0] & NEW_TOKEN) else None
 
     def unsealed(self, token: bytes) -> tuple[bytes, bytes] | None:
-        """What a push box reads of a Retry's token: the client's first id and the Retry's, for its transport
+        """What a backend reads of a Retry's token: the client's first id and the Retry's, for its transport
         parameters (RFC 9000 7.3)."""
         body = self._unseal(token)
         if body is None or not body[0]:
@@ -140,7 +140,7 @@
             return Shown(Standing.NONE)
         is_new = bool(token[0] & NEW_TOKEN)
         body = self._unseal(token)
-        if body is None:  # a box may have NEW_TOKENs of its own
+        if body is None:  # a backend may have NEW_TOKENs of its own
             return Shown(Standing.NONE if is_new else Standing.FORGED)
         ids = 2 + body[0] + body[1]
         if int.from_bytes(body[ids + 18 :]) * 1000 < now_us:
--- a/gradefront/routing/admission.py
+++ b/gradefront/routing/admission.py
@@ -1,7 +1,7 @@
 """Who may ask at a door that anyone on the Internet can write to under any address. No I/O.
 
-A request costs the relay and push boxes; a datagram with a made-up sender costs its sender nothing. What stands
-between them, cheapest first: networks allowed and denied; a proof of address (a Retry's token) where push boxes
+A request costs the relay and backends; a datagram with a made-up sender costs its sender nothing. What stands
+between them, cheapest first: networks allowed and denied; a proof of address (a Retry's token) where backends
 can read it; under pressure, where no proof is to be had, the second sight: a sender that nobody knows is heard
 when it repeats itself, as every QUIC client does and a made-up one doesn't; rates by address and by network; a
 budget of CPU; a bound on those who wait, with a fair share of it for each network.
@@ -35,7 +35,7 @@
     AGAIN = "again"  # not a word: a client repeats itself, and is heard then
     LATER = "later"  # refuse, with a pause
     DENY = "deny"  # not a word: this network may not come
-    DROP = "drop"  # not a word: over the rate, and not worth a refusal
+    DROP = "drop"  # not a word: over the rate, and not worth a rejection
 
 
 class Prove(Enum):
@@ -116,7 +116,7 @@
         return Verdict.TAKE, 0
 
     def _refusal(self, now_us: int, known: bool, pause_us: int) -> tuple[Verdict, int]:
-        """A refusal costs a packet too: senders that nobody knows get none under pressure."""
+        """A rejection costs a packet too: senders that nobody knows get none under pressure."""
         if self.under_pressure and not known or not self.refusals.take(now_us):
             return Verdict.DROP, 0
         return Verdict.LATER, max(1_000, pause_us)
--- a/gradefront/serve.py
+++ b/gradefront/serve.py
@@ -16,30 +16,30 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.main import installReactor
 
-from milletdeal import Balancer
+from balancer import Balancer
 
+from .admin.metrics import lines
+from .admin.server import AdminServer, Answer
 from .config import Config, ConfigError, lacks, load
-from .core.classes import NoRoom
-from .core.duty import Duty, Word
+from .core.lifecycle_state import LifecycleEvent, LifecycleState
 from .core.relay import RelayCore
+from .core.request_classes import TooManyClasses
 from .fleet.switch import fleet_file
 from .fleet.switch import load as load_fleet
-from .net.boxlist import BoxList
+from .net.backend_connection import LineBackendConnector
+from .net.client_protocol import ClientProtocolFactory
 from .net.closing import DESCRIPTOR_SHARE, ConnectionCloser
-from .net.front import PlatformFront
-from .net.prober import LoadProber
+from .net.endpoint_list import EndpointList
+from .net.endpoint_watch import EndpointWatch
+from .net.health_checks import BackendHealthChecker
 from .net.reactor import Clock, Driver, Reactor, RelayReactor
-from .net.upstream import PlatformConnector
-from .net.watch import ListWatch
-from .ops.door import Answer, Door
-from .ops.figures import lines
 from .quic.switch import FILE
 from .quic.switch import load as load_quic
-from .state.handover import Giving, Taking, call_next
+from .state.handover import HandoverReceiver, HandoverSender, call_next
 
 if TYPE_CHECKING:
     from .fleet.settings import FleetConfig
-    from .net.fleetport import FleetPort
+    from .net.fleet_port import FleetPort
     from .quic.config import QuicConfig
     from .quic.front import QuicFront
 
@@ -72,97 +72,101 @@
         self.config = config
         self.reactor = reactor
         self.quic: QuicFront | None = None
-        self.taking: Taking | None = None
+        self.handover_receiver: HandoverReceiver | None = None
         self.driver = Driver(reactor, clock)
         self.core = core = RelayCore(
             Balancer(config.settings, config.seed),
             config.settings,
             clock,
-            self.driver.poke,
-            config.tells_delay,
+            self.driver.wake,
+            config.reports_message_latency,
             config.class_names,
         )
         self.driver.core = core
-        self.box_list = BoxList(config, core, stepped)
-        core.watcher = self.list_watch = ListWatch(reactor, core, self.box_list, config.discovery)
-        core.prober = LoadProber(reactor, core, self.box_list.address)
+        self.endpoint_list = EndpointList(config, core, stepped)
+        core.endpoint_watcher = self.endpoint_watch = EndpointWatch(
+            reactor, core, self.endpoint_list, config.discovery
+        )
+        core.health_checker = BackendHealthChecker(reactor, core, self.endpoint_list.address)
         if config.socket_fd is not None:
             self.listener = inherited(config.socket_fd)
-            core.lifecycle.opens = self._adopt
+            core.lifecycle.on_ready = self._adopt
         # A list from before may send clients to what another process, or the agent, has long been told drains.
-        at_once = config.socket_fd is not None or self.list_watch.pushed
+        at_once = config.socket_fd is not None or self.endpoint_watch.pushed
         if at_once:
-            core.lifecycle.await_news()
+            core.lifecycle.await_endpoint_list()
         try:
-            self.box_list.take(config.known, whole=True)
+            self.endpoint_list.apply(config.known, whole=True)
         except ValueError as error:
             raise ConfigError(f"known: {error}") from None
         upstreams = ConnectionCloser(core, config.sockets // DESCRIPTOR_SHARE)
-        connector = PlatformConnector(reactor, self.box_list.address, upstreams)
-        self.front = PlatformFront(config, core, connector, upstreams)
+        connector = LineBackendConnector(reactor, self.endpoint_list.address, upstreams)
+        self.front = ClientProtocolFactory(config, core, connector, upstreams)
         if quic:  # imported only where it is on: its libraries cost a start time and memory
             from .quic.front import QuicFront
 
             self.quic = QuicFront(config, quic, core, reactor)
         self.fleet: FleetPort | None = None
         if fleet:  # imported only where it is on, too
-            from .net.fleetport import FleetPort
+            from .net.fleet_port import FleetPort
 
             self.fleet = FleetPort(fleet, core)
             try:
                 reactor.listenUDP(fleet.listen[1], self.fleet, fleet.listen[0])
             except CannotListenError as error:
                 raise ConfigError(f"{fleet_file().name}: listen: {error}") from None
-        self.door = None
+        self.admin_server = None
         if config.admin:
             try:
-                self.door = reactor.listenTCP(config.admin[1], Door(core, self.calls()), 64, config.admin[0])
+                self.admin_server = reactor.listenTCP(
+                    config.admin[1], AdminServer(core, self.admin_calls()), 64, config.admin[0]
+                )
             except CannotListenError as error:
                 raise ConfigError(f"LB_ADMIN: the operators' door: {error}") from None
         self.port: Any = None
         if config.socket_fd is None:
             self.port = reactor.listenTCP(config.listen[1], self.front, BACKLOG, config.listen[0])
         if at_once:  # the module's spread is against a whole fleet that starts and asks one service
-            self.list_watch.watch()
+            self.endpoint_watch.watch()
 
     def _adopt(self) -> None:
         """Take clients from the listener that the platform holds, beside the process that is there before."""
         self.port = self.reactor.adoptStreamPort(self.listener.fileno(), socket.AF_INET, self.front)
         if "TMPDIR" in os.environ:
-            self.taking = Taking(self.core, self.front, self.reactor, Path(os.environ["TMPDIR"]))
-            self.taking.open()
+            self.handover_receiver = HandoverReceiver(self.core, self.front, self.reactor, Path(os.environ["TMPDIR"]))
+            self.handover_receiver.open()
         log.info("relay %s takes clients from descriptor %d", self.config.name, self.listener.fileno())
 
-    def calls(self) -> dict[str, Answer]:
-        """What the operators' door answers."""
+    def admin_calls(self) -> dict[str, Answer]:
+        """What the admin interface answers."""
         core = self.core
 
         def said(good: bool) -> list[str]:
-            return [f"{'ok' if good else 'fail'} {core.lifecycle.duty.value}"]
+            return [f"{'ok' if good else 'fail'} {core.lifecycle.state.value}"]
 
         return {
-            "PING": lambda: said(core.lifecycle.takes_clients),
-            "INFO": lambda: ["ok", *self.figures(), "eof"],
+            "PING": lambda: said(core.lifecycle.accepts_clients),
+            "INFO": lambda: ["ok", *self.metrics(), "eof"],
             "LAMEDUCK": lambda: said(core.lifecycle.lame_duck()),
             "REJOIN": lambda: said(core.lifecycle.rejoin()),
         }
 
-    def figures(self) -> list[str]:
+    def metrics(self) -> list[str]:
         """The figures now, a line each."""
         core = self.core
         return lines(
             core.counters,
-            core.book.names,
+            core.request_classes.names,
             {
-                "current": len(core.visits),
+                "current": len(core.connections),
                 "cluster_size": len(core.backends),
-                "cluster_unhealthy": core.decider.avoided(core.clock()),
+                "cluster_unhealthy": core.balancer.count_unavailable(core.clock()),
             },
         )
 
-    def show(self) -> None:
+    def log_counters(self) -> None:
         """The counters, as one log line."""
-        levels = {"connections_now": self.front.open, "visits_now": len(self.core.visits)}
+        levels = {"connections_now": self.front.open_connections, "visits_now": len(self.core.connections)}
         if self.quic:
             levels |= self.quic.levels()
         if self.fleet:
@@ -174,70 +178,71 @@
         old = self.config
         try:
             told = load(os.environ)
-            if missing := lacks(told.told, old.told):
+            if missing := lacks(told.given, old.given):
                 raise ConfigError(f"{missing}: missing")
-            book, settings = self.core.retuned(told.settings, told.class_names)
+            book, settings = self.core.prepare_settings(told.settings, told.class_names)
             # LB_DISCOVERY tells the address of the start: once the file names another, the file goes before it.
             moved = told.filed_discovery is not None and told.filed_discovery != old.filed_discovery
             where = told.filed_discovery if moved and told.filed_discovery else old.discovery
             config = replace(
                 told,
                 settings=settings,
-                numbers=book.numbers(),
+                class_numbers=book.numbers(),
                 discovery=where,
                 seed=old.seed,
                 **{name: getattr(old, name) for name in AT_START},
             )
             quic = load_quic(config, quic_file()) if self.quic else None
-        except (ConfigError, NoRoom) as error:
+        except (ConfigError, TooManyClasses) as error:
             log.error("configuration not taken, the old one stays: %s", error)
             self.core.counters.add("conf_invalid_total")
             return
         later = [name for name in AT_START if getattr(told, name) != getattr(old, name)]
         if later:
             log.warning("taken at the next start only: %s", ", ".join(later))
-        self.config = self.front.config = self.box_list.config = config
-        if (book, settings) != (self.core.book, self.core.settings):
-            self.core.retune(book, settings, config.tells_delay)
+        self.config = self.front.config = self.endpoint_list.config = config
+        if (book, settings) != (self.core.request_classes, self.core.settings):
+            self.core.apply_settings(book, settings, config.reports_message_latency)
             log.info("settings: classes %s, %d attempts", ", ".join(config.class_names), settings.max_attempts)
         self.core.counters.add("conf_loaded_total")
         log.info("configuration taken; discovery at %s:%d", *where)
         if where != old.discovery:
-            self.list_watch.go_to(where)
+            self.endpoint_watch.go_to(where)
         if self.quic and quic:
             self.quic.config = config
             self.quic.configure(quic)
 
     def leave(self) -> None:
         """A planned restart. A second signal changes nothing."""
-        if self.core.lifecycle.duty in (Duty.LEAVING, Duty.STOPPING, Duty.STOPPED):
+        if self.core.lifecycle.state in (LifecycleState.LEAVING, LifecycleState.STOPPING, LifecycleState.STOPPED):
             return
-        if self.config.socket_fd is None or (self.taking and self.taking.mine()):
-            # Nobody replaces this process yet: it goes on reading the listener, and holds its visits, to the last.
+        if self.config.socket_fd is None or (self.handover_receiver and self.handover_receiver.is_newest()):
+            # Nobody replaces this process yet: it goes on reading the listener, and holds its connections, to the
+            # last.
             self.core.lifecycle.leave(self._stop)
             return
         if self.port:
             self.port.stopListening()  # whoever waits in the listener's queue is the new process's
-        call = call_next(self.taking) if self.taking else None
-        if self.taking:
-            self.taking.close()
+        call = call_next(self.handover_receiver) if self.handover_receiver else None
+        if self.handover_receiver:
+            self.handover_receiver.close()
         if call:
             log.info("visits go to the process that takes over")
-            Giving(self.core, self.front, call).step()
+            HandoverSender(self.core, self.front, call).step()
         self.core.lifecycle.leave(self._stop, replaced=call is None)
         self._stop_when_empty()
 
     def _stop_when_empty(self) -> None:
         """Nobody comes here any more: what is left of the time, memory and descriptors is the new process's."""
-        if self.front.open or self.core.visits:
+        if self.front.open_connections or self.core.connections:
             self.core.after(EMPTY_LOOK_US, self._stop_when_empty)
         else:
             self.core.lifecycle.stop(self._stop)
 
     def _stop(self) -> None:
         """All has its answer. Connections are ended in order: who rests at the door may ask in this very moment."""
-        if self.taking:
-            self.taking.close()
+        if self.handover_receiver:
+            self.handover_receiver.close()
         if self.fleet:
             self.fleet.leave()
         self.core.after(REST_US, self._end_rest)
@@ -254,7 +259,7 @@
 
     def _stop_when_ended(self) -> None:
         """Wait for the peers' ends, so that no close resets what they have not read yet."""
-        if self.front.open or self.front.upstreams or (self.port and self.port.connected):
+        if self.front.open_connections or self.front.upstreams or (self.port and self.port.connected):
             self.core.after(STOP_LOOK_US, self._stop_when_ended)
         else:
             self._stopped()
@@ -267,10 +272,10 @@
             self._stopped()
 
     def _stopped(self) -> None:
-        if self.core.lifecycle.hear(Word.STOPPED):
+        if self.core.lifecycle.transition(LifecycleEvent.STOPPED):
             self.front.closing.close_all()
             self.front.upstreams.close_all()
-            self.list_watch.close()
+            self.endpoint_watch.close()
             self.reactor.stop()
 
 
@@ -307,7 +312,7 @@
     for number, do in (
         (signal.SIGTERM, Relay.leave),
         (signal.SIGINT, Relay.leave),
-        (signal.SIGUSR1, Relay.show),
+        (signal.SIGUSR1, Relay.log_counters),
         (signal.SIGHUP, Relay.reload),
     ):
         _on_signal(number, lambda do=do: do(relay), reactor)  # type: ignore[misc]
@@ -326,25 +331,25 @@
     except (ConfigError, CannotListenError) as error:
         print(f"gradefront: {error}", file=sys.stderr)
         return 2
-    log.info("settings: %s; message delays told: %s", config.settings, config.tells_delay)
+    log.info("settings: %s; message delays told: %s", config.settings, config.reports_message_latency)
     told = config.settings
     log.info(  # a line of its own: collectors cut long ones
         "slow start: %d relays, capacity from %.2f, warm after %.1f s, overloaded by %.1f times it in %.2f s",
         told.fleet_size,
-        told.start_capacity,
-        told.cold_us / 1e6,
-        told.tip_multiple,
-        told.fall_us / 1e6,
+        told.initial_capacity,
+        told.warm_up_us / 1e6,
+        told.overload_multiple,
+        told.overload_window_us / 1e6,
     )
     if relay.port:
         where = relay.port.getHost()
         log.info("relay %s listens on %s:%d", config.name, where.host, where.port)
-    if relay.door:
-        log.info("operators' door at %s:%d", relay.door.getHost().host, relay.door.getHost().port)
-    for door in relay.quic.doors if relay.quic else ():
-        log.info("quic front listens on %s:%d", *door.address)
+    if relay.admin_server:
+        log.info("operators' door at %s:%d", relay.admin_server.getHost().host, relay.admin_server.getHost().port)
+    for admin_server in relay.quic.listeners if relay.quic else ():
+        log.info("quic front listens on %s:%d", *admin_server.address)
     gc.collect()
     gc.freeze()  # start-up objects stay; collecting them again and again would cost scarce CPU
     reactor.run(installSignalHandlers=False)
-    relay.show()
+    relay.log_counters()
     return 0
--- a/gradefront/state/form.py
+++ b/gradefront/state/form.py
@@ -1,4 +1,4 @@
-"""The form in which a standing visit is described to the next process: versioned, bounded, checked. No I/O."""
+"""The form in which a standing connection is described to the next process: versioned, bounded, checked. No I/O."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from balancer.settings import RequestClass
 from gradefront.net.lines import MAX_LINE
-from milletdeal.interface import RequestClass
 
 VERSION = 1
 LONGEST = 24_576  # bytes of one description: two unfinished lines and the rest fit many times over
@@ -21,19 +21,19 @@
 
 
 @dataclass(frozen=True)
-class Left:
-    """One standing visit, but for its two sockets. Times are Unix time in microseconds."""
+class ConnectionSnapshot:
+    """One standing connection, but for its two sockets. Times are Unix time in microseconds."""
 
     id: str  # of the client's connection
-    klass: str
-    rules: dict[str, Any]  # under which it came, as `ruled` gives them
-    key: str
-    group: str
+    request_class: str
+    class_rules: dict[str, Any]  # under which it came, as `ruled` gives them
+    idempotency_key: str
+    sticky_group: str
     tenant: int
-    box: str
+    backend: str
     load: float  # us of work a second, as last told; 0: not told
-    heard_us: int
-    asked_us: tuple[int, ...]  # messages that await a reply
+    last_received_us: int
+    awaiting_reply_us: tuple[int, ...]  # messages that await a reply
     from_carer: bytes  # the client's, of a line that has no end yet; a field of the form, so the name stays
     from_box: bytes
 
@@ -41,46 +41,46 @@
 #: The field of `Left` that each stored name stands for.
 STORED_NAMES = {
     "id": "id",
-    "klass": "klass",
-    "rules": "rules",
-    "key": "key",
-    "group": "group",
+    "klass": "request_class",
+    "rules": "class_rules",
+    "key": "idempotency_key",
+    "group": "sticky_group",
     "tenant": "tenant",
-    "box": "box",
+    "box": "backend",
     "load": "load",
-    "heard_us": "heard_us",
-    "asked_us": "asked_us",
+    "heard_us": "last_received_us",
+    "asked_us": "awaiting_reply_us",
     "from_carer": "from_carer",
     "from_box": "from_box",
 }
 
 
-def ruled(rules: RequestClass) -> dict[str, Any]:
+def stored_rules(rules: RequestClass) -> dict[str, Any]:
     """A class's rules under the stored names, which no renaming in the code may change."""
     return {
-        "aim_us": rules.aim_us,
+        "aim_us": rules.latency_objective_us,
         "deadline_us": rules.deadline_us,
-        "repeat": rules.repeat.value,
-        "scope": rules.scope.value,
+        "repeat": rules.idempotency.value,
+        "scope": rules.key_scope.value,
         "dedup_window_us": rules.dedup_window_us,
-        "worth": rules.worth,
-        "message_aim_us": rules.message_aim_us,
+        "worth": rules.priority_weight,
+        "message_aim_us": rules.message_latency_objective_us,
     }
 
 
-def write(left: Left) -> bytes:
-    """The description of one visit, under the stored names."""
+def write(left: ConnectionSnapshot) -> bytes:
+    """The description of one connection, under the stored names."""
     told = {
         "id": left.id,
-        "klass": left.klass,
-        "rules": left.rules,
-        "key": left.key,
-        "group": left.group,
+        "klass": left.request_class,
+        "rules": left.class_rules,
+        "key": left.idempotency_key,
+        "group": left.sticky_group,
         "tenant": left.tenant,
-        "box": left.box,
+        "box": left.backend,
         "load": left.load,
-        "heard_us": left.heard_us,
-        "asked_us": left.asked_us,
+        "heard_us": left.last_received_us,
+        "asked_us": left.awaiting_reply_us,
         "from_carer": base64.b64encode(left.from_carer).decode(),
         "from_box": base64.b64encode(left.from_box).decode(),
         "version": VERSION,
@@ -88,8 +88,9 @@
     return json.dumps(told, separators=(",", ":")).encode()
 
 
-def read(data: bytes, now_us: int) -> Left:
-    """The visit described, or BadForm. Guards against a process of another version, and against half a message."""
+def read(data: bytes, now_us: int) -> ConnectionSnapshot:
+    """The connection described, or BadForm. Guards against a process of another version, and against half a
+    message."""
     try:
         told = json.loads(data)
         version = told.pop("version")
@@ -102,17 +103,17 @@
         told["asked_us"] = tuple(told["asked_us"])
         if unknown := told.keys() - STORED_NAMES.keys():
             raise BadForm(f"unknown fields: {', '.join(sorted(unknown))}")
-        left = Left(**{STORED_NAMES[name]: value for name, value in told.items()})
+        left = ConnectionSnapshot(**{STORED_NAMES[name]: value for name, value in told.items()})
     except (ValueError, TypeError, KeyError, AttributeError) as error:
         raise BadForm(f"not of the form: {error!r}") from None
     for name in ("id", "klass", "key", "group", "box"):
         if not isinstance(getattr(left, STORED_NAMES[name]), str):
             raise BadForm(f"{name}: not text")
-    if not isinstance(left.rules, dict) or not isinstance(left.tenant, int):
+    if not isinstance(left.class_rules, dict) or not isinstance(left.tenant, int):
         raise BadForm("rules, tenant: not of the form")
     if not isinstance(left.load, (int, float)) or not (math.isfinite(left.load) and left.load >= 0):
         raise BadForm(f"load: {left.load!r}")
-    for at in (left.heard_us, *left.asked_us):
+    for at in (left.last_received_us, *left.awaiting_reply_us):
         if not isinstance(at, int) or not now_us - OLDEST_US <= at <= now_us + OLDEST_US:
             raise BadForm(f"a time that makes no sense: {at!r}")
     return left
--- a/gradefront/state/handover.py
+++ b/gradefront/state/handover.py
@@ -1,8 +1,8 @@
-"""Standing visits go from one process to the next with their sockets (SCM_RIGHTS), so that nobody need move.
+"""Standing connections go from one process to the next with their sockets (SCM_RIGHTS), so that nobody need move.
 
 The process that takes clients listens on a Unix socket in the folder that both share; the newest has the name. One
-that is told to leave calls there, unless the name is its own, and sends each visit as one message: its description
-and its two sockets. Whatever can't be handed over is told to move, as without all this.
+that is told to leave calls there, unless the name is its own, and sends each connection as one message: its
+description and its two sockets. Whatever can't be handed over is told to move, as without all this.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from typing import Any
 
 from gradefront.core.adopted import given_away, take_over
-from gradefront.core.ports import Call
+from gradefront.core.connect_request import ConnectRequest
+from gradefront.core.connection import Connection, ConnectionState
 from gradefront.core.relay import RelayCore
-from gradefront.core.visit import Stage, Visit
-from gradefront.net.front import ClientProtocol, PlatformFront
+from gradefront.net.backend_connection import BackendProtocol, LineBackendConnection
+from gradefront.net.client_protocol import ClientProtocol, ClientProtocolFactory
 from gradefront.net.lines import BadLine, FirstLine
 from gradefront.net.reactor import Reactor
-from gradefront.net.upstream import BackendProtocol, PlatformUpstream
 
-from .form import LONGEST, BadForm, Left, read, ruled, write
+from .form import LONGEST, BadForm, ConnectionSnapshot, read, stored_rules, write
 
 log = logging.getLogger("gradefront.handover")
 
@@ -49,14 +49,14 @@
     """A client's line that was handed over: it is past the door."""
 
     def connectionMade(self) -> None:
-        """It made its visit long ago."""
-        self.came_us = self.front.core.clock()
-        self.patience = self.front.core.after(0, lambda: None)
-        self.front.open += 1
+        """It made its connection long ago."""
+        self.arrived_us = self.front.core.clock()
+        self.timeout = self.front.core.after(0, lambda: None)
+        self.front.open_connections += 1
 
 
 class AdoptedBackend(BackendProtocol):
-    """A push box's line that was handed over: its first line was sent long ago."""
+    """A backend's line that was handed over: its first line was sent long ago."""
 
     def connectionMade(self) -> None:
         """Nothing to send."""
@@ -80,10 +80,10 @@
     return not (busy or transport.disconnecting or transport.disconnected)
 
 
-class Giving:
-    """Hands this process's visits to the next one."""
+class HandoverSender:
+    """Hands this process's connections to the next one."""
 
-    def __init__(self, core: RelayCore, front: PlatformFront, call: socket.socket) -> None:
+    def __init__(self, core: RelayCore, front: ClientProtocolFactory, call: socket.socket) -> None:
         self.core = core
         self.front = front
         self.call: socket.socket | None = call
@@ -91,11 +91,11 @@
     def step(self) -> None:
         """Hand some over; come again while anybody is here."""
         given = 0
-        for visit in list(self.core.visits.values()):
+        for connection in list(self.core.connections.values()):
             if self.call is None or given == STEP_VISITS:
                 break
-            given += self._give(visit)
-        if self.call and (self.core.visits or self.front.open):
+            given += self._give(connection)
+        if self.call and (self.core.connections or self.front.open_connections):
             self.core.after(STEP_US, self.step)
         else:
             self.end()
@@ -106,32 +106,32 @@
             self.call.close()
         self.call = None
 
-    def _give(self, visit: Visit) -> bool:
-        client, attempt = visit.client, visit.attempt
-        if visit.stage is not Stage.ESTABLISHED or attempt is None:
+    def _give(self, connection: Connection) -> bool:
+        client, attempt = connection.client, connection.attempt
+        if connection.state is not ConnectionState.ESTABLISHED or attempt is None:
             return False
         if not isinstance(client, ClientProtocol) or client.closing:
             return False
         upstream = attempt.upstream
-        if not isinstance(upstream, PlatformUpstream) or upstream.gone or upstream.line is None:
+        if not isinstance(upstream, LineBackendConnection) or upstream.gone or upstream.line is None:
             return False
         ours, theirs = client.wire, upstream.line.wire
         if self.call is None or not (_idle(ours) and _idle(theirs)):
             return False  # it writes still: next time
-        call = visit.call
+        call = connection.connect_request
         from_carer, from_box = client.unfinished(), upstream.line.unfinished()
-        rules = ruled(visit.settings.classes[call.klass])
-        left = Left(
+        rules = stored_rules(connection.settings.classes[call.request_class])
+        left = ConnectionSnapshot(
             client.id.decode(),
-            self.core.book.names[call.klass],
+            self.core.request_classes.names[call.request_class],
             rules,
-            call.key,
-            call.group,
+            call.idempotency_key,
+            call.sticky_group,
             call.tenant,
-            attempt.box,
+            attempt.backend,
             attempt.load,
-            attempt.heard_us,
-            tuple(attempt.asked),
+            attempt.last_received_us,
+            tuple(attempt.awaiting_reply_us),
             from_carer,
             from_box,
         )
@@ -146,16 +146,16 @@
             return False
         release(ours)
         release(theirs)
-        self.front.open -= 1
+        self.front.open_connections -= 1
         client.closing, upstream.gone = True, True
-        given_away(self.core, visit)
+        given_away(self.core, connection)
         return True
 
 
 class _Peer:
     """One process that hands over, as the reactor reads it."""
 
-    def __init__(self, taking: Taking, call: socket.socket) -> None:
+    def __init__(self, taking: HandoverReceiver, call: socket.socket) -> None:
         self.taking = taking
         self.call = call
 
@@ -179,7 +179,7 @@
                 self.taking.over(self)
                 return
             try:
-                self.taking.take(data, fds, bool(flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC)))
+                self.taking.adopt(data, fds, bool(flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC)))
             except Exception:
                 log.exception("a visit that was handed over failed")
                 self.taking.core.counters.add("exceptions")
@@ -192,10 +192,10 @@
         self.taking.over(self)
 
 
-class Taking:
-    """Takes over the visits of the process before."""
+class HandoverReceiver:
+    """Takes over the connections of the process before."""
 
-    def __init__(self, core: RelayCore, front: PlatformFront, reactor: Reactor, folder: Path) -> None:
+    def __init__(self, core: RelayCore, front: ClientProtocolFactory, reactor: Reactor, folder: Path) -> None:
         self.core = core
         self.front = front
         self.reactor = reactor
@@ -226,7 +226,7 @@
     def close(self) -> None:
         """Take nothing more; give the name back if it is still this process's."""
         if self.listener:
-            mine = self.mine()
+            mine = self.is_newest()
             self.reactor.removeReader(self)
             self.listener.close()
             self.listener = None
@@ -236,7 +236,7 @@
         for peer in list(self.peers):
             self.over(peer)
 
-    def mine(self) -> bool:
+    def is_newest(self) -> bool:
         """Whether no newer process has taken the name. Where this one could not take it, or nobody can tell, nobody
         is known to replace it: guards the requests in the listener's queue, which are nobody's then."""
         if self.listener is None:
@@ -279,8 +279,8 @@
             peer.call.close()
             log.info("%d visits were handed over so far", self.core.counters.counts["taken_over"])
 
-    def take(self, data: bytes, fds: list[int], cut: bool) -> None:
-        """Take one visit up. Where its description makes no sense its connections end; where its class has other
+    def adopt(self, data: bytes, fds: list[int], cut: bool) -> None:
+        """Take one connection up. Where its description makes no sense its connections end; where its class has other
         rules here, it is told to move."""
         core = self.core
         try:
@@ -291,15 +291,19 @@
             log.warning("a visit can't be taken over: %s", error)
             core.counters.add("taken_over_badly")
             return
-        known = self.front.config.numbers.get(left.klass)
-        same = known is not None and ruled(core.settings.classes[known]) == left.rules
-        klass = known if known is not None else next(iter(self.front.config.numbers.values()))
+        known = self.front.config.class_numbers.get(left.request_class)
+        same = known is not None and stored_rules(core.settings.classes[known]) == left.class_rules
+        request_class = known if known is not None else next(iter(self.front.config.class_numbers.values()))
         client = AdoptedClient(self.front)
         client.id = left.id.encode()
-        call = Call(0, None, klass, left.tenant, left.key, left.group, left.load, True)
-        visit, attempt = take_over(core, call, client, self.front.caller, left.box, left.heard_us, left.asked_us)
-        client.visit = visit
-        upstream = PlatformUpstream(attempt, FirstLine(b"", b"", False), self.front.upstreams)
+        call = ConnectRequest(
+            0, None, request_class, left.tenant, left.idempotency_key, left.sticky_group, left.load, True
+        )
+        connection, attempt = take_over(
+            core, call, client, self.front.connector, left.backend, left.last_received_us, left.awaiting_reply_us
+        )
+        client.connection = connection
+        upstream = LineBackendConnection(attempt, FirstLine(b"", b"", False), self.front.upstreams)
         upstream.line = AdoptedBackend(upstream)
         attempt.upstream, attempt.load = upstream, left.load
         for fd, line in zip(fds, (client, upstream.line), strict=True):
@@ -310,13 +314,13 @@
         client.join(upstream)
         core.counters.add("taken_over")
         if not same:
-            core.move(visit)
+            core.migrate(connection)
             return
         client.take_bytes(left.from_carer)
         upstream.line.take_bytes(left.from_box)
 
 
-def call_next(taking: Taking) -> socket.socket | None:
+def call_next(taking: HandoverReceiver) -> socket.socket | None:
     """A line to the process that has the name now, which is not this one; None where nobody answers."""
     call = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     call.settimeout(0.1)  # a listener on this machine: it is there or it isn't
--- a/lab/__init__.py
+++ b/lab/__init__.py
@@ -1,1 +1,2 @@
-"""The town that gradefront serves, in small: push boxes, devices, box list, links. Never imported by gradefront."""
+"""The town that gradefront serves, in small: backends, devices, endpoint list, links. Never imported by
+gradefront."""
--- a/lab/conform/cases_backends.py
+++ b/lab/conform/cases_backends.py
@@ -26,14 +26,14 @@
     return time.time_ns() // 1000
 
 
-# ---- what push boxes do
+# ---- what backends do
 
 
 @case("BRIEF rule 2", "A push box that refuses is left for another at once")
 async def refusing_box_is_left(place: Place) -> None:
-    def first_refuses(box: Any, packet: Any, addr: Any) -> None:
-        (serve if tried else refuse)(box, packet, addr)
-        tried.append(box)
+    def first_refuses(backend: Any, packet: Any, addr: Any) -> None:
+        (serve if tried else refuse)(backend, packet, addr)
+        tried.append(backend)
 
     tried: list[Any] = []
     place.manner(first_refuses)
@@ -62,9 +62,9 @@
 
 @case("BRIEF rule 2", "At most four attempts, another push box each, never two out at once")
 async def four_attempts_at_most(place: Place) -> None:
-    def count(box: Any, packet: Any, addr: Any) -> None:
-        tried.append(box)
-        refuse(box, packet, addr)
+    def count(backend: Any, packet: Any, addr: Any) -> None:
+        tried.append(backend)
+        refuse(backend, packet, addr)
 
     tried: list[Any] = []
     place.manner(count)
@@ -108,14 +108,14 @@
 
 @case("RFC 9001 5.2", "An answer that isn't sound doesn't count", over=["bent", "another client's keys", "noise"])
 async def unsound_answer(place: Place, how: str) -> None:
-    def bend(box: Any, packet: Any, addr: Any) -> None:
+    def bend(backend: Any, packet: Any, addr: Any) -> None:
         if how == "noise":
-            box.wire.sendto(os.urandom(60), addr)
+            backend.wire.sendto(os.urandom(60), addr)
         else:
             made = seal_initial(
-                V1, b"other-id" if how != "bent" else packet.to_id, packet.from_id, box.new_id(), SERVER_HELLO
+                V1, b"other-id" if how != "bent" else packet.to_id, packet.from_id, backend.new_id(), SERVER_HELLO
             )
-            box.wire.sendto(made if how != "bent" else made[:-1] + b"x", addr)
+            backend.wire.sendto(made if how != "bent" else made[:-1] + b"x", addr)
 
     place.manner(bend)
     client = await place.client()
@@ -130,11 +130,11 @@
 
 @case("RFC 9000 13.2.1", "A push box that only acknowledges isn't shown to the client; another one is tried")
 async def ack_only(place: Place) -> None:
-    def ack(box: Any, packet: Any, addr: Any) -> None:
-        box.answer(packet, addr, b"\x02\x00\x00\x00\x00")
-        tried.append(box)
+    def ack(backend: Any, packet: Any, addr: Any) -> None:
+        backend.answer(packet, addr, b"\x02\x00\x00\x00\x00")
+        tried.append(backend)
         if len(tried) > 1:
-            serve(box, packet, addr)
+            serve(backend, packet, addr)
 
     tried: list[Any] = []
     place.manner(ack)
@@ -146,10 +146,10 @@
 
 @case("RFC 9000 13.2.1", "A push box that acknowledges first and goes on then is passed on")
 async def ack_then_hello(place: Place) -> None:
-    def ack(box: Any, packet: Any, addr: Any) -> None:
-        an_id = box.new_id()
-        box.answer(packet, addr, b"\x02\x00\x00\x00\x00", an_id)
-        box.answer(packet, addr, SERVER_HELLO, an_id)
+    def ack(backend: Any, packet: Any, addr: Any) -> None:
+        an_id = backend.new_id()
+        backend.answer(packet, addr, b"\x02\x00\x00\x00\x00", an_id)
+        backend.answer(packet, addr, SERVER_HELLO, an_id)
 
     place.manner(ack)
     client = await place.client()
@@ -160,10 +160,10 @@
 
 @case("RFC 9000 12.2", "A push box's Handshake packet that overtakes its Initial follows it")
 async def handshake_overtakes(place: Place) -> None:
-    def turned(box: Any, packet: Any, addr: Any) -> None:
-        early.append(long(V1, packet.from_id, box.new_id(), varint(60) + bytes(60), 0xE0))
-        box.wire.sendto(early[-1], addr)
-        serve(box, packet, addr)
+    def turned(backend: Any, packet: Any, addr: Any) -> None:
+        early.append(long(V1, packet.from_id, backend.new_id(), varint(60) + bytes(60), 0xE0))
+        backend.wire.sendto(early[-1], addr)
+        serve(backend, packet, addr)
 
     early: list[bytes] = []
     place.manner(turned)
@@ -174,27 +174,27 @@
 
 @case("RFC 9000 17.2.5", "A push box's own Retry goes to the client, and the client's answer to that push box")
 async def box_retries(place: Place) -> None:
-    def retry(box: Any, packet: Any, addr: Any) -> None:
+    def retry(backend: Any, packet: Any, addr: Any) -> None:
         if not packet.token:
-            box.wire.sendto(make_retry(V1, packet.to_id, packet.from_id, box.new_id(), b"box token"), addr)
+            backend.wire.sendto(make_retry(V1, packet.to_id, packet.from_id, backend.new_id(), b"box token"), addr)
         else:
-            serve(box, packet, addr)
+            serve(backend, packet, addr)
 
     place.manner(retry)
     client = await place.client()
     client.send(client.initial())
-    box = (await place.reached())[0]
+    backend = (await place.reached())[0]
     packet = await client.packet()
     assert packet.kind is Kind.RETRY and packet.token == b"box token"
     client.send(client.initial(to_id=packet.from_id, token=packet.token))
-    assert (await place.reached())[0] is box
+    assert (await place.reached())[0] is backend
     assert open_initial(await client.packet(), packet.from_id, from_client=False)
 
 
 @case("RFC 9001 5.8", "A Retry with a wrong tag doesn't count")
 async def bent_retry(place: Place) -> None:
-    def retry(box: Any, packet: Any, addr: Any) -> None:
-        box.wire.sendto(make_retry(V1, b"other-id", packet.from_id, box.new_id(), b"box token"), addr)
+    def retry(backend: Any, packet: Any, addr: Any) -> None:
+        backend.wire.sendto(make_retry(V1, b"other-id", packet.from_id, backend.new_id(), b"box token"), addr)
 
     place.manner(retry)
     client = await place.client()
@@ -221,21 +221,21 @@
 
 @case("RFC 9000 10.3", "A push box's stateless reset on a standing connection reaches the client")
 async def box_resets(place: Place) -> None:
-    client, box, box_id, addr = await place.standing()
-    reset = b"\x41" + os.urandom(20) + reset_token(RESET_KEY, box_id)
-    box.wire.sendto(reset, addr)
+    client, backend, backend_id, addr = await place.standing()
+    reset = b"\x41" + os.urandom(20) + reset_token(RESET_KEY, backend_id)
+    backend.wire.sendto(reset, addr)
     assert await client.hear() == reset
 
 
 @case("RFC 9000 5.2", "What others than push boxes send to an upstream port reaches nobody")
 async def stranger_at_the_port(place: Place) -> None:
-    client, box, _, addr = await place.standing()
+    client, backend, _, addr = await place.standing()
     stranger = await place.client()
     stranger.wire.sendto(b"\x40" + client.client_id + b"not from a push box", addr)
-    other = next(b for b in place.boxes if b is not box)
+    other = next(b for b in place.backends if b is not backend)
     other.wire.sendto(b"\x40" + client.client_id + b"not from its push box", addr)
     answer = b"\x40" + client.client_id + b"from its push box"
-    box.wire.sendto(answer, addr)
+    backend.wire.sendto(answer, addr)
     assert await client.hear() == answer
 
 
@@ -244,32 +244,32 @@
 
 @case("QUIC-LB 5", "Short packets are routed by ids of every configuration at once", "forms", over=list(FORMS))
 async def routed_by_every_form(place: Place, name: str) -> None:
-    for box in place.boxes:
+    for backend in place.backends:
         client = await place.client()
-        datagram = client.say(box.new_id(FORMS[name]))
-        assert (await place.reached())[:2] == (box, datagram)
+        datagram = client.say(backend.new_id(FORMS[name]))
+        assert (await place.reached())[:2] == (backend, datagram)
 
 
 @case("QUIC-LB 5", "A connection stands with ids of every configuration", "forms", over=list(FORMS))
 async def stands_with_every_form(place: Place, name: str) -> None:
-    for box in place.boxes:
-        box.form = FORMS[name]
-    client, box, _, addr = await place.standing()
+    for backend in place.backends:
+        backend.form = FORMS[name]
+    client, backend, _, addr = await place.standing()
     for _ in range(3):
-        client.say(box.new_id(FORMS[name]))
-        assert (await place.reached())[::2] == (box, addr), "a fresh id on the same path"
+        client.say(backend.new_id(FORMS[name]))
+        assert (await place.reached())[::2] == (backend, addr), "a fresh id on the same path"
 
 
 @case("QUIC-LB 3.1", "Ids change their configuration in the middle of a connection", "forms")
 async def configuration_rotates(place: Place) -> None:
-    client, box, _, addr = await place.standing()
+    client, backend, _, addr = await place.standing()
     for form in FORMS.values():
-        client.say(box.new_id(form))
-        assert (await place.reached())[0] is box
+        client.say(backend.new_id(form))
+        assert (await place.reached())[0] is backend
     await client.open()
-    client.say(box.new_id(FORMS["single pass"]))
+    client.say(backend.new_id(FORMS["single pass"]))
     found, _, new = await place.reached()
-    assert found is box and new != addr
+    assert found is backend and new != addr
 
 
 @case("QUIC-LB 5.4", "Hidden ids of another key lead nowhere, or at least to no other client", "forms")
@@ -283,7 +283,7 @@
 @case("QUIC-LB 3", "An Initial is a request, whatever push box its id names", "forms", over=list(FORMS))
 async def initial_to_a_routable_id(place: Place, name: str) -> None:
     client = await place.client()
-    client.first_id = place.boxes[0].new_id(FORMS[name])
+    client.first_id = place.backends[0].new_id(FORMS[name])
     if len(client.first_id) < 8:
         client.first_id += os.urandom(8)
     client.send(client.initial())
@@ -294,7 +294,7 @@
 @case("RFC 9000 5.1", "A Handshake packet by id goes on after a restart of the relay")
 async def handshake_by_id(place: Place) -> None:
     client = await place.client()
-    box = place.boxes[1]
-    datagram = long(V1, box.new_id(), client.client_id, varint(400) + b"handshake" * 44 + b"shak", 0xE0)
+    backend = place.backends[1]
+    datagram = long(V1, backend.new_id(), client.client_id, varint(400) + b"handshake" * 44 + b"shak", 0xE0)
     client.send(datagram)
-    assert (await place.reached())[:2] == (box, datagram)
+    assert (await place.reached())[:2] == (backend, datagram)
--- a/lab/conform/cases_packets.py
+++ b/lab/conform/cases_packets.py
@@ -97,39 +97,39 @@
 
 @case("RFC 8999 5", "Packets of an unknown version on a standing connection go by id alone")
 async def unknown_version_goes_by_id(place: Place) -> None:
-    client, box, box_id, _ = await place.standing()
-    datagram = long(GREASE, box_id, client.client_id, b"of a version to come")
+    client, backend, backend_id, _ = await place.standing()
+    datagram = long(GREASE, backend_id, client.client_id, b"of a version to come")
     client.send(datagram)
-    assert (await place.reached())[:2] == (box, datagram)
+    assert (await place.reached())[:2] == (backend, datagram)
 
 
 @case("RFC 9369 4", "Version 2 is set up like version 1")
 async def version_2_stands(place: Place) -> None:
-    client, box, box_id, _ = await place.standing(version=V2)
-    client.say(box_id)
-    assert (await place.reached())[0] is box
+    client, backend, backend_id, _ = await place.standing(version=V2)
+    client.say(backend_id)
+    assert (await place.reached())[0] is backend
 
 
 @case("RFC 9368 2.3", "A push box may answer a version 1 Initial in version 2")
 async def box_changes_to_version_2(place: Place) -> None:
-    def in_v2(box: Any, packet: Any, addr: Any) -> None:
-        box.wire.sendto(seal_initial(V2, packet.to_id, packet.from_id, box.new_id(), SERVER_HELLO), addr)
+    def in_v2(backend: Any, packet: Any, addr: Any) -> None:
+        backend.wire.sendto(seal_initial(V2, packet.to_id, packet.from_id, backend.new_id(), SERVER_HELLO), addr)
 
     place.manner(in_v2)
     client = await place.client()
     client.send(client.initial())
-    box = (await place.reached())[0]
+    backend = (await place.reached())[0]
     packet = await client.packet()
     assert packet.version == V2 and open_initial(packet, client.first_id, from_client=False)
     client.version = V2
     client.send(client.initial(to_id=packet.from_id, keys_of=client.first_id))
-    assert (await place.reached())[0] is box
+    assert (await place.reached())[0] is backend
 
 
 @case("RFC 9368 2.1", "A push box that refuses the version is an error: the client is closed, and may come again")
 async def box_negotiates(place: Place) -> None:
     place.manner(
-        lambda box, packet, addr: box.wire.sendto(long(0, packet.from_id, packet.to_id, V2.to_bytes(4)), addr)
+        lambda backend, packet, addr: backend.wire.sendto(long(0, packet.from_id, packet.to_id, V2.to_bytes(4)), addr)
     )
     client = await place.client()
     client.send(client.initial())
@@ -216,11 +216,11 @@
 
 @case("RFC 9000 5.1", "Clients' ids of 0 to 20 octets work", over=[0, 1, 4, 8, 20])
 async def client_ids_of_any_length(place: Place, length: int) -> None:
-    client, box, box_id, _ = await place.standing(id_length=length)
-    client.say(box_id)
+    client, backend, backend_id, _ = await place.standing(id_length=length)
+    client.say(backend_id)
     _, _, addr = await place.reached()
     answer = b"\x40" + client.client_id + b"answer"
-    box.wire.sendto(answer, addr)
+    backend.wire.sendto(answer, addr)
     assert await client.hear() == answer
 
 
@@ -262,8 +262,8 @@
     client = await place.client()
     early = long(V1, client.first_id, client.client_id, varint(400) + b"0-rtt..." * 50, 0xD0)
     client.send(client.initial(), early)
-    box, _, addr = await place.reached()
-    assert (await place.reached()) == (box, early, addr)
+    backend, _, addr = await place.reached()
+    assert (await place.reached()) == (backend, early, addr)
 
 
 @case("RFC 9000 7", "A repeated Initial reaches the same push box, and makes no second visit")
@@ -282,10 +282,10 @@
     place.manner(mute)
     client = await place.client()
     client.send(client.initial())
-    box, _, addr = await place.reached()
+    backend, _, addr = await place.reached()
     more = client.initial(b"\x06\x40\x40\x04more")
     client.send(more)
-    assert (await place.reached()) == (box, more, addr)
+    assert (await place.reached()) == (backend, more, addr)
 
 
 @case("RFC 9000 13.2", "Every datagram of a waiting client goes to the next push box, in order")
@@ -332,16 +332,16 @@
 async def second_flight_by_server_id(place: Place) -> None:
     client = await place.client()
     client.send(client.initial())
-    box, _, addr = await place.reached()
+    backend, _, addr = await place.reached()
     packet = await client.packet()
     flight = client.initial(b"\x02\x00\x00\x00\x00" + HELLO, to_id=packet.from_id, keys_of=client.first_id)
     client.send(flight)
-    assert (await place.reached()) == (box, flight, addr)
+    assert (await place.reached()) == (backend, flight, addr)
 
 
 @case("RFC 8446 4.1.4", "After a HelloRetryRequest the second ClientHello goes to the same push box")
 async def hello_retry_request(place: Place) -> None:
-    client, box, box_id, addr = await place.standing()
-    second = client.initial(b"\x06\x40\x44" + varint(1_000) + bytes(1_000), to_id=box_id, keys_of=client.first_id)
+    client, backend, backend_id, addr = await place.standing()
+    second = client.initial(b"\x06\x40\x44" + varint(1_000) + bytes(1_000), to_id=backend_id, keys_of=client.first_id)
     client.send(second)
-    assert (await place.reached())[:2] == (box, second)
+    assert (await place.reached())[:2] == (backend, second)
--- a/lab/conform/cases_paths.py
+++ b/lab/conform/cases_paths.py
@@ -90,47 +90,47 @@
 
 @case("RFC 9000 9.3", "A client's new address reaches the same push box from another address, by a known id")
 async def rebinding(place: Place) -> None:
-    client, box, box_id, addr = await place.standing()
+    client, backend, backend_id, addr = await place.standing()
     for _ in range(4):
         await client.open()
-        client.say(box_id)
+        client.say(backend_id)
         found, _, new = await place.reached()
-        assert found is box and new != addr
+        assert found is backend and new != addr
         addr = new
 
 
 @case("RFC 9000 9.5", "A client's new address with a fresh id reaches the same push box from another address")
 async def active_migration(place: Place) -> None:
-    client, box, _, addr = await place.standing()
+    client, backend, _, addr = await place.standing()
     await client.open()
-    client.say(box.new_id())
+    client.say(backend.new_id())
     found, _, new = await place.reached()
-    assert found is box and new != addr
+    assert found is backend and new != addr
 
 
 @case("RFC 9000 9.3", "Answers go to the client address that their path stands for")
 async def answers_by_path(place: Place) -> None:
-    client, box, box_id, addr = await place.standing()
+    client, backend, backend_id, addr = await place.standing()
     old = client.heard
     probe = Client(place)
     await probe.open()
     probe.client_id = client.client_id
-    probe.say(box_id)
+    probe.say(backend_id)
     _, _, new = await place.reached()
-    box.wire.sendto(b"\x40" + client.client_id + b"to the new one", new)
+    backend.wire.sendto(b"\x40" + client.client_id + b"to the new one", new)
     assert await probe.hear() == b"\x40" + client.client_id + b"to the new one"
-    box.wire.sendto(b"\x40" + client.client_id + b"to the old one", addr)
+    backend.wire.sendto(b"\x40" + client.client_id + b"to the old one", addr)
     assert await asyncio.wait_for(old.get(), 5) == b"\x40" + client.client_id + b"to the old one"
 
 
 @case("RFC 9000 9.1", "A second path is probed while the first one is in use; neither is disturbed")
 async def probing(place: Place) -> None:
-    client, box, box_id, addr = await place.standing()
+    client, backend, backend_id, addr = await place.standing()
     probe = await place.client()
-    probe_id = box.new_id()
+    probe_id = backend.new_id()
     paths = set()
     for _ in range(5):
-        client.say(box_id)
+        client.say(backend_id)
         paths.add((await place.reached())[2])
         probe.say(probe_id)
         paths.add((await place.reached())[2])
@@ -139,11 +139,11 @@
 
 @case("RFC 9000 9.3", "A path that flaps between two addresses keeps one upstream address for each")
 async def flapping(place: Place) -> None:
-    client, box, box_id, addr = await place.standing()
+    client, backend, backend_id, addr = await place.standing()
     other = await place.client()
     seen = []
     for n in range(10):
-        (client if n % 2 else other).say(box_id)
+        (client if n % 2 else other).say(backend_id)
         seen.append((await place.reached())[2])
     assert len(set(seen)) == 2 and seen[1] == addr and seen[0::2] == [seen[0]] * 5
 
@@ -160,33 +160,33 @@
 
 @case("RFC 9000 9.5", "A fresh id on a known path keeps the path")
 async def fresh_id_same_path(place: Place) -> None:
-    client, box, _, addr = await place.standing()
+    client, backend, _, addr = await place.standing()
     for _ in range(20):
-        client.say(box.new_id())
-        assert (await place.reached())[::2] == (box, addr)
+        client.say(backend.new_id())
+        assert (await place.reached())[::2] == (backend, addr)
 
 
 @case("RFC 9000 5.1.2", "A connection may use hundreds of ids; the table of a visit stays bounded")
 async def many_ids(place: Place) -> None:
-    client, box, first, addr = await place.standing()
+    client, backend, first, addr = await place.standing()
     before = (await place.relay.counters())["quic_ids_now"]
     for _ in range(100):
-        client.say(box.new_id())
+        client.say(backend.new_id())
         await place.reached()
     assert (await place.relay.counters())["quic_ids_now"] - before <= 24
     client.say(first)
-    assert (await place.reached())[::2] == (box, addr), "a forgotten id still decodes"
+    assert (await place.reached())[::2] == (backend, addr), "a forgotten id still decodes"
 
 
 @case("RFC 9000 5.1", "Where ports run out, paths share them and answers still find their client", "ports")
 async def shared_ports(place: Place) -> None:
     clients = [await place.standing() for _ in range(12)]
-    for n, (client, box, box_id, _) in enumerate(clients):
-        client.say(box_id)
+    for n, (client, backend, backend_id, _) in enumerate(clients):
+        client.say(backend_id)
         found, _, addr = await place.reached()
-        assert found is box
+        assert found is backend
         answer = b"\x40" + client.client_id + b"%d" % n
-        box.wire.sendto(answer, addr)
+        backend.wire.sendto(answer, addr)
         assert await client.hear() == answer
     counts = await place.relay.counters()
     assert counts["quic_ports_now"] <= 2 and counts["quic_paths_shared"] >= 4
@@ -195,11 +195,11 @@
 @case("RFC 9000 5.2", "On a shared port an answer to an id that nobody knows still reaches its client", "ports")
 async def unknown_id_on_a_shared_port(place: Place) -> None:
     clients = [await place.standing() for _ in range(12)]
-    for client, box, box_id, _ in clients:
-        client.say(box_id)
+    for client, backend, backend_id, _ in clients:
+        client.say(backend_id)
         _, _, addr = await place.reached()
         answer = b"\x40" + os.urandom(8) + b"to a fresh id of the client's"
-        box.wire.sendto(answer, addr)
+        backend.wire.sendto(answer, addr)
         while await client.hear() != answer:
             pass
 
@@ -208,16 +208,16 @@
 
 
 @asynccontextmanager
-async def told(place: Place, box: Any, phase: str) -> AsyncIterator[None]:
-    """The box list tells this of a push box; afterwards that it serves, and the relay knows that it does."""
-    place.discovery.tell(box.name, phase)
+async def told(place: Place, backend: Any, phase: str) -> AsyncIterator[None]:
+    """The endpoint list tells this of a backend; afterwards that it serves, and the relay knows that it does."""
+    place.discovery.tell(backend.name, phase)
     try:
         yield
     finally:
-        place.discovery.tell(box.name, "SERVING")
+        place.discovery.tell(backend.name, "SERVING")
         probe = await place.client()
         while True:
-            probe.say(box.new_id())
+            probe.say(backend.new_id())
             try:
                 await asyncio.wait_for(place.inbox.get(), 0.1)
                 break
@@ -227,11 +227,11 @@
 
 @case("RFC 9000 10.3", "A gone push box's connections end with a stateless reset for the id used last")
 async def gone_box(place: Place) -> None:
-    client, box, _, _ = await place.standing()
-    last = box.new_id()
+    client, backend, _, _ = await place.standing()
+    last = backend.new_id()
     client.say(last)
     await place.reached()
-    async with told(place, box, "DELETED"):
+    async with told(place, backend, "DELETED"):
         reset = await client.hear()
         assert reset[-16:] == reset_token(RESET_KEY, last) and 21 <= len(reset) <= 43 and reset[0] & 0xC0 == 0x40
         client.say(last, b"x" * 60)
@@ -243,44 +243,44 @@
 
 @case("BRIEF rule 3", "Ids of a gone push box lead nowhere")
 async def ids_of_a_gone_box(place: Place) -> None:
-    box = place.boxes[2]
-    async with told(place, box, "DELETED"):
+    backend = place.backends[2]
+    async with told(place, backend, "DELETED"):
         watch = await place.client()
         while (await place.relay.counters()).get("quic_dropped_gone_box", 0) == 0:
-            watch.say(box.new_id())
+            watch.say(backend.new_id())
         while not place.inbox.empty():
             place.inbox.get_nowait()
         client = await place.client()
-        client.say(box.new_id())
+        client.say(backend.new_id())
         await client.nothing_came()
         place.nothing_reached()
 
 
 @case("BRIEF rule 3", "A draining push box gets no Initial, also not one whose id names it; what stands goes on")
 async def draining_box(place: Place) -> None:
-    client, box, box_id, _ = await place.standing()
-    async with told(place, box, "DRAINING"):
+    client, backend, backend_id, _ = await place.standing()
+    async with told(place, backend, "DRAINING"):
         await asyncio.sleep(0.5)
         while not place.inbox.empty():
             place.inbox.get_nowait()
         for n in range(12):
             new = await place.client()
             if n % 2:
-                new.first_id = box.new_id()
+                new.first_id = backend.new_id()
             new.send(new.initial())
-            assert (await place.reached())[0] is not box
-        client.say(box_id)
+            assert (await place.reached())[0] is not backend
+        client.say(backend_id)
         found, data, _ = await place.reached()
-        assert found is box and data[0] < 0x80
+        assert found is backend and data[0] < 0x80
 
 
 @case("BRIEF rule 3", "0-RTT and stray Initials whose id names a draining push box don't reach it")
 async def stray_to_a_draining_box(place: Place) -> None:
-    box = place.boxes[0]
-    async with told(place, box, "DRAINING"):
-        await place.relay.line(f"push box {box.name} drains")
+    backend = place.backends[0]
+    async with told(place, backend, "DRAINING"):
+        await place.relay.line(f"push box {backend.name} drains")
         client = await place.client()
-        an_id = box.new_id()
+        an_id = backend.new_id()
         client.send(
             long(V1, an_id, client.client_id, varint(400) + b"0-rtt..." * 50, 0xD0).ljust(1_200, b"\0"),
             client.initial(to_id=an_id, keys_of=b"another relay's first id"),
@@ -292,10 +292,10 @@
 @case("RFC 9000 17.2.2", "A stray Initial of a connection that another relay set up goes on by its id")
 async def stray_initial(place: Place) -> None:
     client = await place.client()
-    box = place.boxes[1]
-    datagram = client.initial(to_id=box.new_id(), keys_of=b"another relay's first id")
+    backend = place.backends[1]
+    datagram = client.initial(to_id=backend.new_id(), keys_of=b"another relay's first id")
     client.send(datagram)
-    assert (await place.reached())[:2] == (box, datagram)
+    assert (await place.reached())[:2] == (backend, datagram)
 
 
 # ---- whole handshakes
--- a/lab/conform/cases_validation.py
+++ b/lab/conform/cases_validation.py
@@ -191,8 +191,8 @@
 @case("RFC 9000 17.2.5.2", "A push box's Retry after the relay's is an error: a client takes one only", "retry")
 async def second_retry(place: Place) -> None:
     place.manner(
-        lambda box, packet, addr: box.wire.sendto(
-            make_retry(V1, packet.to_id, packet.from_id, box.new_id(), b"box token"), addr
+        lambda backend, packet, addr: backend.wire.sendto(
+            make_retry(V1, packet.to_id, packet.from_id, backend.new_id(), b"box token"), addr
         )
     )
     client = await place.client()
@@ -280,10 +280,10 @@
 async def nobody_there(place: Place) -> None:
     client = await place.client("127.0.10.1")
     client.send(client.initial())
-    box = (await place.reached())[0]
+    backend = (await place.reached())[0]
     packet = await client.packet()
     await place.relay.counters()
     while (await place.relay.counters()).get("quic_unconfirmed", 0) < 1:
         await asyncio.sleep(0.05)
     client.say(packet.from_id)
-    assert (await place.reached())[0] is box
+    assert (await place.reached())[0] is backend
--- a/lab/conform/quic.py
+++ b/lab/conform/quic.py
@@ -1,4 +1,4 @@
-"""`gradefront conform quic`: the front between scripted clients and push boxes.
+"""`gradefront conform quic`: the front between scripted clients and backends.
 
 Most cases are played with raw packets on both sides, since no endpoint library misbehaves on demand; aioquic plays
 where a whole handshake matters. Silence is shown without waiting: after what must go unanswered, the same client asks
@@ -22,16 +22,16 @@
 from gradefront.quic.initials import CONNECTION_REFUSED, open_initial, seal_initial
 from gradefront.quic.tokens import TokenKey, TokenMint
 
-from ..quic import QuicBox, file_of
-from ..town import Discovery, Program, program, settings
+from ..quic import QuicBackend, file_of
+from ..stand_ins import Discovery, Program, program, settings
 from . import Suite, Verdict, judge, write
-from .raw_backend import FORMS, PLAIN, RawBox, Where, serve
+from .raw_backend import FORMS, PLAIN, RawBackend, Where, serve
 
 HEAR_S = 6.0  # against a hang; a case that expects something fails then
 GREASE = 0x1A2A3A4A
 RESET_KEY = bytes(range(16))
 TOKEN_KEYS = {1: (bytes(range(16)).hex(), bytes(12).hex()), 2: (bytes(range(16, 32)).hex(), bytes(range(12)).hex())}
-HELLO = b"\x06\x00\x40\x40" + b"\x01\x00\x00\x3c" + bytes(60)  # a CRYPTO frame; raw push boxes don't read on
+HELLO = b"\x06\x00\x40\x40" + b"\x01\x00\x00\x3c" + bytes(60)  # a CRYPTO frame; raw backends don't read on
 CLIENT_CLOSE = b"\x1c\x00\x00\x00"
 
 suite = Suite("quic")
@@ -128,13 +128,13 @@
 
 
 class Place:
-    """A relay between raw clients and raw push boxes, or only the address of a front that runs already."""
+    """A relay between raw clients and raw backends, or only the address of a front that runs already."""
 
     def __init__(self, front: Where) -> None:
         self.front = front
-        self.inbox: asyncio.Queue[tuple[RawBox, bytes, Where]] = asyncio.Queue()
-        self.boxes: list[RawBox] = []
-        self.real: list[QuicBox] = []
+        self.inbox: asyncio.Queue[tuple[RawBackend, bytes, Where]] = asyncio.Queue()
+        self.backends: list[RawBackend] = []
+        self.real: list[QuicBackend] = []
         self.discovery: Discovery
         self.relay: Program
         self.closing: list[Any] = []
@@ -142,54 +142,54 @@
         self.clients: list[Client] = []
         self.over: set[bytes] = set()
 
-    def manner(self, how: Callable[[RawBox, Packet, Where], None]) -> None:
-        """What all push boxes do. After silence or errors the decision module holds placements back for a while:
+    def manner(self, how: Callable[[RawBackend, Packet, Where], None]) -> None:
+        """What all backends do. After silence or errors the decision module holds placements back for a while:
         the next case gets a fresh town."""
         self.soiled = self.soiled or how is not serve
-        for box in self.boxes:
-            box.manner = how
+        for backend in self.backends:
+            backend.manner = how
 
     async def client(self, host: str = "127.0.0.1", **more: Any) -> Client:
         self.clients.append(Client(self, **more))
         return await self.clients[-1].open(host)
 
-    async def reached(self) -> tuple[RawBox, bytes, Where]:
-        """What a push box got next."""
+    async def reached(self) -> tuple[RawBackend, bytes, Where]:
+        """What a backend got next."""
         return await asyncio.wait_for(self.inbox.get(), HEAR_S)
 
     def nothing_reached(self) -> None:
         assert self.inbox.empty(), "a push box got something"
 
-    async def standing(self, host: str = "127.0.0.1", **more: Any) -> tuple[Client, RawBox, bytes, Where]:
-        """A client whose connection stands: with its push box, that one's id for it, and the address it shows."""
+    async def standing(self, host: str = "127.0.0.1", **more: Any) -> tuple[Client, RawBackend, bytes, Where]:
+        """A client whose connection stands: with its backend, that one's id for it, and the address it shows."""
         client = await self.client(host, **more)
         client.send(client.initial())
-        box, _, addr = await self.reached()
+        backend, _, addr = await self.reached()
         packet = await client.packet()
         client.say(packet.from_id)
         await self.reached()
-        return client, box, packet.from_id, addr
+        return client, backend, packet.from_id, addr
 
-    async def standing_by_retry(self) -> tuple[Client, RawBox, bytes, Where]:
+    async def standing_by_retry(self) -> tuple[Client, RawBackend, bytes, Where]:
         """The same through the relay's Retry."""
         client = await self.client()
         client.send(client.initial())
         packet = await client.retry()
         client.send(client.initial(to_id=packet.from_id, token=packet.token))
-        box, _, addr = await self.reached()
+        backend, _, addr = await self.reached()
         packet = await client.packet()
         client.say(packet.from_id)
         await self.reached()
-        return client, box, packet.from_id, addr
+        return client, backend, packet.from_id, addr
 
     def clean(self) -> None:
         """Between cases."""
-        for box in self.boxes:
-            box.manner = serve
+        for backend in self.backends:
+            backend.manner = serve
         self.over |= {client.first_id for client in self.clients}
         self.clients = []
-        for box in self.boxes:
-            box.form = PLAIN
+        for backend in self.backends:
+            backend.form = PLAIN
         while not self.inbox.empty():
             self.inbox.get_nowait()
         for wire in self.closing:
@@ -207,7 +207,7 @@
             "config_id": f.number,
             "server_id_length": f.server_id_length,
             "nonce_length": f.nonce_length,
-            "tells_length": f.tells_length,
+            "tells_length": f.encodes_length,
             **({"key": f.key.hex()} if f.key else {}),
         }
         for f in forms
@@ -229,7 +229,7 @@
     return TokenMint(keys, newest, life_us)
 
 
-#: What the front's file says beside push boxes, by the name of the town.
+#: What the front's file says beside backends, by the name of the town.
 TOWNS: dict[str, dict[str, Any]] = {
     "plain": {"ids": ids_of(PLAIN), "limits": WIDE},
     "forms": {"ids": ids_of(*FORMS.values()), "limits": WIDE},
@@ -258,24 +258,24 @@
     """A relay with the settings of that name."""
     place = Place(("", 0))
     discovery = place.discovery = Discovery()
-    boxes: list[Any] = place.boxes
+    backends: list[Any] = place.backends
     if name.startswith("real"):
-        boxes = place.real = [
-            QuicBox(f"box-{n}", bytes([7, n]), token_keys=TOKEN_KEYS if "retry" in name else {}) for n in range(3)
+        backends = place.real = [
+            QuicBackend(f"box-{n}", bytes([7, n]), token_keys=TOKEN_KEYS if "retry" in name else {}) for n in range(3)
         ]
     else:
-        place.boxes += [RawBox(n, place.inbox, place.over) for n in range(3)]
-    for box in boxes:
-        await box.open()
-        discovery.add(box.name, box.port)
+        place.backends += [RawBackend(n, place.inbox, place.over) for n in range(3)]
+    for backend in backends:
+        await backend.open()
+        discovery.add(backend.name, backend.port)
     told = TOWNS[name]
     file = file_of(place.real, **told)
-    for box in place.boxes:
+    for backend in place.backends:
         wanted = {int(f["server_id_length"]) for f in told["ids"]}
-        file["boxes"][box.name] = {  # type: ignore[index]
-            "server_ids": [s.hex() for s in box.server_ids if len(s) in wanted],
+        file["boxes"][backend.name] = {  # type: ignore[index]
+            "server_ids": [s.hex() for s in backend.server_ids if len(s) in wanted],
             "reset_key": RESET_KEY.hex(),
-            "address": f"127.0.0.1:{box.port}",
+            "address": f"127.0.0.1:{backend.port}",
         }
     with tempfile.TemporaryDirectory() as folder:
         async with program(Path(folder), discovery, settings(aim_ms=150, deadline_ms=1200), file) as relay:
@@ -287,8 +287,8 @@
                 yield place
             finally:
                 place.clean()
-                for box in boxes:
-                    box.wire.close()
+                for backend in backends:
+                    backend.wire.close()
 
 
 async def play(only: list[str], against: list[Where], tell: Callable[[Verdict], None]) -> list[Verdict]:
@@ -348,10 +348,10 @@
 
 
 if __name__ == "__main__":
-    # As the module that the cases import, not as a second copy of it.
+    # As the module that the cases import, not as a hedged request of it.
     from lab.conform import quic
 
     sys.exit(quic.main())
 
 
-__all__ = ["CONNECTION_REFUSED", "Client", "Place", "RawBox", "main", "reset_token", "suite", "town"]
+__all__ = ["CONNECTION_REFUSED", "Client", "Place", "RawBackend", "main", "reset_token", "suite", "town"]
--- a/lab/conform/raw_backend.py
+++ b/lab/conform/raw_backend.py
@@ -25,15 +25,15 @@
 SERVER_HELLO = b"\x06\x00\x08" + b"\x02\x00\x00\x04abcd"
 
 
-class RawBox(asyncio.DatagramProtocol):
-    """A push box that does with an Initial what the case says, and notes all that comes."""
+class RawBackend(asyncio.DatagramProtocol):
+    """A backend that does with an Initial what the case says, and notes all that comes."""
 
-    def __init__(self, number: int, inbox: asyncio.Queue[tuple[RawBox, bytes, Where]], over: set[bytes]) -> None:
+    def __init__(self, number: int, inbox: asyncio.Queue[tuple[RawBackend, bytes, Where]], over: set[bytes]) -> None:
         self.over = over  # first ids of clients whose case is over: the relay may still be trying for them
         self.name = f"box-{number}"
         self.server_ids = [bytes([number + 1] * length) for length in (1, 2, 3, 4)]
         self.inbox = inbox
-        self.manner: Callable[[RawBox, Packet, Where], None] = serve
+        self.manner: Callable[[RawBackend, Packet, Where], None] = serve
         self.form = PLAIN
 
     async def open(self) -> None:
@@ -63,20 +63,20 @@
         )
 
 
-def serve(box: RawBox, packet: Packet, addr: Where) -> None:
+def serve(backend: RawBackend, packet: Packet, addr: Where) -> None:
     """Go on with the handshake."""
-    box.answer(packet, addr, SERVER_HELLO)
+    backend.answer(packet, addr, SERVER_HELLO)
 
 
-def refuse(box: RawBox, packet: Packet, addr: Where) -> None:
+def refuse(backend: RawBackend, packet: Packet, addr: Where) -> None:
     """Be full."""
-    box.wire.sendto(close_initial(packet.version, packet.to_id, packet.from_id, "full"), addr)
+    backend.wire.sendto(close_initial(packet.version, packet.to_id, packet.from_id, "full"), addr)
 
 
-def err(box: RawBox, packet: Packet, addr: Where) -> None:
+def err(backend: RawBackend, packet: Packet, addr: Where) -> None:
     """Fail in an orderly way."""
-    box.wire.sendto(close_initial(packet.version, packet.to_id, packet.from_id, "", 0x01), addr)
+    backend.wire.sendto(close_initial(packet.version, packet.to_id, packet.from_id, "", 0x01), addr)
 
 
-def mute(box: RawBox, packet: Packet, addr: Where) -> None:
+def mute(backend: RawBackend, packet: Packet, addr: Where) -> None:
     """Say nothing."""
--- a/lab/crowd.py
+++ b/lab/crowd.py
@@ -13,14 +13,14 @@
 from random import Random
 
 from .fault_proxy import FaultProxy, Faults
-from .town import BUSY_S, PATIENCE_S, Discovery, LineDevice, Program, program, settings
-from .warm_up import Fall, SlowStartRules, WarmingBackend, WarmUp
+from .slow_start_oracle import Fall, SlowStartRules, WarmingBackend, WarmUp
+from .stand_ins import BUSY_S, PATIENCE_S, Discovery, LineDevice, Program, program, settings
 
 AIM_MS, DEADLINE_MS = 800, 4800
 LOOK_S = 0.02  # between two looks at a count
 RETURN_S = (0.058, 0.9)  # clients come back so long after a break
 KILL_S = 3.7  # from SIGTERM: the longest deadline, 3 s at most, and 0.7 s
-NO_ADVICE_S = 0.3  # and so long after a refusal without advice
+NO_ADVICE_S = 0.3  # and so long after a rejection without advice
 
 
 @dataclass(frozen=True)
@@ -30,7 +30,7 @@
     relays: int = 6
     warm: int = 6
     cold: int = 3
-    cold_age_s: float = 5.0  # of cold backends as the relays start
+    cold_age_s: float = 5.0  # of warming backends as the relays start
     fills: float = 50.0  # mean connections that fill a backend
     work: float = 5_600.0  # of a connection, as backends tell it: microseconds a second
     short: float = 0.0  # the part of connections that backends end soon
@@ -161,7 +161,7 @@
             self.clients.add(task)
 
     async def _client(self, wait_s: float) -> None:
-        came_back = False
+        is_reconnect = False
         while True:
             await asyncio.sleep(wait_s)
             wait_s = self.random.uniform(*RETURN_S)
@@ -169,17 +169,17 @@
                 continue
             name = self.random.choice(sorted(self.ports))
             with suppress(ConnectionError):
-                wait_s = await self._ask(name, came_back, wait_s)
-            came_back = True
+                wait_s = await self._ask(name, is_reconnect, wait_s)
+            is_reconnect = True
 
-    async def _ask(self, relay: str, came_back: bool, wait_s: float) -> float:
+    async def _ask(self, relay: str, is_reconnect: bool, wait_s: float) -> float:
         """One connection, to its end; how long the client waits then."""
         port = self.ports[relay]
         device = await LineDevice.connect(port)
         try:
             self.sent_by[f"{device.id:016x}"] = relay
             began = time.monotonic()
-            device.open(d=DEADLINE_MS, more=",again=1" if came_back else "")
+            device.open(d=DEADLINE_MS, more=",again=1" if is_reconnect else "")
             answer = await self._answer(device)
             self.answers[answer.split()[0] if answer else "nothing"] += 1
             late = time.monotonic() - began > DEADLINE_MS / 1000 + BUSY_S
--- a/lab/demo.py
+++ b/lab/demo.py
@@ -9,9 +9,9 @@
 import time
 from pathlib import Path
 
-from .quic import Device, QuicBox
+from .quic import Device, QuicBackend
 from .quic import file_of as quic_file
-from .town import Discovery, LineDevice, Program, PushBox, program, settings, soon
+from .stand_ins import Discovery, LineDevice, Program, StandInBackend, program, settings, soon
 
 BOXES = 3
 EACH = 4  # devices of each kind, before and after each trouble
@@ -30,13 +30,13 @@
 
 
 class Small:
-    """Push boxes that speak lines and QUIC, the list of them, and a relay."""
+    """Backends that speak lines and QUIC, the list of them, and a relay."""
 
     def __init__(self, story: Story) -> None:
         self.story = story
         self.discovery = Discovery()
-        self.lines = [PushBox(lambda line, n=n: f"UP box-{n}") for n in range(BOXES)]  # type: ignore[misc]
-        self.quics = [QuicBox(f"box-{n}", bytes([7, n])) for n in range(BOXES)]
+        self.lines = [StandInBackend(lambda line, n=n: f"UP box-{n}") for n in range(BOXES)]  # type: ignore[misc]
+        self.quics = [QuicBackend(f"box-{n}", bytes([7, n])) for n in range(BOXES)]
         self.relay: Program
         self.devices: list[Device] = []
         self.line_devices: list[LineDevice] = []
@@ -61,7 +61,7 @@
             served[said.split()[0]] = served.get(said.split()[0], 0) + 1
             await device.hop(fresh=True)  # the phone leaves its network: new address, new id, same connection
             assert (await device.ask(f"visit {n}, from another address")).decode().split()[0] == said.split()[0]
-        told = ", ".join(f"{box} {count}" for box, count in sorted(served.items()))
+        told = ", ".join(f"{backend} {count}" for backend, count in sorted(served.items()))
         self.story.tell(f"{EACH} devices on lines and {EACH} on QUIC came {why}: {told}")
 
 
@@ -98,8 +98,8 @@
         story.tell(f"the relay left when told, with status {status}")
         if status or after != before:
             story.unserved += 1
-        for box in town.quics:
-            box.wire.close()
+        for backend in town.quics:
+            backend.wire.close()
     return counts
 
 
--- a/lab/quic.py
+++ b/lab/quic.py
@@ -1,4 +1,4 @@
-"""Stand-in QUIC push boxes and clients, on aioquic as the endpoint library."""
+"""Stand-in QUIC backends and clients, on aioquic as the endpoint library."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from gradefront.quic.initials import close_initial, open_initial
 from gradefront.quic.tokens import TokenKey, TokenMint
 
-from .town import BUSY_S, soon
+from .stand_ins import BUSY_S, soon
 
 FORM = IdForm(0, 2, 9)
 KEY = bytes(range(16))
@@ -90,9 +90,9 @@
 
 
 class Served(Endpoint):
-    """A push box's side of one connection."""
+    """A backend's side of one connection."""
 
-    def __init__(self, box: QuicBox, first_id: bytes, retry_id: bytes | None = None) -> None:
+    def __init__(self, backend: QuicBackend, first_id: bytes, retry_id: bytes | None = None) -> None:
         made, key = certificate()
         super().__init__(
             QuicConnection(
@@ -103,35 +103,35 @@
                 retry_source_connection_id=retry_id,
             )
         )
-        self.box = box
+        self.backend = backend
         ours: Any = self.connection
-        an_id = box.new_id()
+        an_id = backend.new_id()
         ours._host_cids[0] = QuicConnectionId(an_id, 0, reset_token(KEY, an_id), True)
         ours.host_cid = ours._local_initial_source_connection_id = an_id
         ours._replenish_connection_ids = self._replenish
         self.addresses: set[Where] = set()
 
     def _replenish(self) -> None:
-        """Give out ids that name this push box."""
+        """Give out ids that name this backend."""
         ours: Any = self.connection
         while len(ours._host_cids) < min(8, ours._remote_active_connection_id_limit):
-            an_id = self.box.new_id()
+            an_id = self.backend.new_id()
             ours._host_cids.append(QuicConnectionId(an_id, ours._host_cid_seq, reset_token(KEY, an_id)))
             ours._host_cid_seq += 1
         for known in ours._host_cids:
-            self.box.by_id[known.cid] = self
+            self.backend.by_id[known.cid] = self
 
     def send(self, datagram: bytes, to: Where) -> None:
-        if not self.box.wire.is_closing():
-            self.box.wire.sendto(datagram, to)
+        if not self.backend.wire.is_closing():
+            self.backend.wire.sendto(datagram, to)
 
     def stream(self, stream_id: int, text: bytes) -> None:
-        self.box.asked[text] += 1
-        self.connection.send_stream_data(stream_id, self.box.name.encode() + b" has " + text, end_stream=True)
+        self.backend.asked[text] += 1
+        self.connection.send_stream_data(stream_id, self.backend.name.encode() + b" has " + text, end_stream=True)
 
 
-class QuicBox(asyncio.DatagramProtocol):
-    """A push box that speaks QUIC. `mood`: serve, refuse, fail, or silent (what comes is kept). With
+class QuicBackend(asyncio.DatagramProtocol):
+    """A backend that speaks QUIC. `mood`: serve, refuse, fail, or silent (what comes is kept). With
     `token_keys` (by sequence: key and IV in hex) it reads the relay's Retry tokens."""
 
     def __init__(
@@ -228,14 +228,14 @@
     return b"\x06\x00" + varint(len(text)) + text
 
 
-def file_of(boxes: list[QuicBox], **more: object) -> dict[str, object]:
-    """The second front's file for these push boxes: with the older form of ids, unless `ids` are given."""
+def file_of(backends: list[QuicBackend], **more: object) -> dict[str, object]:
+    """The second front's file for these backends: with the older form of ids, unless `ids` are given."""
     older = {"config_id": FORM.number, "server_id_length": FORM.server_id_length, "nonce_length": FORM.nonce_length}
     return {
         "on": True,
         "listen": {"visit-checkin": "127.0.0.1:0"},
         **({} if "ids" in more else older),
-        "boxes": {box.name: box.told() for box in boxes},
+        "boxes": {backend.name: backend.told() for backend in backends},
         **more,
     }
 
@@ -268,7 +268,7 @@
         """Take a new source port, and with `fresh` a new connection id at the same time."""
         if self.wire:
             # What is out on the old path may be lost with it. Hop after hop that adds up, on both sides, to more than
-            # a push box may send to an address that it has not validated yet (RFC 9000 8.1): it would wait.
+            # a backend may send to an address that it has not validated yet (RFC 9000 8.1): it would wait.
             with suppress(TimeoutError):
                 await asyncio.wait_for(self.calm.wait(), BUSY_S)
         old = self.wire
--- a/lab/warm_up.py
+++ b/lab/slow_start_oracle.py
@@ -13,7 +13,7 @@
 from itertools import count
 from typing import Any, NamedTuple
 
-from .town import PushBox
+from .stand_ins import StandInBackend
 
 SHORT_S = 0.15  # a connection that its backend ends soon
 MANY = 30.0  # requests: from here on chance is allowed two deviations, below three
@@ -93,7 +93,8 @@
         return min(1.0, self.rules.start_capacity + (1 - self.rules.start_capacity) * max(0.0, age))
 
     def mean_allowed(self, at_s: float) -> float:
-        """Requests that it may be sent in the window: a cold one takes no more than fill it over its warm-up."""
+        """Requests that it may be sent in the window: a one in slow start takes no more than fill it over its
+        warm-up."""
         rules = self.rules
         return rules.multiple * self.capacity(at_s) * self.fills * rules.window_s / rules.warm_s
 
@@ -110,7 +111,7 @@
             self.fall = Fall(self.backend, arrival.at_s - self.started_s, most, tuple(self.recent))
 
 
-class WarmingBackend(PushBox):
+class WarmingBackend(StandInBackend):
     """A backend on sockets that warms up, tells its load, and falls."""
 
     def __init__(
--- a/lab/soak.py
+++ b/lab/soak.py
@@ -18,7 +18,7 @@
 
 from .crowd import Fleet, Scene
 from .fault_proxy import Faults
-from .warm_up import SlowStartRules
+from .slow_start_oracle import SlowStartRules
 
 PLAY_S = 8.0  # from the moment when the first clients are served
 SIGNALS = (signal.SIGTERM, signal.SIGKILL, signal.SIGHUP)
--- a/lab/town.py
+++ b/lab/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the outside: discovery, push boxes, clients; and the program itself, started."""
+"""Stand-ins for the outside: discovery, backends, clients; and the program itself, started."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 class Discovery:
-    """The box list's service: answers watches, and tells changes when the test says."""
+    """The endpoint list's service: answers watches, and tells changes when the test says."""
 
     def __init__(self) -> None:
         self.members: dict[str, dict[str, Any]] = {}
@@ -85,9 +85,9 @@
     def serves(self) -> bool:
         return hasattr(self, "server") and self.server.is_serving()
 
-    def add(self, box: str, port: int) -> None:
-        self.members[box] = {
-            "id": box,
+    def add(self, backend: str, port: int) -> None:
+        self.members[backend] = {
+            "id": backend,
             "host_port": f"127.0.0.1:{port}",
             "locality": "kgn-1",
             "flavor": "quad-fast",
@@ -124,18 +124,18 @@
         for part in (line[:7], line[7:]):  # chunks need not be whole lines
             writer.write(b"%x\r\n%s\r\n" % (len(part), part))
 
-    def tell(self, box: str, phase: str) -> float:
+    def tell(self, backend: str, phase: str) -> float:
         """Tell a change to all who watch; returns when."""
-        self.members[box]["phase"] = phase
+        self.members[backend]["phase"] = phase
         self.revision += 1
-        change = {"revision": self.revision, "complete": False, "members": [dict(self.members[box])]}
+        change = {"revision": self.revision, "complete": False, "members": [dict(self.members[backend])]}
         for writer in self.watches:
             self._chunk(writer, change)
         return time.monotonic()
 
 
-class PushBox:
-    """A push box on the platform's lines. `answer` makes its reply to a first line; None is silence."""
+class StandInBackend:
+    """A backend on the platform's lines. `answer` makes its reply to a first line; None is silence."""
 
     def __init__(self, answer: Callable[[str], str | None]) -> None:
         self.answer = answer
@@ -232,7 +232,7 @@
         self.door = 0  # the operators' port, where there is one
 
     async def call(self, call: str) -> list[str]:
-        """Call at the operators' door; the lines of the answer."""
+        """Call at the admin interface; the lines of the answer."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.door)
         writer.write(call.encode() + b"\r\n")
         try:
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -2,22 +2,25 @@
 
 from __future__ import annotations
 
-from gradefront.core.ports import Call, Ending, UpstreamConnection
+from balancer.actions import Action, StartAttempt
+from balancer.events import AttemptEnded, Endpoint, EndpointListUpdate, Event, TimerFired
+from balancer.settings import RequestClass, Settings
+from gradefront.core.connect_request import ConnectRequest
+from gradefront.core.connection import Attempt, Connection
+from gradefront.core.ports import BackendConnection, ConnectionEnd
 from gradefront.core.relay import RelayCore
-from gradefront.core.visit import Attempt, Visit
-from milletdeal import interface as i
 
-CLASS = i.RequestClass(aim_us=500_000, deadline_us=2_000_000, message_aim_us=50_000)
-SETTINGS = i.Settings(classes=(CLASS,), max_attempts=4, connect_timeout_us=150_000, ask_for_list=True)
+CLASS = RequestClass(latency_objective_us=500_000, deadline_us=2_000_000, message_latency_objective_us=50_000)
+SETTINGS = Settings(classes=(CLASS,), max_attempts=4, connect_timeout_us=150_000, polls_endpoint_list=True)
 
 
 class Upstream:
-    """A way to a push box that records its end."""
+    """A way to a backend that records its end."""
 
     def __init__(self) -> None:
-        self.hung: list[Ending] = []
+        self.hung: list[ConnectionEnd] = []
 
-    def hang_up(self, how: Ending) -> None:
+    def close(self, how: ConnectionEnd) -> None:
         self.hung.append(how)
 
 
@@ -28,91 +31,91 @@
         self.told: list[str] = []
         self.pause_us = 0
 
-    def seat(self, upstream: UpstreamConnection, receipt: object) -> None:
+    def establish(self, upstream: BackendConnection, response_line: object) -> None:
         self.told.append("seat")
 
-    def refuse(self, pause_us: int) -> None:
+    def reject(self, pause_us: int) -> None:
         self.pause_us = pause_us
         self.told.append("refuse")
 
     def fail(self) -> None:
         self.told.append("fail")
 
-    def move(self) -> None:
+    def migrate(self) -> None:
         self.told.append("move")
 
-    def end(self, how: Ending) -> None:
+    def close(self, how: ConnectionEnd) -> None:
         self.told.append("end")
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         return False
 
 
 class Bench:
-    """A relay core, its clock, its box caller, and a decision module that does what the test says."""
+    """A relay core, its clock, its backend caller, and a decision module that does what the test says."""
 
-    def __init__(self, settings: i.Settings = SETTINGS) -> None:
+    def __init__(self, settings: Settings = SETTINGS) -> None:
         self.now = 1_000_000
-        self.events: list[i.Event] = []
-        self.orders: list[i.Action] = []
+        self.events: list[Event] = []
+        self.orders: list[Action] = []
         self.broken = False  # the module raises
         self.attempts: list[Attempt] = []
         self.upstreams: list[Upstream] = []
         self.connect_checks: list[str] = []
         self.core = RelayCore(self, settings, lambda: self.now, lambda: None, class_names=("visit-checkin",))
-        self.core.prober = self
-        self.core.listed(i.ListUpdate((i.ServerEntry("box-1"), i.ServerEntry("box-2"))))
+        self.core.health_checker = self
+        self.core.on_endpoint_list(EndpointListUpdate((Endpoint("box-1"), Endpoint("box-2"))))
 
-    def ask(self, box: str) -> None:
-        """As the one who asks push boxes; the module here asks for nothing."""
+    def check(self, backend: str) -> None:
+        """As the one who asks backends; the module here asks for nothing."""
 
-    def check_connect(self, box: str, patience_us: int) -> None:
-        self.connect_checks.append(box)
+    def check_connect(self, backend: str, timeout_us: int) -> None:
+        self.connect_checks.append(backend)
 
-    def handle(self, now_us: int, event: i.Event) -> list[i.Action]:
+    def handle(self, now_us: int, event: Event) -> list[Action]:
         self.events.append(event)
         if self.broken:
             raise IndexError("the module broke")
         orders, self.orders = self.orders, []
         return orders
 
-    def avoided(self, now_us: int) -> int:
+    def count_unavailable(self, now_us: int) -> int:
         return 0
 
-    def call(self, attempt: Attempt, parcel: object) -> Upstream:
+    def connect(self, attempt: Attempt, request_line: object) -> Upstream:
         self.attempts.append(attempt)
         self.upstreams.append(Upstream())
         return self.upstreams[-1]
 
-    def order(self, *orders: i.Action) -> None:
+    def order(self, *orders: Action) -> None:
         """Have the module say this now."""
-        self.core.turn()
+        self.core.run_turn()
         self.orders += orders
-        self.core.put(i.TimerFired(0))
-        self.core.turn()
+        self.core.enqueue(TimerFired(0))
+        self.core.run_turn()
 
     def wait(self, us: int) -> None:
         """Let time pass, with a turn whenever the wheel is due."""
         end = self.now + us
         while self.now < end:
             self.now = min(end, max(self.now + 1, self.core.timers.next_due() or end))
-            self.core.turn()
+            self.core.run_turn()
 
-    def arrive(self, patience_us: int = 2_000_000) -> tuple[Visit, Client]:
+    def arrive(self, timeout_us: int = 2_000_000) -> tuple[Connection, Client]:
         """A client comes."""
         client = Client()
-        visit = self.core.arrive(Call(patience_us, "parcel"), client, self)
-        self.core.turn()
-        return visit, client
-
-    def standing(self, box: str = "box-1") -> tuple[Visit, Client, Attempt]:
-        """A client whose visit stands."""
-        visit, client = self.arrive()
-        self.order(i.Start(visit.number, box, 1_000_000))
-        self.attempts[-1].stands("receipt")
-        self.core.turn()
-        return visit, client, self.attempts[-1]
-
-    def outcomes(self, visit: Visit) -> list[i.Outcome]:
+        connection = self.core.accept(ConnectRequest(timeout_us, "parcel"), client, self)
+        self.core.run_turn()
+        return connection, client
+
+    def standing(self, backend: str = "box-1") -> tuple[Connection, Client, Attempt]:
+        """A client whose connection stands."""
+        connection, client = self.arrive()
+        self.order(StartAttempt(connection.number, backend, 1_000_000))
+        self.attempts[-1].succeed("receipt")
+        self.core.run_turn()
+        return connection, client, self.attempts[-1]
+
+    def outcomes(self, connection: Connection) -> list[AttemptEnded]:
         """The ends of attempts that the module was told."""
-        return [e for e in self.events if isinstance(e, i.Outcome) and e.request == visit.number]
+        return [e for e in self.events if isinstance(e, AttemptEnded) and e.request_id == connection.number]
--- a/tests/loop.py
+++ b/tests/loop.py
@@ -17,12 +17,12 @@
 from typing import Any, cast
 
 from gradefront.config import parse
-from gradefront.core.ports import UpstreamConnection
-from gradefront.core.visit import Attempt
-from gradefront.net.front import ClientProtocol
+from gradefront.core.connection import Attempt
+from gradefront.core.ports import BackendConnection
+from gradefront.net.client_protocol import ClientProtocol
 from gradefront.net.reactor import RelayReactor
 from gradefront.serve import Relay
-from lab.town import settings
+from lab.stand_ins import settings
 
 LONG_S = 10.0  # against a hang only
 IDS = count(0x1000)
@@ -197,9 +197,9 @@
     def client(self) -> Peer:
         """A device that has connected and is at the door."""
         port = self.relay.port.getHost().port
-        before = set(self.relay.front.door)
+        before = set(self.relay.front.pre_request)
         peer = Peer(socket.create_connection(("127.0.0.1", port), LONG_S))
-        self.until(lambda: set(self.relay.front.door) - before)
+        self.until(lambda: set(self.relay.front.pre_request) - before)
         return peer
 
     def side(self, peer: Peer) -> ClientProtocol:
@@ -215,7 +215,7 @@
         """A device's first line, seen by the loop."""
         side = self.side(peer)
         peer.line(OPEN.format(id=next(IDS), d=d, c=c))
-        self.until(lambda: side.visit or side.closing)
+        self.until(lambda: side.connection or side.closing)
 
     def standing(self, backend: Backend) -> tuple[Peer, Peer]:
         """A device that is served: its end, and the backend's."""
@@ -258,13 +258,13 @@
 def hold_connects(loop: Loop) -> list[Attempt]:
     """From now on connections to backends don't come up, as far as the loop sees. The attempts, as they begin."""
     attempts = list[Attempt]()
-    call = loop.relay.front.caller.call
+    call = loop.relay.front.connector.connect
 
-    def held(attempt: Attempt, parcel: object) -> UpstreamConnection:
-        upstream = call(attempt, parcel)
+    def held(attempt: Attempt, request_line: object) -> BackendConnection:
+        upstream = call(attempt, request_line)
         loop.order.held.add(upstream.connector.transport.fileno())  # type: ignore[attr-defined]
         attempts.append(attempt)
         return upstream
 
-    loop.relay.front.caller.call = held  # type: ignore[method-assign]
+    loop.relay.front.connector.connect = held  # type: ignore[method-assign]
     return attempts
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -9,8 +9,9 @@
 
 import pytest
 
-from milletdeal import interface as i
-from milletdeal import wire
+from balancer import simulator_wire
+from balancer.events import HealthCheckResult
+from balancer.settings import RequestClass, Settings
 
 UP: dict[str, Any] = {
     "type": "Up",
@@ -25,7 +26,7 @@
 def run(*messages: object) -> subprocess.CompletedProcess[str]:
     lines = [m if isinstance(m, str) else json.dumps(m) for m in messages]
     return subprocess.run(
-        [sys.executable, "-m", "milletdeal.simhost"],
+        [sys.executable, "-m", "balancer.simulator_host"],
         input="\n".join(lines) + "\n",
         capture_output=True,
         text=True,
@@ -79,8 +80,8 @@
 
 def test_a_report_of_another_length_says_nothing() -> None:
     event = {"type": "StatusBack", "host": "h", "rc": "success", "healthInfo": [0.5]}
-    got = wire.event(event, ("cpu_share", "x0"))
-    assert isinstance(got, i.ProbeResult) and got.report is None
+    got = simulator_wire.event(event, ("cpu_share", "x0"))
+    assert isinstance(got, HealthCheckResult) and got.load_report is None
 
 
 @pytest.mark.parametrize(
@@ -88,13 +89,13 @@
     [
         {"classes": ()},
         {"max_attempts": 0},
-        {"cold_us": -1},
+        {"warm_up_us": -1},
         {"fleet_size": 0},
-        {"start_capacity": 2.0},
-        {"classes": (i.RequestClass(aim_us=-1, deadline_us=1),)},
+        {"initial_capacity": 2.0},
+        {"classes": (RequestClass(latency_objective_us=-1, deadline_us=1),)},
     ],
 )
 def test_senseless_settings_name_the_field(change: dict[str, Any]) -> None:
-    good: dict[str, Any] = {"classes": (i.RequestClass(aim_us=1, deadline_us=1),)}
+    good: dict[str, Any] = {"classes": (RequestClass(latency_objective_us=1, deadline_us=1),)}
     with pytest.raises(ValueError, match=next(iter(change))):
-        i.Settings(**{**good, **change})
+        Settings(**{**good, **change})
--- a/tests/test_ops.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' door and the figures."""
+"""The admin interface and the figures."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from hypothesis import strategies as st
 from twisted.internet.testing import StringTransport
 
+from gradefront.admin.metrics import lines
+from gradefront.admin.server import CALLERS, MOST_CALLERS, PATIENCE_US, AdminServer, CallerLine
 from gradefront.core.counters import Counters
-from gradefront.ops.door import CALLERS, MOST_CALLERS, PATIENCE_US, CallerLine, Door
-from gradefront.ops.figures import lines
-from lab.town import LineDevice, settings, soon
+from lab.stand_ins import LineDevice, settings, soon
 
 from .helper import Bench
 from .test_service import town
@@ -46,7 +46,7 @@
 
     def __init__(self) -> None:
         self.bench = Bench()
-        self.door = Door(
+        self.door = AdminServer(
             self.bench.core,
             {"PING": lambda: ["ok"], "LAMEDUCK": lambda: ["ok lame duck"], "BREAK": lambda: [str(1 // 0)]},
         )
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -19,7 +19,7 @@
     return f"{rng.randrange(1, 224)}.{rng.randrange(256)}.{rng.randrange(256)}.{rng.randrange(256)}"
 
 
-class Door:
+class Listener:
     """An admission under a flood."""
 
     def __init__(self, **limits: object) -> None:
@@ -39,7 +39,7 @@
 
 
 def test_a_client_that_repeats_itself_is_heard_and_a_made_up_flood_is_not() -> None:
-    here = Door()
+    here = Listener()
     here.spend(S, 5_000)
     assert here.flood.count(Verdict.TAKE) <= 51, "what came before the door felt it"
     taken = here.flood.count(Verdict.TAKE)
@@ -55,7 +55,7 @@
 
 
 def test_pressure_ends_and_begins_with_hysteresis() -> None:
-    here = Door(pressure=100.0)
+    here = Listener(pressure=100.0)
     here.spend(S, 90)
     assert not here.door.under_pressure
     here.spend(S, 400)
@@ -67,7 +67,7 @@
 
 
 def test_proofs_are_asked_for_as_set_and_taken() -> None:
-    always, auto = Door(prove=Prove.ALWAYS), Door(prove=Prove.AUTO)
+    always, auto = Listener(prove=Prove.ALWAYS), Listener(prove=Prove.AUTO)
     assert always.ask("198.51.100.1", b"a") is Verdict.PROVE
     assert always.ask("198.51.100.1", b"a", proven=True) is Verdict.TAKE
     assert auto.ask("198.51.100.1", b"a") is Verdict.TAKE
@@ -78,7 +78,7 @@
 
 
 def test_an_address_in_whose_name_others_flood_loses_its_credit_and_an_honest_one_keeps_it() -> None:
-    here = Door()
+    here = Listener()
     here.door.credit("203.0.113.5", came=True)
     here.spend(S, 5_000)
     assert here.ask("203.0.113.5", b"a") is Verdict.TAKE
@@ -91,7 +91,7 @@
 
 
 def test_whoever_floods_from_one_address_pays_alone_and_is_told_the_truth() -> None:
-    here = Door(pressure=1e6, address_rate=10.0, address_burst=20.0)
+    here = Listener(pressure=1e6, address_rate=10.0, address_burst=20.0)
     verdicts = [here.ask("203.0.113.5", b"%d" % n) for n in range(60)]
     assert verdicts.count(Verdict.TAKE) == 20 and Verdict.LATER in verdicts
     assert here.ask("203.0.113.6", b"x") is Verdict.TAKE
@@ -102,7 +102,7 @@
 
 
 def test_networks_share_the_waiting_room_fairly() -> None:
-    here = Door(pressure=1e6, most_waiting=100)
+    here = Listener(pressure=1e6, most_waiting=100)
     greedy, small = here.door.limits.prefixes.of("203.0.113.1"), here.door.limits.prefixes.of("198.51.100.1")
     entered = 0
     while here.door.has_room(greedy):
@@ -119,7 +119,7 @@
 
 
 def test_networks_are_allowed_and_denied() -> None:
-    here = Door(
+    here = Listener(
         deny=NetworkSet(["10.1.0.0/16", "2001:db8:dead::/48"]), allow=NetworkSet(["10.0.0.0/8", "2001:db8::/32"])
     )
     for host, verdict in (
@@ -133,7 +133,7 @@
 
 
 def test_memory_stays_as_it_is_whatever_comes() -> None:
-    here = Door()
+    here = Listener()
     size = here.door.addresses.octets
     here.spend(30 * S, 5_000)
     assert here.door.addresses.octets == size == 8_192 * 2 * 16
--- a/tests/test_basic.py
+++ b/tests/test_basic.py
@@ -5,10 +5,22 @@
 import tomllib
 from pathlib import Path
 
-from milletdeal import Balancer
-from milletdeal import interface as i
+from balancer import Balancer
+from balancer.actions import Action, CheckHealth, Fail, Reject, SetTimer, StartAttempt
+from balancer.events import (
+    AttemptEnded,
+    AttemptResult,
+    ConnectionAdopted,
+    Endpoint,
+    EndpointListUpdate,
+    HealthCheckResult,
+    LoadReport,
+    Request,
+    TimerFired,
+)
+from balancer.settings import LoadReportSource, RequestClass, Settings
 
-CLASS = i.RequestClass(aim_us=500_000, deadline_us=2_000_000)
+CLASS = RequestClass(latency_objective_us=500_000, deadline_us=2_000_000)
 
 
 def test_size_limits() -> None:
@@ -16,10 +28,13 @@
     texts = [Path(name).read_text() for name in policy]
     assert max(len(text.splitlines()) for text in texts) <= 400
     assert max(len(line) for text in texts for line in text.splitlines()) <= 110
-    assert "interface.py" in texts[0].split('"""')[1]
+    assert all(name in texts[0].split('"""')[1] for name in ("events.py", "actions.py"))
     named = {Path(name).name for name in policy}
-    undecided = {"node.py", "records.py", "reasons.py", "interface.py", "wire.py", "simhost.py", "__init__.py"}
-    assert {p.name for p in Path("milletdeal").glob("*.py")} == named | undecided, "all that decide are named"
+    undecided = {
+        *("node.py", "records.py", "events.py", "actions.py", "settings.py"),
+        *("simulator_wire.py", "simulator_host.py", "__init__.py"),
+    }
+    assert {p.name for p in Path("balancer").glob("*.py")} == named | undecided, "all that decide are named"
 
 
 def test_a_group_goes_where_it_stands_already_until_there_is_less_than_a_third_of_the_room() -> None:
@@ -27,16 +42,19 @@
         """Of 40 groups, how many have their second connection beside the first, at this load there."""
         together = 0
         for seed in range(40):
-            b = Balancer(i.Settings(classes=(CLASS,), groups=True, reports=i.Reports.PROBES), seed)
-            b.handle(0, i.ListUpdate(tuple(i.ServerEntry(f"s{n}") for n in range(9))))
+            b = Balancer(
+                Settings(classes=(CLASS,), sticky_groups=True, load_report_source=LoadReportSource.HEALTH_CHECKS),
+                seed,
+            )
+            b.handle(0, EndpointListUpdate(tuple(Endpoint(f"s{n}") for n in range(9))))
             group = f"g{seed}"
-            b.handle(1, i.OpenConnection(i.Request(1, 2_000_000, group=group), "s3"))
-            for name, server in b.servers.items():
-                server.load, server.load_at = load if name == "s3" else 0.2, 2
-            (second,) = b.handle(3, i.Request(2, 2_000_000, group=group))
-            assert isinstance(second, i.Start) and b.kin == {group: {"s3": 1}}
-            together += second.server == "s3"
-            b.handle(4, i.Outcome(1, 0, "s3", i.Result.OK, True))
+            b.handle(1, ConnectionAdopted(Request(1, 2_000_000, sticky_group=group), "s3"))
+            for name, backend in b.backends.items():
+                backend.load, backend.load_at = load if name == "s3" else 0.2, 2
+            (second,) = b.handle(3, Request(2, 2_000_000, sticky_group=group))
+            assert isinstance(second, StartAttempt) and b.kin == {group: {"s3": 1}}
+            together += second.backend == "s3"
+            b.handle(4, AttemptEnded(1, 0, "s3", AttemptResult.OK, True))
             assert not b.kin, "nothing is kept of a group that is gone"
         return together
 
@@ -44,49 +62,57 @@
 
 
 def test_places_and_retries_elsewhere() -> None:
-    b = Balancer(i.Settings(classes=(CLASS,)), 1)
-    b.handle(0, i.ListUpdate(tuple(i.ServerEntry(f"s{n}") for n in range(3))))
-    (first,) = b.handle(1, i.Request(7, 2_000_000))
-    assert isinstance(first, i.Start)
-    wait = b.handle(2, i.Outcome(7, 0, first.server, i.Result.CONNECT_FAILED))[-1]
-    assert isinstance(wait, i.SetTimer)
-    assert wait.delay_us <= CLASS.aim_us
-    (second,) = b.handle(2 + wait.delay_us, i.TimerFired(wait.timer))
-    assert isinstance(second, i.Start)
-    assert second.server != first.server
+    b = Balancer(Settings(classes=(CLASS,)), 1)
+    b.handle(0, EndpointListUpdate(tuple(Endpoint(f"s{n}") for n in range(3))))
+    (first,) = b.handle(1, Request(7, 2_000_000))
+    assert isinstance(first, StartAttempt)
+    wait = b.handle(2, AttemptEnded(7, 0, first.backend, AttemptResult.CONNECT_FAILED))[-1]
+    assert isinstance(wait, SetTimer)
+    assert wait.delay_us <= CLASS.latency_objective_us
+    (second,) = b.handle(2 + wait.delay_us, TimerFired(wait.timer_id))
+    assert isinstance(second, StartAttempt)
+    assert second.backend != first.backend
 
 
 def test_no_server_is_refused_once() -> None:
-    b = Balancer(i.Settings(classes=(CLASS,)), 1)
-    now, actions = 0, b.handle(0, i.Request(7, 2_000_000))
-    answers: list[i.Action] = []
+    b = Balancer(Settings(classes=(CLASS,)), 1)
+    now, actions = 0, b.handle(0, Request(7, 2_000_000))
+    answers: list[Action] = []
     while actions:
-        timers = [a for a in actions if isinstance(a, i.SetTimer)]
-        answers += [a for a in actions if isinstance(a, (i.Start, i.Refuse, i.Fail))]
+        timers = [a for a in actions if isinstance(a, SetTimer)]
+        answers += [a for a in actions if isinstance(a, (StartAttempt, Reject, Fail))]
         actions = []
         for timer in timers:
             now += timer.delay_us
-            actions += b.handle(now, i.TimerFired(timer.timer))
-    assert answers == [i.Refuse(7)]
+            actions += b.handle(now, TimerFired(timer.timer_id))
+    assert answers == [Reject(7)]
     assert now < 2_000_000
 
 
 def test_a_look_that_finds_no_room_is_no_attempt_where_one_attempt_is_told() -> None:
     placed = 0
     for seed in range(20):
-        b = Balancer(i.Settings(classes=(CLASS,), max_attempts=1, reports=i.Reports.PROBES, may_probe=True), seed)
-        b.handle(0, i.ListUpdate((i.ServerEntry("s1"), i.ServerEntry("s2"))))
-        told = b.handle(1_000, i.Request(7, 2_000_000))
-        assert any(isinstance(a, i.Probe) for a in told)
-        for server in ("s1", "s2"):  # both are full now
-            told += b.handle(2_000, i.ProbeResult(server, i.Result.OK, report=i.LoadReport(1.5)))
-        assert not any(isinstance(a, i.Refuse | i.Fail) for a in told), "given up without an attempt"
-        (timer, wait) = [(a.timer, a.delay_us) for a in told if isinstance(a, i.SetTimer)][-1]
-        for server in ("s1", "s2"):  # and have room again
-            b.handle(2_500, i.ProbeResult(server, i.Result.OK, report=i.LoadReport(0.1)))
-        starts = [a for a in b.handle(2_000 + wait, i.TimerFired(timer)) if isinstance(a, i.Start)]
+        b = Balancer(
+            Settings(
+                classes=(CLASS,),
+                max_attempts=1,
+                load_report_source=LoadReportSource.HEALTH_CHECKS,
+                may_check_health=True,
+            ),
+            seed,
+        )
+        b.handle(0, EndpointListUpdate((Endpoint("s1"), Endpoint("s2"))))
+        told = b.handle(1_000, Request(7, 2_000_000))
+        assert any(isinstance(a, CheckHealth) for a in told)
+        for backend in ("s1", "s2"):  # both are full now
+            told += b.handle(2_000, HealthCheckResult(backend, AttemptResult.OK, load_report=LoadReport(1.5)))
+        assert not any(isinstance(a, Reject | Fail) for a in told), "given up without an attempt"
+        (timer, wait) = [(a.timer_id, a.delay_us) for a in told if isinstance(a, SetTimer)][-1]
+        for backend in ("s1", "s2"):  # and have room again
+            b.handle(2_500, HealthCheckResult(backend, AttemptResult.OK, load_report=LoadReport(0.1)))
+        starts = [a for a in b.handle(2_000 + wait, TimerFired(timer)) if isinstance(a, StartAttempt)]
         placed += len(starts)
         if starts:  # the one attempt fails: nothing more is sent
-            told = b.handle(2_100 + wait, i.Outcome(7, 0, starts[0].server, i.Result.CONNECT_FAILED))
-            assert [a for a in told if isinstance(a, i.Refuse)] and not any(isinstance(a, i.SetTimer) for a in told)
+            told = b.handle(2_100 + wait, AttemptEnded(7, 0, starts[0].backend, AttemptResult.CONNECT_FAILED))
+            assert [a for a in told if isinstance(a, Reject)] and not any(isinstance(a, SetTimer) for a in told)
     assert placed >= 10
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -11,7 +11,7 @@
 import pytest
 
 from gradefront.cli import VERBS, command
-from lab.town import settings
+from lab.stand_ins import settings
 
 KEY = "8f95f09245765f80256934e50c66207f"
 
@@ -62,10 +62,10 @@
 ) -> None:
     relay, quic = tmp_path / "relay.json", tmp_path / "quic.json"
     told = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f", "settings": settings()}
-    box = {"server_id": "0001", "address": "127.0.0.1:5", "reset_key": "00ff"}
+    backend = {"server_id": "0001", "address": "127.0.0.1:5", "reset_key": "00ff"}
     file = {
         "listen": {"visit-checkin": "127.0.0.1:0"},
-        "boxes": {"a": box},
+        "boxes": {"a": backend},
         "ids": [{"config_id": 1, "server_id_length": 2, "nonce_length": 5, "key_file": "ids.key"}],
     }
     relay.write_text(json.dumps(told))
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -15,9 +15,9 @@
 from hypothesis import strategies as st
 
 from gradefront.core.start_times import NOTICE_US, Hearing, Start, start_time
-from gradefront.net.boxlist import BoxList
+from gradefront.net.endpoint_list import EndpointList
 from gradefront.net.reactor import STEP_US, Clock
-from lab.town import BUSY_S, Discovery, LineDevice, Program, PushBox, program, settings, soon
+from lab.stand_ins import BUSY_S, Discovery, LineDevice, Program, StandInBackend, program, settings, soon
 
 from .helper import Bench
 from .test_net_parts import CONFIG
@@ -26,31 +26,31 @@
 
 
 @asynccontextmanager
-async def stepped(folder: Path, step_s: int, boxes: list[PushBox]) -> AsyncIterator[Program]:
+async def stepped(folder: Path, step_s: int, backends: list[StandInBackend]) -> AsyncIterator[Program]:
     """The program, with backends, whose wall clock a SIGUSR2 steps."""
     discovery = Discovery()
     discovery.silent = True  # its signs of life would wake the loop, and hide timers that don't run
-    for n, box in enumerate(boxes):
-        discovery.add(f"box-{n}", await box.open())
+    for n, backend in enumerate(backends):
+        discovery.add(f"box-{n}", await backend.open())
     async with program(
         folder, discovery, settings(deadline_ms=4000), module="tests.stepped", environment={"STEP_S": str(step_s)}
     ) as relay:
         await soon(discovery.asked.wait())
         yield relay
-        for box in boxes:
-            box.server.close()
+        for backend in backends:
+            backend.server.close()
 
 
-async def asked(box: PushBox) -> None:
+async def asked(backend: StandInBackend) -> None:
     """Wait until a request has come to a backend."""
-    while not box.first_lines:
+    while not backend.first_lines:
         await asyncio.sleep(0)
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 def test_a_request_that_waits_is_answered_in_its_time(tmp_path: Path, step_s: int) -> None:
     async def play() -> None:
-        silent = PushBox(lambda line: None)
+        silent = StandInBackend(lambda line: None)
         async with stepped(tmp_path, step_s, [silent]) as relay:
             device = await LineDevice.connect(relay.ports[0])
             began = time.monotonic()
@@ -77,7 +77,7 @@
                 return answers.pop()
             return "UP r-1"
 
-        async with stepped(tmp_path, step_s, [PushBox(answer) for _ in range(3)]) as relay:
+        async with stepped(tmp_path, step_s, [StandInBackend(answer) for _ in range(3)]) as relay:
             running.append(relay)
             device = await LineDevice.connect(relay.ports[0])
             began = time.monotonic()
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize("step_s", STEPS_S)
 def test_a_stop_takes_its_time_and_no_longer(tmp_path: Path, step_s: int) -> None:
     async def play() -> None:
-        async with stepped(tmp_path, step_s, [PushBox(lambda line: "UP r-1")]) as relay:
+        async with stepped(tmp_path, step_s, [StandInBackend(lambda line: "UP r-1")]) as relay:
             device = await LineDevice.connect(relay.ports[0])
             device.open()
             assert await device.line() == "UP r-1"
@@ -176,25 +176,25 @@
 def test_a_backend_that_restarts_after_a_step_is_cold_for_the_module(step_us: int) -> None:
     bench = Bench()
     steps = list[int]()
-    boxes = BoxList(CONFIG, bench.core, lambda: bool(steps))
+    backends = EndpointList(CONFIG, bench.core, lambda: bool(steps))
     member = {"id": "b", "host_port": "127.0.0.1:1", "phase": "SERVING", "up_since_ms": 0}
-    boxes.take({"revision": 1, "complete": True, "members": [member]})
-    boxes.take({"revision": 2, "complete": False, "members": [{**member, "up_since_ms": bench.now // 1000}]})
-    assert boxes.places["b"].entry.started_us == bench.now // 1000 * 1000
+    backends.apply({"revision": 1, "complete": True, "members": [member]})
+    backends.apply({"revision": 2, "complete": False, "members": [{**member, "up_since_ms": bench.now // 1000}]})
+    assert backends.places["b"].entry.started_us == bench.now // 1000 * 1000
     steps.append(step_us)
     bench.wait(NOTICE_US)
     told = (bench.now + step_us) // 1000  # another start, told by a clock that is an hour off
-    boxes.take({"revision": 3, "complete": False, "members": [{**member, "up_since_ms": max(1, told)}]})
-    assert boxes.places["b"].entry.started_us == bench.now
+    backends.apply({"revision": 3, "complete": False, "members": [{**member, "up_since_ms": max(1, told)}]})
+    assert backends.places["b"].entry.started_us == bench.now
 
 
 def test_a_long_outage_of_discovery_makes_old_starts_news() -> None:
     bench = Bench()
-    boxes = BoxList(CONFIG, bench.core)
+    backends = EndpointList(CONFIG, bench.core)
     member = {"id": "b", "host_port": "127.0.0.1:1", "phase": "SERVING", "up_since_ms": 0}
     bench.now = NOW_US
-    boxes.take({"revision": 1, "complete": True, "members": [member]})
+    backends.apply({"revision": 1, "complete": True, "members": [member]})
     bench.now += 40_000_000
     started = NOW_US + 5_000_000
-    boxes.take({"revision": 2, "complete": False, "members": [{**member, "up_since_ms": started // 1000}]})
-    assert boxes.places["b"].entry.started_us == started
+    backends.apply({"revision": 2, "complete": False, "members": [{**member, "up_since_ms": started // 1000}]})
+    assert backends.places["b"].entry.started_us == started
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -9,13 +9,25 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from balancer.actions import Migrate, StartAttempt
+from balancer.events import (
+    AttemptEnded,
+    AttemptResult,
+    BackendState,
+    ConnectionAdopted,
+    ConnectionLoadReport,
+    Endpoint,
+    EndpointListUpdate,
+    MessageLatencyReport,
+    Request,
+)
 from gradefront.core.attempt_error import AttemptError, AttemptPhase, Cause
-from gradefront.core.ports import Call, Ending
-from gradefront.core.pulse import Pulse
+from gradefront.core.connect_request import ConnectRequest
+from gradefront.core.connection import ConnectionState
+from gradefront.core.message_latency import MessageLatency
+from gradefront.core.ports import ConnectionEnd
 from gradefront.core.relay import ANSWER_MARGIN_US
 from gradefront.core.timer_wheel import SLOTS, TICK_US, TimerWheel
-from gradefront.core.visit import Stage
-from milletdeal import interface as i
 
 from .helper import Bench, Client
 
@@ -30,7 +42,7 @@
         "itertools",
         "json",
         "logging",
-        "milletdeal",
+        "balancer",
         "statistics",
         "typing",
     }
@@ -70,46 +82,46 @@
 @pytest.mark.parametrize(
     ("phase", "cause", "result"),
     [
-        (AttemptPhase.CONNECTING, Cause.BROKEN, i.Result.CONNECT_FAILED),
-        (AttemptPhase.CONNECTING, Cause.SILENT, i.Result.CONNECT_FAILED),
-        (AttemptPhase.WRITING, Cause.BROKEN, i.Result.CONNECT_FAILED),
-        (AttemptPhase.SENT, Cause.BROKEN, i.Result.RESET),
-        (AttemptPhase.SENT, Cause.SILENT, i.Result.TIMEOUT),
-        (AttemptPhase.SENT, Cause.FULL, i.Result.FULL),
-        (AttemptPhase.SENT, Cause.ERROR, i.Result.ERROR),
-        (AttemptPhase.SENT, Cause.UNREACHABLE, i.Result.CONNECT_FAILED),
-        (AttemptPhase.SENT, Cause.SENT_AWAY, i.Result.CANCELLED),
-        (AttemptPhase.UP, Cause.SERVED, i.Result.OK),
-        (AttemptPhase.UP, Cause.UNREACHABLE, i.Result.RESET),
-        (AttemptPhase.UP, Cause.SILENT, i.Result.RESET),
+        (AttemptPhase.CONNECTING, Cause.BROKEN, AttemptResult.CONNECT_FAILED),
+        (AttemptPhase.CONNECTING, Cause.SILENT, AttemptResult.CONNECT_FAILED),
+        (AttemptPhase.WRITING, Cause.BROKEN, AttemptResult.CONNECT_FAILED),
+        (AttemptPhase.SENT, Cause.BROKEN, AttemptResult.RESET),
+        (AttemptPhase.SENT, Cause.SILENT, AttemptResult.TIMEOUT),
+        (AttemptPhase.SENT, Cause.FULL, AttemptResult.OVERLOADED),
+        (AttemptPhase.SENT, Cause.ERROR, AttemptResult.ERROR),
+        (AttemptPhase.SENT, Cause.UNREACHABLE, AttemptResult.CONNECT_FAILED),
+        (AttemptPhase.SENT, Cause.SENT_AWAY, AttemptResult.CANCELLED),
+        (AttemptPhase.UP, Cause.SERVED, AttemptResult.OK),
+        (AttemptPhase.UP, Cause.UNREACHABLE, AttemptResult.RESET),
+        (AttemptPhase.UP, Cause.SILENT, AttemptResult.RESET),
     ],
 )
-def test_shortfall_says_what_the_module_needs(phase: AttemptPhase, cause: Cause, result: i.Result) -> None:
+def test_shortfall_says_what_the_module_needs(phase: AttemptPhase, cause: Cause, result: AttemptResult) -> None:
     assert AttemptError(phase, cause).result is result
 
 
 def test_pulse_tells_late_boxes_each_second_and_once_more_when_back() -> None:
-    pulse = Pulse(60_000)
+    message_latency = MessageLatency(60_000)
     for took in (5_000, 30_000, 31_000):
-        pulse.add("box-1", 7, took)
-    pulse.add("box-2", 8, 19_000)
-    assert pulse.look() == [(7, "box-1", 30_000.0)]
-    pulse.add("box-1", 9, 1_000)
-    assert pulse.look() == [(9, "box-1", 1_000.0)]
-    pulse.add("box-1", 9, 1_000)
-    assert pulse.look() == []
+        message_latency.add("box-1", 7, took)
+    message_latency.add("box-2", 8, 19_000)
+    assert message_latency.look() == [(7, "box-1", 30_000.0)]
+    message_latency.add("box-1", 9, 1_000)
+    assert message_latency.look() == [(9, "box-1", 1_000.0)]
+    message_latency.add("box-1", 9, 1_000)
+    assert message_latency.look() == []
 
 
 def test_module_hears_of_late_messages_and_load() -> None:
     bench = Bench()
-    visit, _, attempt = bench.standing()
-    attempt.asked_box()
+    connection, _, attempt = bench.standing()
+    attempt.on_message_sent()
     bench.now += 40_000
-    attempt.heard_box()
-    attempt.told_load(1234.0)
+    attempt.on_message_received()
+    attempt.on_load_report(1234.0)
     bench.wait(1_100_000)
-    assert i.LoadNote(visit.number, "box-1", 1234.0) in bench.events
-    assert i.DelayNote(visit.number, "box-1", 40_000.0) in bench.events
+    assert ConnectionLoadReport(connection.number, "box-1", 1234.0) in bench.events
+    assert MessageLatencyReport(connection.number, "box-1", 40_000.0) in bench.events
 
 
 def test_unanswered_visit_is_failed_before_its_client_gives_up() -> None:
@@ -123,82 +135,84 @@
 
 def test_timed_out_attempt_is_called_off_and_its_late_word_does_not_count() -> None:
     bench = Bench()
-    visit, client = bench.arrive()
-    bench.order(i.Start(visit.number, "box-1", 300_000))
+    connection, client = bench.arrive()
+    bench.order(StartAttempt(connection.number, "box-1", 300_000))
     first = bench.attempts[0]
-    first.came(AttemptPhase.WRITING)
-    first.came(AttemptPhase.SENT)
+    first.advance(AttemptPhase.WRITING)
+    first.advance(AttemptPhase.SENT)
     bench.wait(320_000)
-    assert [o.result for o in bench.outcomes(visit)] == [i.Result.TIMEOUT] and len(bench.upstreams[0].hung) == 1
-    bench.order(i.Start(visit.number, "box-2", 300_000))
-    first.stands("late")
-    assert client.told == [] and visit.stage is Stage.CONNECTING
-    bench.attempts[1].stands("receipt")
+    assert [o.result for o in bench.outcomes(connection)] == [AttemptResult.TIMEOUT] and len(
+        bench.upstreams[0].hung
+    ) == 1
+    bench.order(StartAttempt(connection.number, "box-2", 300_000))
+    first.succeed("late")
+    assert client.told == [] and connection.state is ConnectionState.CONNECTING
+    bench.attempts[1].succeed("receipt")
     assert client.told == ["seat"]
 
 
 def test_connect_has_its_own_patience() -> None:
     bench = Bench()
-    visit, _ = bench.arrive()
-    bench.order(i.Start(visit.number, "box-1", 900_000))
+    connection, _ = bench.arrive()
+    bench.order(StartAttempt(connection.number, "box-1", 900_000))
     bench.wait(160_000)
-    assert [o.result for o in bench.outcomes(visit)] == [i.Result.CONNECT_FAILED]
+    assert [o.result for o in bench.outcomes(connection)] == [AttemptResult.CONNECT_FAILED]
 
 
 def test_late_connect_sends_nothing_to_a_box_that_drains_meanwhile() -> None:
     # Guards rule 3: a connect may take long, and the first byte is what counts.
     bench = Bench()
-    visit, _ = bench.arrive()
-    bench.order(i.Start(visit.number, "box-1", 900_000))
-    assert bench.attempts[0].barred() is None
-    bench.core.listed(i.ListUpdate((i.ServerEntry("box-1", i.ServerState.DRAINING),), whole=False))
-    assert bench.attempts[0].barred() is Cause.BROKEN
+    connection, _ = bench.arrive()
+    bench.order(StartAttempt(connection.number, "box-1", 900_000))
+    assert bench.attempts[0].send_veto() is None
+    bench.core.on_endpoint_list(EndpointListUpdate((Endpoint("box-1", BackendState.DRAINING),), is_complete=False))
+    assert bench.attempts[0].send_veto() is Cause.BROKEN
 
 
 def test_brought_visit_goes_to_its_own_box_only_and_at_most_four_times() -> None:
     bench = Bench()
     client = Client()
-    visit = bench.core.adopt_connection(Call(1, "parcel"), client, bench, "box-2")
+    connection = bench.core.adopt_connection(ConnectRequest(1, "parcel"), client, bench, "box-2")
     for n in range(4):
-        assert len(bench.attempts) == n + 1 and bench.attempts[n].box == "box-2"
-        bench.attempts[n].ends(Cause.BROKEN)
+        assert len(bench.attempts) == n + 1 and bench.attempts[n].backend == "box-2"
+        bench.attempts[n].end(Cause.BROKEN)
         bench.wait(9_000_000)
     assert len(bench.attempts) == 4 and client.told == ["fail"]
-    assert not [e for e in bench.events if isinstance(e, i.Request | i.Outcome | i.OpenConnection)]
-    visit = bench.core.adopt_connection(Call(1, "parcel"), client, bench, "box-2")
-    bench.attempts[-1].stands("receipt")
-    bench.core.turn()
-    assert [e.server for e in bench.events if isinstance(e, i.OpenConnection)] == ["box-2"]
-    assert visit.stage is Stage.ESTABLISHED
+    assert not [e for e in bench.events if isinstance(e, Request | AttemptEnded | ConnectionAdopted)]
+    connection = bench.core.adopt_connection(ConnectRequest(1, "parcel"), client, bench, "box-2")
+    bench.attempts[-1].succeed("receipt")
+    bench.core.run_turn()
+    assert [e.backend for e in bench.events if isinstance(e, ConnectionAdopted)] == ["box-2"]
+    assert connection.state is ConnectionState.ESTABLISHED
 
 
 def test_a_brought_visit_whose_box_says_nothing_is_tried_again_in_time() -> None:
     bench = Bench()
-    visit = bench.core.adopt_connection(Call(1, "parcel"), Client(), bench, "box-2")
+    connection = bench.core.adopt_connection(ConnectRequest(1, "parcel"), Client(), bench, "box-2")
     bench.wait(11_000_000)
-    assert len(bench.attempts) == 2 and bench.attempts[0].over and visit.stage is Stage.CONNECTING
+    assert len(bench.attempts) == 2 and bench.attempts[0].is_over and connection.state is ConnectionState.CONNECTING
 
 
 def test_silent_box_is_left_soon_and_a_quiet_one_is_not() -> None:
     bench = Bench()
-    quiet, quiet_client, _ = bench.standing("box-2")
+    silence, quiet_client, _ = bench.standing("box-2")
     silent, client, attempt = bench.standing("box-1")
-    attempt.asked_box()
+    attempt.on_message_sent()
     bench.wait(1_400_000)
     assert client.told == ["seat"]
     bench.wait(500_000)
     assert client.told == ["seat", "move"] and quiet_client.told == ["seat"]
-    assert bench.outcomes(silent)[-1].result is i.Result.RESET and quiet.stage is Stage.ESTABLISHED
+    assert bench.outcomes(silent)[-1].result is AttemptResult.RESET and silence.state is ConnectionState.ESTABLISHED
 
 
 def test_a_vanished_machine_is_found_by_a_knock_and_all_that_stands_there_moves_at_once() -> None:
-    """Guards against a lost zone that each visit finds out by itself, 1.5 s after a message of its own."""
+    """Guards against a lost zone that each connection finds out by itself, 1.5 s after a message of its own."""
     bench = Bench()
-    bench.core.listed(
-        i.ListUpdate(tuple(i.ServerEntry(f"box-{n}", zone=zone) for n, zone in enumerate((1, 1, 1, 1, 1, 1, 2))))
+    bench.core.on_endpoint_list(
+        EndpointListUpdate(tuple(Endpoint(f"box-{n}", zone=zone) for n, zone in enumerate((1, 1, 1, 1, 1, 1, 2))))
     )
     clients = [bench.standing(f"box-{n % 7}")[1:] for n in range(14)]
-    clients[0][1].asked_box()
+    clients[0][1].on_message_sent()
     bench.wait(150_000)
     assert not bench.connect_checks, "a pause of a sound machine is no sign"
     bench.wait(200_000)
@@ -207,13 +221,13 @@
     assert [c.told for c, _ in clients[::7]] == [["seat", "move"]] * 2
     assert bench.connect_checks[1:] == ["box-1", "box-2", "box-3"], "a few more in that zone, and none elsewhere"
     bench.core.liveness.on_connect_checked("box-1", opened=True)
-    clients[2][1].heard_box()
+    clients[2][1].on_message_received()
     bench.core.liveness.on_connect_checked("box-2", opened=False)  # a word that came meanwhile says that it is there
     bench.core.liveness.on_connect_checked("box-3", opened=False)
-    bench.core.turn()
+    bench.core.run_turn()
     assert [n for n, (c, _) in enumerate(clients) if "move" in c.told] == [0, 3, 7, 10]
     assert bench.connect_checks[4:] == ["box-4", "box-5"], "each that has vanished leads on, none is asked twice"
-    silent = [e.server for e in bench.events if isinstance(e, i.Outcome) and e.result is i.Result.RESET]
+    silent = [e.backend for e in bench.events if isinstance(e, AttemptEnded) and e.result is AttemptResult.RESET]
     assert silent == ["box-0", "box-0", "box-3", "box-3"] and bench.core.counters.counts["boxes_vanished"] == 2
 
 
@@ -221,12 +235,12 @@
     bench = Bench()
     _, client, attempt = bench.standing()
     for _ in range(20):  # answers within its aims
-        attempt.asked_box()
+        attempt.on_message_sent()
         bench.wait(90_000)
-        attempt.heard_box()
+        attempt.on_message_received()
     assert not bench.connect_checks
     for _ in range(9):  # it takes connections, so it is slow: one connect check a second
-        attempt.asked_box()
+        attempt.on_message_sent()
         bench.wait(100_000)
         if bench.connect_checks:
             bench.core.liveness.on_connect_checked("box-1", opened=True)
@@ -236,60 +250,60 @@
 def test_a_push_box_that_opens_owes_nothing_more_once_its_client_has_left() -> None:
     """Guards against a connect check a second for ever: a client that leaves with a message out is owed no reply."""
     bench = Bench()
-    visit, _, attempt = bench.standing()
-    attempt.asked_box()
-    bench.core.client_left(visit, Ending.ORDERLY)
+    connection, _, attempt = bench.standing()
+    attempt.on_message_sent()
+    bench.core.on_client_closed(connection, ConnectionEnd.ORDERLY)
     for _ in range(50):
         bench.wait(100_000)
         if bench.connect_checks:
             bench.core.liveness.on_connect_checked("box-1", opened=True)
     liveness = bench.core.liveness
-    assert bench.connect_checks == ["box-1"] and not liveness.quiet.owed and not liveness.quiet_look_us
+    assert bench.connect_checks == ["box-1"] and not liveness.silence.owed and not liveness.silence_check_us
 
 
 def test_one_connection_that_falls_silent_alone_tells_nothing_against_its_box() -> None:
     bench = Bench()
     _, other, sound = bench.standing()
     silent, client, attempt = bench.standing()
-    attempt.asked_box()
+    attempt.on_message_sent()
     for _ in range(4):
         bench.wait(500_000)
-        sound.asked_box()
-        sound.heard_box()
+        sound.on_message_sent()
+        sound.on_message_received()
     assert client.told == ["seat", "move"] and other.told == ["seat"]
-    assert bench.outcomes(silent)[-1].result is i.Result.CANCELLED
+    assert bench.outcomes(silent)[-1].result is AttemptResult.CANCELLED
 
 
 def test_a_relay_that_was_asleep_itself_takes_no_box_for_silent() -> None:
     bench = Bench()
     _, client, attempt = bench.standing()
-    attempt.asked_box()
+    attempt.on_message_sent()
     bench.now += 3_000_000  # no turn for so long; the reply has come meanwhile, and is read after the look
-    bench.core.turn()
-    attempt.heard_box()
+    bench.core.run_turn()
+    attempt.on_message_received()
     bench.wait(1_000_000)
     assert client.told == ["seat"]
 
 
 def test_only_a_visit_with_nothing_passing_either_way_is_ended_as_its_device_is_gone() -> None:
-    # Guards QUIC visits, whose messages nobody here can tell apart: they were all moved after two minutes.
+    # Guards QUIC connections, whose messages nobody here can tell apart: they were all moved after two minutes.
     bench = Bench()
     _, gone, _ = bench.standing()
     _, used, attempt = bench.standing("box-2")
     for _ in range(70):
-        attempt.alive()
+        attempt.on_activity()
         bench.wait(2_000_000)
     assert gone.told == ["seat", "move"] and used.told == ["seat"]
 
 
 def test_an_exception_of_the_module_stops_at_its_visit() -> None:
     bench = Bench()
-    visit, client = bench.arrive()
+    connection, client = bench.arrive()
     other, other_client, _ = bench.standing()
     bench.broken = True
-    bench.core.put(i.Outcome(visit.number, 0, "box-1", i.Result.FULL))
-    bench.core.turn()
-    assert client.told == ["fail"] and other_client.told == ["seat"] and other.stage is Stage.ESTABLISHED
+    bench.core.enqueue(AttemptEnded(connection.number, 0, "box-1", AttemptResult.OVERLOADED))
+    bench.core.run_turn()
+    assert client.told == ["fail"] and other_client.told == ["seat"] and other.state is ConnectionState.ESTABLISHED
     assert bench.core.counters.counts["exceptions"] >= 1
 
 
@@ -300,8 +314,8 @@
     began = bench.now
     bench.core.lifecycle.leave(lambda: done.append(bench.now))
     late, late_client = bench.arrive()
-    bench.order(i.Start(late.number, "box-1", 900_000))
-    bench.attempts[-1].stands("receipt")
+    bench.order(StartAttempt(late.number, "box-1", 900_000))
+    bench.attempts[-1].succeed("receipt")
     _, waiting = bench.arrive(4_000_000)
     bench.wait(1_150_000)  # SIGKILL may come 2.7 s after SIGTERM where the longest deadline is 2 s
     assert all(c.told == ["seat"] for c in standing), "served as long as may be: another relay may be down"
@@ -310,7 +324,7 @@
     assert 10 < moved < 30, "spread, not all at once"
     bench.wait(1_000_000)
     assert all(c.told == ["seat", "move"] for c in [*standing, late_client])
-    assert waiting.told == ["refuse"] and not bench.core.visits
+    assert waiting.told == ["refuse"] and not bench.core.connections
     assert len(done) == 1 and done[0] - began <= 2_300_000
 
 
@@ -319,8 +333,8 @@
     busy, busy_client, _ = bench.standing("box-1")
     left, left_client, _ = bench.standing("box-2")
     bench.core.lifecycle.leave(lambda: None)
-    bench.core.listed(i.ListUpdate((i.ServerEntry("box-2", i.ServerState.DRAINING),), False))
-    bench.order(i.Move(busy.number), i.Move(left.number))
+    bench.core.on_endpoint_list(EndpointListUpdate((Endpoint("box-2", BackendState.DRAINING),), False))
+    bench.order(Migrate(busy.number), Migrate(left.number))
     assert busy_client.told == ["seat"] and left_client.told == ["seat", "move"]
     bench.wait(2_200_000)
     assert busy_client.told == ["seat", "move"]
@@ -328,7 +342,7 @@
 
 def test_a_box_that_ends_a_visit_ends_its_client_the_same_way() -> None:
     bench = Bench()
-    visit, client, attempt = bench.standing()
-    attempt.ends(Cause.BROKEN, Ending.BROKEN)
-    bench.core.turn()
-    assert client.told == ["seat", "end"] and bench.outcomes(visit)[-1].final
+    connection, client, attempt = bench.standing()
+    attempt.end(Cause.BROKEN, ConnectionEnd.BROKEN)
+    bench.core.run_turn()
+    assert client.told == ["seat", "end"] and bench.outcomes(connection)[-1].is_final
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -8,7 +8,7 @@
 import tomllib
 from pathlib import Path
 
-from lab.town import settings
+from lab.stand_ins import settings
 
 from .test_service import town
 
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -18,8 +18,8 @@
 from gradefront.fleet.settings import parse as parse_fleet
 from gradefront.fleet.switch import load
 from gradefront.fleet.wire import LARGEST, Message, Refused, Sealer, fill, told
-from gradefront.net.fleetport import FleetPort
-from lab.town import settings
+from gradefront.net.fleet_port import FleetPort
+from lab.stand_ins import settings
 
 from .helper import Bench
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from lab.town import Discovery, Program, program, settings, soon
+from lab.stand_ins import Discovery, Program, program, settings, soon
 
 
 async def fleet(stack: AsyncExitStack, folder: Path, names: list[str]) -> tuple[dict[str, Program], Any]:
--- a/tests/test_duty.py
+++ b/tests/test_lifecycle_state.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from gradefront.core.duty import Duty, Word, step
-from milletdeal import interface as i
+from balancer.events import EndpointListUpdate
+from gradefront.core.lifecycle_state import LifecycleEvent, LifecycleState, step
 
 from .helper import Bench, Client
 
@@ -15,21 +15,37 @@
 
 
 def test_every_word_has_an_answer_in_every_state_and_leaving_has_no_way_back() -> None:
-    granted = {(duty, word) for duty in Duty for word in Word if step(duty, word) is not None}
-    assert all((duty, Word.LEAVE) in granted for duty in (Duty.STARTING, Duty.SERVING, Duty.LAME_DUCK))
-    assert all((duty, Word.LAMEDUCK) in granted for duty in Duty if duty is not Duty.STOPPED)
-    assert {step(Duty.LEAVING, word) for word in Word} == {Duty.LEAVING, Duty.STOPPING, None}
-    assert {step(Duty.STOPPING, word) for word in Word} == {Duty.STOPPING, Duty.STOPPED, None}
-    assert {step(Duty.STOPPED, word) for word in Word} == {None}
-    assert step(Duty.LEAVING, Word.REJOIN) is None and step(Duty.LAME_DUCK, Word.READY) is None
-    assert step(Duty.LEAVING, Word.LEAVE) is None, "a second signal begins nothing anew"
+    granted = {(state, word) for state in LifecycleState for word in LifecycleEvent if step(state, word) is not None}
+    assert all(
+        (state, LifecycleEvent.LEAVE) in granted
+        for state in (LifecycleState.STARTING, LifecycleState.SERVING, LifecycleState.LAME_DUCK)
+    )
+    assert all(
+        (state, LifecycleEvent.LAMEDUCK) in granted for state in LifecycleState if state is not LifecycleState.STOPPED
+    )
+    assert {step(LifecycleState.LEAVING, word) for word in LifecycleEvent} == {
+        LifecycleState.LEAVING,
+        LifecycleState.STOPPING,
+        None,
+    }
+    assert {step(LifecycleState.STOPPING, word) for word in LifecycleEvent} == {
+        LifecycleState.STOPPING,
+        LifecycleState.STOPPED,
+        None,
+    }
+    assert {step(LifecycleState.STOPPED, word) for word in LifecycleEvent} == {None}
+    assert (
+        step(LifecycleState.LEAVING, LifecycleEvent.REJOIN) is None
+        and step(LifecycleState.LAME_DUCK, LifecycleEvent.READY) is None
+    )
+    assert step(LifecycleState.LEAVING, LifecycleEvent.LEAVE) is None, "a second signal begins nothing anew"
 
 
 def test_a_drain_is_spread_over_its_time_and_answers_whoever_waits() -> None:
     bench = Bench()
     clients = [bench.standing()[1] for _ in range(30)]
     _, waiting = bench.arrive(4_800_000)
-    assert bench.core.lifecycle.lame_duck() and not bench.core.lifecycle.takes_clients
+    assert bench.core.lifecycle.lame_duck() and not bench.core.lifecycle.accepts_clients
     told = []
     for _ in range(40):
         bench.wait(100_000)
@@ -47,13 +63,13 @@
     clients = [bench.standing()[1] for _ in range(10)]
     bench.core.lifecycle.lame_duck()
     bench.wait(1_000_000)
-    assert bench.core.lifecycle.rejoin() and bench.core.lifecycle.takes_clients
+    assert bench.core.lifecycle.rejoin() and bench.core.lifecycle.accepts_clients
     moved = sum("move" in c.told for c in clients)
     assert 0 < moved < 10
     bench.wait(6_000_000)
     assert sum("move" in c.told for c in clients) == moved
-    bench.core.listed(i.ListUpdate(()))
-    assert not bench.core.lifecycle.takes_clients, "no push box, no clients"
+    bench.core.on_endpoint_list(EndpointListUpdate(()))
+    assert not bench.core.lifecycle.accepts_clients, "no push box, no clients"
 
 
 class Duties(RuleBasedStateMachine):
@@ -99,7 +115,7 @@
     @invariant()
     def yes_only_in_service_and_nobody_is_held_beyond_the_drain(self) -> None:
         core = self.bench.core
-        assert core.lifecycle.takes_clients == (not self.lame_us and not self.left_us)
+        assert core.lifecycle.accepts_clients == (not self.lame_us and not self.left_us)
         held = [came for came, client in self.stood if "move" not in client.told]
         if self.lame_us and not self.gone and self.bench.now - self.lame_us >= FOUR_S:
             assert all(self.bench.now - came < 200_000 for came in held)
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lab.town import settings
+from lab.stand_ins import settings
 
 from .faults import faulty
 from .loop import Backend, Loop, Peer, arrived
@@ -41,11 +41,11 @@
     sent = fill(loop, *slow)
     if why == "the relay stops":
         loop.core.lifecycle.stop(lambda: None)
-    for visit in list(loop.core.visits.values()):
+    for connection in list(loop.core.connections.values()):
         if why == "the backend has vanished":
-            loop.core.leave_silent(visit, alone=False)
+            loop.core.migrate_off_silent(connection, alone=False)
         else:
-            loop.core.move(visit)
+            loop.core.migrate(connection)
     loop.step(3)
     assert len(loop.relay.front.closing) <= loop.relay.front.closing.most + 1
     for client, _ in clients:
@@ -54,7 +54,7 @@
             assert client.got == b"MOVE\r\n" and not client.reset
     loop.until(lambda: loop.wait(4_000) or len(slow[0].read()) >= sent + 6)
     assert slow[0].got.endswith(b"z\r\nMOVE\r\n") and not slow[0].reset
-    assert not loop.core.visits
+    assert not loop.core.connections
 
 
 def test_a_move_is_not_thrown_away_to_make_room_for_a_crowd(tmp_path: Path) -> None:
@@ -63,9 +63,9 @@
     clients = stand(loop, backend, 20)
     front = loop.relay.front
     crowd = [loop.client() for _ in range(390)]
-    assert front.held() > 390
-    for visit in list(loop.core.visits.values()):
-        loop.core.move(visit)
+    assert front.descriptors_held() > 390
+    for connection in list(loop.core.connections.values()):
+        loop.core.migrate(connection)
     more = [socket.create_connection(("127.0.0.1", loop.relay.port.getHost().port)) for _ in range(80)]
     loop.relay.port.doRead()  # the crowd is seen before the loop comes round to write
     loop.step(5)
@@ -80,7 +80,7 @@
     loop = Loop(tmp_path, [Backend()])
     front, port = loop.relay.front, loop.relay.port
     crowd = [loop.client() for _ in range(380)]
-    front.closing.make_room = lambda: False  # type: ignore[method-assign]
+    front.closing.free_descriptor = lambda: False  # type: ignore[method-assign]
     late = list[Peer]()
     loop.order.held.add(port.fileno())
     for n in range(100):
@@ -143,7 +143,7 @@
     sock.room = room
     served.send(b"UP r-1\r\none line\r\n")
     served.close(reset=end == "reset")
-    loop.until(lambda: not loop.core.visits)
+    loop.until(lambda: not loop.core.connections)
     loop.step(2)
     sock.room = None
     loop.until(lambda: client.read() and client.ended)
@@ -185,7 +185,7 @@
     loop.open(client)
     client.send(line)
     loop.until(lambda: client.read() and client.ended)
-    assert client.got == b"ERR\r\n" and not client.reset and not loop.core.visits
+    assert client.got == b"ERR\r\n" and not client.reset and not loop.core.connections
 
 
 @pytest.mark.parametrize("stage", ["at the start", "while it waits", "while it is served"])
@@ -207,7 +207,7 @@
     client.line("anything")
     loop.until(lambda: client.read() and client.ended)
     assert client.got == (b"MOVE\r\n" if stage == "while it is served" else b"ERR\r\n") and not client.reset
-    assert not loop.core.visits
+    assert not loop.core.connections
 
 
 def test_an_error_as_an_attempt_is_ended_keeps_its_client_from_no_answer(tmp_path: Path) -> None:
@@ -216,14 +216,14 @@
     client = loop.client()
     loop.open(client)
     loop.until(lambda: loop.wait(4_000) or backend.called)
-    (visit,) = loop.core.visits.values()
+    (connection,) = loop.core.connections.values()
 
     def breaks(how: object) -> None:
         raise OSError(errno.ENOMEM, "epoll_ctl")
 
-    assert visit.attempt and visit.attempt.upstream
-    visit.attempt.upstream.hang_up = breaks  # type: ignore[method-assign]
-    loop.core.turn_away(visit)
+    assert connection.attempt and connection.attempt.upstream
+    connection.attempt.upstream.close = breaks  # type: ignore[method-assign]
+    loop.core.reject_unestablished(connection)
     loop.until(lambda: client.read() and client.ended)
     assert client.got == b"ERR\r\n"
 
@@ -232,14 +232,14 @@
     backend = Backend()
     loop = Loop(tmp_path, [backend], settings(deadline_ms=1000))
     clients = [loop.client() for _ in range(3)]
-    handle = loop.core.decider.handle
+    handle = loop.core.balancer.handle
 
     def breaks(now_us: int, event: object) -> list[object]:
-        if getattr(event, "request", 0) == 2:
+        if getattr(event, "request_id", 0) == 2:
             raise IndexError("the module broke")
         return handle(now_us, event)  # type: ignore[arg-type, return-value]
 
-    loop.core.decider.handle = breaks  # type: ignore[method-assign, assignment]
+    loop.core.balancer.handle = breaks  # type: ignore[method-assign, assignment]
     client_fail = loop.side(clients[1]).fail
 
     def fails_once() -> None:
@@ -265,7 +265,7 @@
     loop = Loop(tmp_path, [])
     client = loop.client()
     loop.open(client, d=300)
-    turn, broken = loop.core.turn, list[int]()
+    turn, broken = loop.core.run_turn, list[int]()
 
     def breaks() -> None:
         if not broken:
@@ -273,6 +273,6 @@
             raise RuntimeError("a turn that breaks")
         turn()
 
-    loop.relay.driver.core.turn = breaks  # type: ignore[method-assign, union-attr]
+    loop.relay.driver.core.run_turn = breaks  # type: ignore[method-assign, union-attr]
     loop.wait(1_000_000)
     assert broken and client.read().split()[0] in (b"BUSY", b"ERR")
--- a/tests/test_lost_model.py
+++ b/tests/test_lost_model.py
@@ -1,6 +1,7 @@
 """Random orders of requests, ends, short writes, failing calls, clock steps and signals, against one oracle.
 
-It looks from outside: each request has exactly one whole final answer in its time, and none is sent on after its end.
+It looks from outside: each request has exactly one whole final answer in its time, and none is forwarded after its
+end.
 
 The relay is the real one on real sockets; what reaches a backend is judged at the system call that sends it.
 """
@@ -24,9 +25,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
-from gradefront.net.front import ClientProtocol
-from gradefront.net.upstream import BackendProtocol
-from lab.town import settings
+from gradefront.net.backend_connection import BackendProtocol
+from gradefront.net.client_protocol import ClientProtocol
+from lab.stand_ins import settings
 
 from .asking import Asking, Sent
 from .faults import FaultySocket, faulty
@@ -248,7 +249,7 @@
         number = n % 2
         self.settle()
         member = {**self.loop.known["members"][number], "phase": "DRAINING" if drains else "SERVING"}
-        self.loop.relay.box_list.take({"revision": 2 + n, "complete": False, "members": [member]})
+        self.loop.relay.endpoint_list.apply({"revision": 2 + n, "complete": False, "members": [member]})
         (self.draining.add if drains else self.draining.discard)(self.backends[number].port)
         self.settle()
 
@@ -301,7 +302,7 @@
 
     @rule()
     def the_wall_clock_steps(self) -> None:
-        self.loop.relay.box_list.stepped = lambda: True
+        self.loop.relay.endpoint_list.stepped = lambda: True
 
     @rule(us=st.sampled_from([4_000, 40_000, 160_000, 400_000]))
     def time_passes(self, us: int) -> None:
--- a/tests/test_lost_processes.py
+++ b/tests/test_lost_processes.py
@@ -1,7 +1,7 @@
 """Three processes of the program under traffic, while they are killed, stopped and given new settings.
 
 Backends are silent, refuse, fail or reset meanwhile. Counted from outside: one whole final answer for each request,
-and none sent on after its end.
+and none forwarded after its end.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from itertools import count
 from pathlib import Path
 
-from lab.town import BUSY_S, Discovery, LineDevice, Program, PushBox, program, settings, soon
+from lab.stand_ins import BUSY_S, Discovery, LineDevice, Program, StandInBackend, program, settings, soon
 
 CLIENTS, REQUESTS = 12, 12  # at a time, and of each
 WAITS_MS = 1500
@@ -26,7 +26,7 @@
 TROUBLES = ["UP r-1", None, "reset", "close", "BUSY", "ERR", "UP r-1", "UP, then reset", "half", "reset"]
 
 
-class Recorded(PushBox):
+class Recorded(StandInBackend):
     """A backend that notes when each request came."""
 
     def __init__(self, troubles: list[str | None]) -> None:
@@ -117,7 +117,7 @@
             device.writer.close()
 
     async def hear(self, device: LineDevice, began: float, port: int) -> None:
-        """Its final answer, in time; behind a refusal or a failure there is nothing but the end."""
+        """Its final answer, in time; behind a rejection or a failure there is nothing but the end."""
         answer = ""
         with suppress(ConnectionError):
             answer = await device.line()
--- a/tests/test_lost_requests.py
+++ b/tests/test_lost_requests.py
@@ -1,4 +1,4 @@
-"""Requests whose client, backend or connection fails in the middle: what is still answered, and what is sent on."""
+"""Requests whose client, backend or connection fails in the middle: what is still answered, and what is forwarded."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 import pytest
 
-from gradefront.core.visit import Attempt, Stage
-from gradefront.net.upstream import BackendProtocol
-from lab.town import settings
-from milletdeal import interface as i
+from balancer.events import AttemptEnded, AttemptResult, Event
+from gradefront.core.connection import Attempt, ConnectionState
+from gradefront.net.backend_connection import BackendProtocol
+from lab.stand_ins import settings
 
 from .faults import FaultySocket, failure, faulty
 from .loop import Backend, Loop, Peer, arrived, hold_connects
@@ -82,8 +82,8 @@
     client = loop.client()
     loop.open(client)
     served = accepted(loop, backend)
-    (visit,) = loop.core.visits.values()
-    faulty(visit.attempt.upstream.line.wire).errors["recv"] = [number] * 2  # type: ignore[union-attr]
+    (connection,) = loop.core.connections.values()
+    faulty(connection.attempt.upstream.line.wire).errors["recv"] = [number] * 2  # type: ignore[union-attr]
     served.line("UP r-1")
     loop.until(lambda: client.read() == b"UP r-1\r\n")
 
@@ -104,13 +104,13 @@
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client, attempts = fails_at_the_look(loop, number)
-    loop.until(lambda: attempts[0].over)
+    loop.until(lambda: attempts[0].is_over)
     loop.order.held.clear()
     client.close()
-    loop.until(lambda: not loop.relay.front.open)
+    loop.until(lambda: not loop.relay.front.open_connections)
     while backend.called:
         assert b"OPEN" not in backend.accept().read()
-    assert not loop.core.visits and loop.core.counters.counts["gave_up_waiting"] == 1
+    assert not loop.core.connections and loop.core.counters.counts["gave_up_waiting"] == 1
 
 
 @pytest.mark.parametrize("when", ["in the queue", "connecting", "sent", "in a backoff"])
@@ -136,7 +136,7 @@
     assert client.got in (b"ERR\r\n", b"BUSY\r\n") and not client.reset
     loop.order.held.clear()
     loop.wait(600_000, 20_000)
-    assert not loop.core.visits and not loop.relay.front.open
+    assert not loop.core.connections and not loop.relay.front.open_connections
     for backend in backends if when in ("connecting", "in the queue") else ():
         while backend.called:
             assert b"OPEN" not in backend.accept().read(), "sent on after its client had ended"
@@ -157,7 +157,7 @@
     sock.room = None
     loop.until(lambda: client.read() and client.ended)
     assert client.got == b"a line that is under way\r\n" and not client.reset
-    assert not loop.core.visits
+    assert not loop.core.connections
 
 
 def test_a_client_that_shuts_its_sending_side_before_it_has_asked_is_ended_in_order(tmp_path: Path) -> None:
@@ -167,7 +167,7 @@
     client.sock.shutdown(socket.SHUT_WR)
     loop.until(lambda: client.read() or client.ended)
     assert client.got == b"" and not client.reset
-    loop.until(lambda: not loop.relay.front.open)
+    loop.until(lambda: not loop.relay.front.open_connections)
 
 
 # ---- the first line in pieces
@@ -191,7 +191,7 @@
     drains = what == "the backend drains"
     loop = Loop(tmp_path, [backend, other] if drains else [backend])
     if drains:
-        loop.relay.box_list.take(
+        loop.relay.endpoint_list.apply(
             {"revision": 2, "complete": False, "members": [{**loop.known["members"][1], "phase": "DRAINING"}]}
         )
         loop.step(2)
@@ -203,9 +203,9 @@
     served = backend.accept()
     loop.until(lambda: served.read())
     assert served.got == b"OPEN 00000"
-    (visit,) = loop.core.visits.values()
-    attempt = visit.attempt
-    assert attempt and visit.stage is Stage.CONNECTING
+    (connection,) = loop.core.connections.values()
+    attempt = connection.attempt
+    assert attempt and connection.state is ConnectionState.CONNECTING
     loop.order.held.add(side.wire.fileno())  # the loop is busy, and does not read what the client does
     if what == "the client leaves":
         client.close()
@@ -214,7 +214,7 @@
     elif what == "the client is reset":
         client.close(reset=True)
     elif drains:
-        loop.relay.box_list.take(
+        loop.relay.endpoint_list.apply(
             {
                 "revision": 3,
                 "complete": False,
@@ -227,11 +227,11 @@
     elif what == "the relay stops":
         loop.core.lifecycle.stop(lambda: None)
     else:
-        loop.now_us = visit.deadline_us + 1_000
+        loop.now_us = connection.deadline_us + 1_000
     if what.startswith("the client"):
         arrived(side.wire.socket, select.POLLRDHUP)
     sockets[0].room = None
-    loop.until(lambda: attempt.over)
+    loop.until(lambda: attempt.is_over)
     loop.order.held.clear()
     loop.until(lambda: served.read() and served.ended)
     assert served.got == b"OPEN 00000", "the rest has left"
@@ -290,8 +290,8 @@
     loop.open(client)
     loop.until(lambda: attempts)
     side = loop.side(client)
-    watcher: Any = loop.core.watcher
-    catch_up = watcher.catch_up
+    watcher: Any = loop.core.endpoint_watcher
+    catch_up = watcher.read_pending
 
     def held_up() -> None:
         catch_up()
@@ -299,9 +299,9 @@
         client.close()
         arrived(side.wire.socket, select.POLLRDHUP)
 
-    watcher.catch_up = held_up
+    watcher.read_pending = held_up
     loop.order.held = {side.wire.fileno()}
-    loop.until(lambda: attempts[0].over)
+    loop.until(lambda: attempts[0].is_over)
     loop.order.held.clear()
     assert backend.called and b"OPEN" not in backend.accept().read()
 
@@ -365,20 +365,20 @@
     loop = Loop(tmp_path, [backend, Backend()], told)
     client = loop.client()
     loop.open(client)
-    loop.until(lambda: loop.wait(4_000) or any(v.attempt for v in loop.core.visits.values()))
-    (visit,) = loop.core.visits.values()
-    attempt = visit.attempt
+    loop.until(lambda: loop.wait(4_000) or any(v.attempt for v in loop.core.connections.values()))
+    (connection,) = loop.core.connections.values()
+    attempt = connection.attempt
     assert attempt
-    results = list[i.Result]()
-    put = loop.core.put
+    results = list[AttemptResult]()
+    put = loop.core.enqueue
 
-    def hear(event: i.Event) -> None:
-        if isinstance(event, i.Outcome):
+    def hear(event: Event) -> None:
+        if isinstance(event, AttemptEnded):
             results.append(event.result)
         put(event)
 
-    loop.core.put = hear  # type: ignore[method-assign]
-    loop.until(lambda: loop.wait(4_000) or attempt.wrote_us)
+    loop.core.enqueue = hear  # type: ignore[method-assign]
+    loop.until(lambda: loop.wait(4_000) or attempt.write_started_us)
     line: Any = attempt.upstream.line  # type: ignore[union-attr]
     sock = faulty(line.wire)
     sock.errors[call] = [number]
@@ -391,4 +391,4 @@
         why = line.wire.doRead()
         line.wire.reactor._disconnectSelectable(line.wire, why, True)
     loop.until(lambda: client.read() and client.ended)
-    assert client.got == b"ERR\r\n" and results == [i.Result.RESET]
+    assert client.got == b"ERR\r\n" and results == [AttemptResult.RESET]
--- a/tests/test_moments_close.py
+++ b/tests/test_moments_close.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from gradefront.net.upstream import BackendProtocol
-from lab.town import settings
+from gradefront.net.backend_connection import BackendProtocol
+from lab.stand_ins import settings
 
 from .loop import Backend, Loop, Peer, arrived, hold_connects
 
@@ -27,8 +27,8 @@
     loop = Loop(tmp_path, [backend])
     client, at_backend = loop.standing(backend)
     unread(loop, client, bytes_under_way)
-    (visit,) = loop.core.visits.values()
-    loop.core.move(visit)
+    (connection,) = loop.core.connections.values()
+    loop.core.migrate(connection)
     loop.step(3)
     loop.order.held.clear()
     loop.until(lambda: client.read() and client.ended)
@@ -36,7 +36,7 @@
     at_backend.close()
     client.send(b"still here\r\n")
     client.close()
-    loop.until(lambda: not loop.relay.front.open)
+    loop.until(lambda: not loop.relay.front.open_connections)
 
 
 @pytest.mark.parametrize(("first", "answer"), [(b"nonsense\r\n", b"ERR\r\n"), (b"OPEN\r\n", b"ERR\r\n")])
@@ -51,7 +51,7 @@
     loop.until(lambda: client.read() and client.ended)
     assert client.got == answer and not client.reset
     client.close()
-    loop.until(lambda: not loop.relay.front.open)
+    loop.until(lambda: not loop.relay.front.open_connections)
 
 
 def test_an_ended_device_that_goes_on_sending_is_cut_off_in_bounded_time_and_bytes(tmp_path: Path) -> None:
@@ -61,7 +61,7 @@
         peer.line("nonsense")
     loop.until(lambda: other.read() and client.read())
     loop.wait(2_100_000, 20_000)
-    loop.until(lambda: not loop.relay.front.open)
+    loop.until(lambda: not loop.relay.front.open_connections)
     flood = loop.client()
     flood.line("nonsense")
     sent = 0
@@ -74,7 +74,7 @@
         loop.step(4)
         flood.read()
     assert sent < 1 << 21 and flood.got == b"ERR\r\n"
-    loop.until(lambda: not loop.relay.front.open)
+    loop.until(lambda: not loop.relay.front.open_connections)
 
 
 def test_a_client_that_waits_on_is_sent_on_though_half_a_line_of_it_came(tmp_path: Path) -> None:
@@ -116,7 +116,7 @@
     loop.order.held = {side.wire.fileno()}
     loop.until(lambda: backend.called)
     at_backend = backend.accept()
-    loop.until(lambda: attempts[0].over or at_backend.read())
+    loop.until(lambda: attempts[0].is_over or at_backend.read())
     loop.order.held.clear()
     loop.wait(400_000, 20_000)
     assert at_backend.read() == b"", "a request was sent on after its client had left"
@@ -146,10 +146,10 @@
         loop.until(lambda: taken)
     finally:
         BackendProtocol.connectionMade = made  # type: ignore[method-assign]
-    (visit,) = loop.core.visits.values()
-    attempt = visit.attempt
+    (connection,) = loop.core.connections.values()
+    attempt = connection.attempt
     assert attempt and attempt.upstream
     line = attempt.upstream.line  # type: ignore[attr-defined]
-    loop.until(lambda: attempt.over or loop.wait(20_000))
+    loop.until(lambda: attempt.is_over or loop.wait(20_000))
     loop.step(3)
     assert line.wire.disconnected or not line.wire.connected, "what is left of the first line may still leave"
--- a/tests/test_moments_list.py
+++ b/tests/test_moments_list.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from gradefront.core.visit import Attempt
-from lab.town import settings
-from milletdeal import interface as i
+from balancer.events import BackendState
+from gradefront.core.connection import Attempt
+from lab.stand_ins import settings
 
 from .loop import Backend, Loop, Peer, arrived, guarded, hold_connects
 
@@ -43,8 +43,8 @@
     return json.dumps(told, **form).encode() + b"\n"
 
 
-def drains(loop: Loop, box: str = "box-0") -> bool:
-    return loop.core.backends.state(box) is i.ServerState.DRAINING
+def drains(loop: Loop, backend: str = "box-0") -> bool:
+    return loop.core.backends.state(backend) is BackendState.DRAINING
 
 
 def pair(folder: Path, **told: Any) -> Loop:
@@ -60,7 +60,11 @@
     first = watch(loop)
     first.send(chunk(line(loop.known)))
     loop.until(
-        lambda: len(loop.core.backends) and loop.relay.list_watch.failures == 0 and loop.core.lifecycle.takes_clients
+        lambda: (
+            len(loop.core.backends)
+            and loop.relay.endpoint_watch.failures == 0
+            and loop.core.lifecycle.accepts_clients
+        )
     )
     loop.step(3)
     silent_us = loop.now_us  # from here on nothing comes; the drain is told to nobody
@@ -116,7 +120,7 @@
         first.send(chunk(text[at : at + size]))
         loop.step()
     loop.until(lambda: drains(loop))
-    assert loop.core.serves("box-1") and loop.relay.box_list.revision == 7
+    assert loop.core.is_ready("box-1") and loop.relay.endpoint_list.revision == 7
     assert not loop.core.counters.counts["list_errors"] and not loop.core.counters.counts["exceptions"]
 
 
@@ -140,7 +144,7 @@
     loop.until(lambda: loop.core.counters.counts["list_errors"] == 1)
     assert loop.now_us == began
     loop.until(lambda: loop.wait(4_000) or loop.discovery.called)
-    assert loop.core.serves("box-0") and loop.core.serves("box-1")
+    assert loop.core.is_ready("box-0") and loop.core.is_ready("box-1")
 
 
 @pytest.mark.parametrize(
@@ -152,9 +156,9 @@
     moved = {**loop.known["members"][0], "host_port": "127.0.0.1:1"}
     first.send(chunk(line({"revision": 5, "complete": True, "members": [moved], **bad})))
     loop.until(lambda: loop.core.counters.counts["list_errors"] == 1)
-    assert loop.core.serves("box-0") and loop.core.serves("box-1")
-    assert loop.relay.box_list.address("box-0") != ("127.0.0.1", 1)
-    assert loop.relay.box_list.revision == 1 and not loop.core.counters.counts["exceptions"]
+    assert loop.core.is_ready("box-0") and loop.core.is_ready("box-1")
+    assert loop.relay.endpoint_list.address("box-0") != ("127.0.0.1", 1)
+    assert loop.relay.endpoint_list.revision == 1 and not loop.core.counters.counts["exceptions"]
 
 
 @pytest.mark.parametrize(
@@ -173,11 +177,11 @@
     first = watch(loop)
     told = {**loop.known, "revision": 9, "members": [{**loop.known["members"][0], **bad}, loop.known["members"][1]]}
     first.send(chunk(line(told)))
-    loop.until(lambda: loop.relay.box_list.revision == 9)
-    assert loop.core.serves("box-0") and loop.core.serves("box-1")
-    assert loop.relay.box_list.address("box-0") and loop.core.counters.counts["bad_list_lines"] == 1
+    loop.until(lambda: loop.relay.endpoint_list.revision == 9)
+    assert loop.core.is_ready("box-0") and loop.core.is_ready("box-1")
+    assert loop.relay.endpoint_list.address("box-0") and loop.core.counters.counts["bad_list_lines"] == 1
     first.send(chunk(line({**loop.known, "revision": 10, "members": loop.known["members"][1:]})))
-    loop.until(lambda: loop.relay.box_list.revision == 10)
+    loop.until(lambda: loop.relay.endpoint_list.revision == 10)
     assert "box-0" not in loop.core.backends, "a whole list without it means that it is gone"
 
 
@@ -185,35 +189,35 @@
     loop = pair(tmp_path)
     old = watch(loop)
     old.send(chunk(line(loop.known)))
-    loop.until(lambda: loop.relay.list_watch.call and loop.relay.list_watch.call.news)
-    call = loop.relay.list_watch.call
+    loop.until(lambda: loop.relay.endpoint_watch.call and loop.relay.endpoint_watch.call.news)
+    call = loop.relay.endpoint_watch.call
     assert call and call.line
     loop.order.held.add(call.line.wire.fileno())
     old.send(chunk(line(change(loop, 1, "DELETED", 40))))  # under way as another address is told
     other = Backend()
     loop.discovery = other
-    loop.relay.list_watch.go_to(("127.0.0.1", other.port))
+    loop.relay.endpoint_watch.go_to(("127.0.0.1", other.port))
     loop.order.held.clear()
     new = watch(loop)
     assert b"index=0" in new.got, "revisions of one address mean nothing at another"
     new.send(chunk(line({**loop.known, "revision": 2})))
-    loop.until(lambda: loop.relay.box_list.revision == 2)
+    loop.until(lambda: loop.relay.endpoint_list.revision == 2)
     loop.step(5)
-    assert loop.core.serves("box-1")
+    assert loop.core.is_ready("box-1")
 
 
 def test_a_watch_that_ends_in_the_middle_of_an_object_is_opened_anew_from_the_last_whole_one(tmp_path: Path) -> None:
     loop = pair(tmp_path)
     first = watch(loop)
     first.send(chunk(line({**loop.known, "revision": 4})))
-    loop.until(lambda: loop.relay.box_list.revision == 4)
+    loop.until(lambda: loop.relay.endpoint_list.revision == 4)
     first.send(chunk(line(change(loop, 0, "DRAINING", 5))[:60]))
     first.close(reset=True)
     second = watch(loop)
-    assert b"index=4" in second.got and loop.core.serves("box-0")
+    assert b"index=4" in second.got and loop.core.is_ready("box-0")
     second.send(chunk(line(change(loop, 0, "DRAINING", 3))))  # revisions may go back after an outage
     loop.until(lambda: drains(loop))
-    assert loop.relay.box_list.revision == 3
+    assert loop.relay.endpoint_list.revision == 3
 
 
 def connecting_beside_a_watch(loop: Loop) -> tuple[Peer, socket.socket, Peer, list[Attempt]]:
@@ -221,7 +225,7 @@
     connection to a backend comes up now, in a turn that keeps the loop busy."""
     first = watch(loop)
     first.send(chunk(line(loop.known)))
-    call = loop.relay.list_watch.call
+    call = loop.relay.endpoint_watch.call
     loop.until(lambda: call and call.news)
     client = loop.client()
     attempts = hold_connects(loop)
@@ -237,11 +241,11 @@
     backends = [Backend(), Backend()]
     loop = Loop(tmp_path, backends)
     first, unread, _client, attempts = connecting_beside_a_watch(loop)
-    number = int(attempts[0].box[-1])
+    number = int(attempts[0].backend[-1])
     first.send(chunk(line(change(loop, number, phase, 8))))
     arrived(unread)
-    loop.until(lambda: attempts[0].over or attempts[0].wrote_us)
-    assert attempts[0].over, "sent to a backend after its drain was told"
+    loop.until(lambda: attempts[0].is_over or attempts[0].write_started_us)
+    assert attempts[0].is_over, "sent to a backend after its drain was told"
     other = backends[1 - number]
     loop.until(lambda: loop.release() or loop.wait(4_000) or other.called)
     at_other = other.accept()
@@ -252,7 +256,7 @@
     loop = pair(tmp_path, discovery="push")
     first = watch(loop)
     first.send(chunk(line(loop.known)))
-    loop.until(lambda: loop.core.lifecycle.takes_clients)
+    loop.until(lambda: loop.core.lifecycle.accepts_clients)
     first.close(reset=True)
     silent = [
         loop.discovery.accept() for _ in range(10) if loop.until(lambda: loop.wait(20_000) or loop.discovery.called)
@@ -276,7 +280,7 @@
     first.sock.settimeout(10)
     arrived(unread)
     with guarded():
-        loop.until(lambda: attempts[0].wrote_us)
+        loop.until(lambda: attempts[0].write_started_us)
     at_backend = backend.accept()
     loop.until(lambda: at_backend.read().endswith(b"\r\n"))
-    assert loop.core.serves("box-0"), "what is known stays"
+    assert loop.core.is_ready("box-0"), "what is known stays"
--- a/tests/test_moments_send.py
+++ b/tests/test_moments_send.py
@@ -1,4 +1,5 @@
-"""Rare moments of attempts: windows that close, late connects, broken answers, clients that go, probes that cross."""
+"""Rare moments of attempts: windows that close, late connects, broken answers, clients that go, health checks that
+cross."""
 
 from __future__ import annotations
 
@@ -9,15 +10,25 @@
 
 import pytest
 
-from gradefront.core.visit import Stage
-from lab.town import settings
-from milletdeal import Balancer
-from milletdeal import interface as i
+from balancer import Balancer
+from balancer.actions import Fail, Reject, SetTimer, StartAttempt
+from balancer.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointListUpdate,
+    Event,
+    HealthCheckResult,
+    Request,
+)
+from balancer.settings import Idempotency, KeyScope, RequestClass, Settings
+from gradefront.core.connection import ConnectionState
+from lab.stand_ins import settings
 
 from .loop import Backend, Loop, Peer, arrived, guarded, hold_connects
 
 
-def ruled(effect: str, scope: str = "all", window_ms: int = 400, **more: Any) -> dict[str, Any]:
+def stored_rules(effect: str, scope: str = "all", window_ms: int = 400, **more: Any) -> dict[str, Any]:
     told = settings(**{"aim_ms": 300, "deadline_ms": 4000, **more})
     for grade in told["grades"]:
         grade.update(semantics=effect, keyScope=scope, dedupWindowUs=window_ms * 1000)
@@ -45,11 +56,11 @@
     tmp_path: Path, effect: str, scope: str, answer: bytes
 ) -> None:
     backends = [Backend(), Backend(), Backend()]
-    told = ruled(effect, scope, 400, connectTimeoutUs=1_000_000)
+    told = stored_rules(effect, scope, 400, connectTimeoutUs=1_000_000)
     loop = Loop(tmp_path, backends, told)
     for member in loop.known["members"]:
         member["cell"] = 1
-    loop.relay.box_list.take(loop.known, whole=True)
+    loop.relay.endpoint_list.apply(loop.known, whole=True)
     client = loop.client()
     loop.open(client, d=4000)
     number, peer = first_at(loop, backends)
@@ -60,10 +71,10 @@
     assert loop.now_us < written_us + 400_000
     loop.now_us = written_us + 400_000
     loop.order.held.clear()
-    second = next(n for n, b in enumerate(backends) if n != number and attempts[0].box == f"box-{n}")
+    second = next(n for n, b in enumerate(backends) if n != number and attempts[0].backend == f"box-{n}")
     loop.until(lambda: backends[second].called)
     at_second = backends[second].accept()
-    loop.until(lambda: at_second.read() or attempts[0].over)
+    loop.until(lambda: at_second.read() or attempts[0].is_over)
     loop.step(4)
     if effect == "safe":
         assert b"OPEN" in at_second.read()
@@ -73,25 +84,25 @@
     assert client.got.split()[0] == answer
 
 
-@pytest.mark.parametrize("scope", [i.Scope.ALL, i.Scope.CELL])
-def test_a_repeat_that_would_wait_beyond_its_window_is_given_up_at_once(scope: i.Scope) -> None:
-    klass = i.RequestClass(600_000, 5_000_000, i.Repeat.KEYED, scope, 50_000)
+@pytest.mark.parametrize("scope", [KeyScope.ALL, KeyScope.CELL])
+def test_a_repeat_that_would_wait_beyond_its_window_is_given_up_at_once(scope: KeyScope) -> None:
+    request_class = RequestClass(600_000, 5_000_000, Idempotency.KEYED, scope, 50_000)
     for seed in range(20):
-        b = Balancer(i.Settings(classes=(klass,), max_attempts=4), seed)
-        b.handle(0, i.ListUpdate((i.ServerEntry("s1"), i.ServerEntry("s2"), i.ServerEntry("s3"))))
-        (start,) = [a for a in b.handle(1_000, i.Request(7, 5_000_000)) if isinstance(a, i.Start)]
-        told = b.handle(2_000, i.Outcome(7, 0, start.server, i.Result.RESET))
-        waits = [a.delay_us for a in told if isinstance(a, i.SetTimer)]
-        answers = [a for a in told if isinstance(a, i.Refuse | i.Fail)]
+        b = Balancer(Settings(classes=(request_class,), max_attempts=4), seed)
+        b.handle(0, EndpointListUpdate((Endpoint("s1"), Endpoint("s2"), Endpoint("s3"))))
+        (start,) = [a for a in b.handle(1_000, Request(7, 5_000_000)) if isinstance(a, StartAttempt)]
+        told = b.handle(2_000, AttemptEnded(7, 0, start.backend, AttemptResult.RESET))
+        waits = [a.delay_us for a in told if isinstance(a, SetTimer)]
+        answers = [a for a in told if isinstance(a, Reject | Fail)]
         assert len(answers) + len(waits) == 1
         assert all(w < 49_000 for w in waits), "a wait that ends when nothing may be sent any more"
-        assert all(isinstance(a, i.Refuse) == (scope is i.Scope.ALL) for a in answers)
+        assert all(isinstance(a, Reject) == (scope is KeyScope.ALL) for a in answers)
 
 
 @pytest.mark.parametrize("what", ["reset as the line is written", "half an answer", "a timeout"])
 def test_what_may_have_run_and_must_run_once_is_never_sent_twice(tmp_path: Path, what: str) -> None:
     backends = [Backend(), Backend()]
-    loop = Loop(tmp_path, backends, ruled("unsafe", deadline_ms=2000))
+    loop = Loop(tmp_path, backends, stored_rules("unsafe", deadline_ms=2000))
     client = loop.client()
     loop.open(client, d=2000)
     number, peer = first_at(loop, backends)
@@ -114,13 +125,13 @@
     loop.until(lambda: loop.wait(4_000) or attempts)
     loop.until(lambda: loop.wait(4_000) or len(attempts) == 2)
     loop.order.held.clear()  # both connections come up in the same turn
-    late = next(b for n, b in enumerate(backends) if attempts[0].box == f"box-{n}")
+    late = next(b for n, b in enumerate(backends) if attempts[0].backend == f"box-{n}")
     other = next(b for b in backends if b is not late)
     loop.until(lambda: other.called)
     at_other = other.accept()
     loop.until(lambda: b"OPEN" in at_other.read())
     loop.wait(100_000)
-    assert attempts[0].over and (not late.called or b"OPEN" not in late.accept().read())
+    assert attempts[0].is_over and (not late.called or b"OPEN" not in late.accept().read())
 
 
 @pytest.mark.parametrize("where", ["backoff", "connecting", "after a timeout to connect"])
@@ -137,7 +148,9 @@
         for backend in backends:
             backend.listener.close()  # refused: a second attempt follows after a backoff
         loop.order.held.clear()
-        loop.until(lambda: any(v.stage is Stage.QUEUED and v.attempts for v in loop.core.visits.values()))
+        loop.until(
+            lambda: any(v.state is ConnectionState.QUEUED and v.attempts for v in loop.core.connections.values())
+        )
     else:
         loop.until(lambda: loop.wait(4_000) or len(attempts) >= 2)
         if where.startswith("after"):
@@ -150,9 +163,9 @@
     before = len(attempts)
     loop.order.first = [side.wire.fileno() for side in sides] if where == "connecting" else []
     loop.order.held.clear()
-    loop.until(lambda: not loop.relay.front.open)
+    loop.until(lambda: not loop.relay.front.open_connections)
     loop.wait(1_500_000, 20_000)
-    assert not loop.core.visits and len(attempts) <= before + many
+    assert not loop.core.connections and len(attempts) <= before + many
     for backend in backends if where != "backoff" else ():
         while backend.called:
             assert b"OPEN" not in backend.accept().read()
@@ -195,7 +208,7 @@
             peer.line("UP r-9")  # some milliseconds later
         loop.step(5)
         assert b"UP" not in client.read()
-    assert not loop.core.visits and not loop.core.counters.counts["exceptions"]
+    assert not loop.core.connections and not loop.core.counters.counts["exceptions"]
 
 
 def test_an_answer_in_the_turn_in_which_its_time_is_over_counts_for_nothing(tmp_path: Path) -> None:
@@ -204,13 +217,13 @@
     client = loop.client()
     loop.open(client)
     _, peer = first_at(loop, [backend])
-    (visit,) = loop.core.visits.values()
-    assert visit.attempt
+    (connection,) = loop.core.connections.values()
+    assert connection.attempt
     peer.line("UP r-1")
-    arrived(visit.attempt.upstream.line.wire.socket)  # type: ignore[union-attr]
-    loop.now_us = visit.attempt.until_us + 5_000  # the loop was held up; it sees the timer first
+    arrived(connection.attempt.upstream.line.wire.socket)  # type: ignore[union-attr]
+    loop.now_us = connection.attempt.expires_us + 5_000  # the loop was held up; it sees the timer first
     loop.until(lambda: client.read() and client.ended)
-    assert client.got.count(b"\r\n") == 1 and not loop.core.visits
+    assert client.got.count(b"\r\n") == 1 and not loop.core.connections
 
 
 @pytest.mark.parametrize("word", [b"BYE\r\n", b"MOVE\r\n", b"half a line", b"a line\r\n"])
@@ -219,69 +232,69 @@
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client, peer = loop.standing(backend)
-    (visit,) = loop.core.visits.values()
-    upstream = visit.attempt.upstream  # type: ignore[union-attr]
+    (connection,) = loop.core.connections.values()
+    upstream = connection.attempt.upstream  # type: ignore[union-attr]
     loop.order.held.add(upstream.line.wire.fileno())  # type: ignore[union-attr]
     peer.send(word)
     arrived(upstream.line.wire.socket)  # type: ignore[union-attr]
     peer.close(reset=reset)
-    loop.core.move(visit)
+    loop.core.migrate(connection)
     loop.order.held.clear()
     loop.until(lambda: client.read() and client.ended)
     assert client.got == b"MOVE\r\n" and not client.reset
-    loop.core.move(visit)  # decided for one that has just ended
+    loop.core.migrate(connection)  # decided for one that has just ended
     loop.step(3)
-    assert not loop.core.visits and not loop.core.counters.counts["exceptions"]
+    assert not loop.core.connections and not loop.core.counters.counts["exceptions"]
 
 
 def test_a_stray_answer_is_not_taken_for_that_of_the_next_probe(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend], settings(probes=True))
-    told = list[i.ProbeResult]()
-    put = loop.core.put
+    told = list[HealthCheckResult]()
+    put = loop.core.enqueue
 
-    def heard(event: i.Event) -> None:
-        if isinstance(event, i.ProbeResult):
+    def heard(event: Event) -> None:
+        if isinstance(event, HealthCheckResult):
             told.append(event)
         put(event)
 
-    loop.core.put = heard  # type: ignore[method-assign]
-    loop.relay.core.prober.ask("box-0")  # type: ignore[union-attr]
+    loop.core.enqueue = heard  # type: ignore[method-assign]
+    loop.relay.core.health_checker.check("box-0")  # type: ignore[union-attr]
     loop.until(lambda: backend.called)
     probe = backend.accept()
     loop.until(lambda: probe.read() == b"STATS\r\n")
     probe.send(b"PONG x0=0.25\r\nPONG x0=0.9\r\n")  # the second answer belongs to nothing
     loop.until(lambda: told)
     loop.step(3)
-    loop.relay.core.prober.ask("box-0")  # type: ignore[union-attr]
+    loop.relay.core.health_checker.check("box-0")  # type: ignore[union-attr]
     loop.until(lambda: backend.called)
     again = backend.accept()
     loop.until(lambda: again.read() == b"STATS\r\n")
     again.line("PONG x0=0.5")
     loop.until(lambda: len(told) == 2)
-    assert [t.report.load for t in told if t.report] == [0.25, 0.5]
+    assert [t.load_report.load for t in told if t.load_report] == [0.25, 0.5]
 
 
 def test_an_idle_connection_that_is_closed_as_a_probe_is_sent_is_asked_anew(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend], settings(probes=True))
-    prober: Any = loop.relay.core.prober
-    prober.ask("box-0")
+    prober: Any = loop.relay.core.health_checker
+    prober.check("box-0")
     loop.until(lambda: backend.called)
     probe = backend.accept()
     loop.until(lambda: probe.read() == b"STATS\r\n")
     probe.line("PONG x0=0.25")
-    loop.until(lambda: not prober.probers["box-0"].asked_us)
-    loop.order.held.add(prober.probers["box-0"].line.wire.fileno())
+    loop.until(lambda: not prober.connections["box-0"].asked_us)
+    loop.order.held.add(prober.connections["box-0"].line.wire.fileno())
     probe.close(reset=True)
-    prober.ask("box-0")
+    prober.check("box-0")
     loop.step(2)
     loop.order.held.clear()
     loop.until(lambda: backend.called)
     again = backend.accept()
     loop.until(lambda: again.read() == b"STATS\r\n")
     again.line("PONG x0=0.5")
-    loop.until(lambda: not prober.probers["box-0"].asked_us)
+    loop.until(lambda: not prober.connections["box-0"].asked_us)
     assert not loop.core.counters.counts["probes_failed"]
 
 
@@ -294,9 +307,13 @@
         for n, peer in enumerate(flood):
             peer.send((b"z" * 3000 + b"\r\n") * (1 + n % 3) + b"z" * (n % 2) * 6000)
             peer.close(reset=n % 4 == 0)
-        loop.until(lambda: loop.relay.front.open <= 1 + len(loop.relay.front.closing) or loop.wait(4_000))
-    loop.until(lambda: loop.relay.front.open == 1)
-    assert loop.relay.front.held() == 2 and not loop.relay.front.door and not len(loop.relay.front.closing)
+        loop.until(lambda: loop.relay.front.open_connections <= 1 + len(loop.relay.front.closing) or loop.wait(4_000))
+    loop.until(lambda: loop.relay.front.open_connections == 1)
+    assert (
+        loop.relay.front.descriptors_held() == 2
+        and not loop.relay.front.pre_request
+        and not len(loop.relay.front.closing)
+    )
     usual.line("still here")
     loop.until(lambda: served.read() == b"still here\r\n")
     assert loop.core.counters.counts["bad_lines"] >= 320
@@ -320,7 +337,7 @@
     client.sock.settimeout(10)
     arrived(side.wire.socket)
     with guarded():
-        loop.until(lambda: attempts[0].over)
+        loop.until(lambda: attempts[0].is_over)
     loop.order.held.clear()
     loop.until(lambda: client.read() and client.ended or client.ended)
     assert client.reset or client.got == b"ERR\r\n"
@@ -360,4 +377,4 @@
     served.send(endless)
     loop.until(lambda: client.read() and client.ended or client.ended)
     assert client.got.endswith(b"MOVE\r\n") and client.got.count(b"x") + client.got.count(b"y") == 0
-    assert not client.reset and not loop.core.visits
+    assert not client.reset and not loop.core.connections
--- a/tests/test_moments_stop.py
+++ b/tests/test_moments_stop.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from gradefront.core.duty import Duty
-from gradefront.core.visit import Stage
-from lab.town import settings
+from gradefront.core.connection import ConnectionState
+from gradefront.core.lifecycle_state import LifecycleState
+from lab.stand_ins import settings
 
 from .loop import LONG_S, Backend, Loop, Peer, arrived, hold_connects
 
@@ -20,7 +20,7 @@
     loop.leave()
     lifecycle = loop.core.lifecycle
     loop.wait(lifecycle.kill_us - 500_000, 20_000)
-    while lifecycle.duty is not Duty.STOPPING:
+    while lifecycle.state is not LifecycleState.STOPPING:
         loop.wait(4_000)
 
 
@@ -31,7 +31,7 @@
     loop.leave()
     loop.wait(700_000, 20_000)
     late = loop.client()
-    loop.until(lambda: loop.wait(4_000) or loop.core.lifecycle.duty is Duty.STOPPING)
+    loop.until(lambda: loop.wait(4_000) or loop.core.lifecycle.state is LifecycleState.STOPPING)
     loop.open(late)
     loop.until(lambda: late.read().endswith(b"\r\n"))
     assert late.got == b"BUSY\r\n"
@@ -66,7 +66,7 @@
     attempts = hold_connects(loop)
     loop.open(client)
     loop.until(lambda: attempts and backend.called)
-    assert attempts[0].visit.stage is Stage.CONNECTING
+    assert attempts[0].connection.state is ConnectionState.CONNECTING
     at_backend = backend.accept()
     loop.wait(64_000)
     loop.order.held.clear()
@@ -179,8 +179,8 @@
     loop.leave()
     loop.until(lambda: loop.wait(10_000) or not loop.relay.port.connected)
     before = set(loop.reactor.getReaders())
-    assert loop.relay.door
-    caller = Peer(socket.create_connection(("127.0.0.1", loop.relay.door.getHost().port), LONG_S))
+    assert loop.relay.admin_server
+    caller = Peer(socket.create_connection(("127.0.0.1", loop.relay.admin_server.getHost().port), LONG_S))
     caller.send(b"INFO\r\n")
     loop.until(lambda: loop.core.counters.counts["door_calls"])
     (end,) = set(loop.reactor.getReaders()) - before
@@ -188,7 +188,7 @@
     caller.send(b"more than was asked for\r\n")
     arrived(end.socket)
     resting.close()
-    loop.until(lambda: not loop.relay.front.open)
+    loop.until(lambda: not loop.relay.front.open_connections)
     loop.wait(20_000)
     loop.order.held.clear()
     loop.until(lambda: caller.read() and caller.ended)
