--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -1,4 +1,4 @@
-"""The platform's lines and the box list's form. No sockets."""
+"""The platform's lines and the endpoint list's form. No sockets."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from hypothesis import strategies as st
 from twisted.internet.testing import MemoryReactorClock
 
+from balancer.events import BackendState, Endpoint, EndpointListError, EndpointListUpdate, LoadReport
 from gradefront.config import Config, ConfigError, address, parse
-from gradefront.net.boxlist import BoxList
+from gradefront.net.endpoint_list import EndpointList
+from gradefront.net.endpoint_watch import EndpointWatch
+from gradefront.net.health_checks import BackendHealthChecker
 from gradefront.net.lines import BadLine, read_first, read_id, read_report
-from gradefront.net.prober import LoadProber
-from gradefront.net.watch import ListWatch
-from lab.town import settings
-from milletdeal import interface as i
+from lab.stand_ins import settings
 
 from .helper import SETTINGS, Bench
 
@@ -33,10 +33,10 @@
 
 def test_a_first_line_says_what_the_client_wants() -> None:
     call, at = read_first(HEAD + b"c=visit-checkin,d=1400,g=000a0c821d1466e1,r=1,again=1,at=s-1", CONFIG)
-    assert (call.klass, call.patience_us, call.group) == (1, 1_400_000, "000a0c821d1466e1")
-    assert call.is_retry and call.came_back and at == "s-1" and call.key == "7f3a9c21e0b4d655"
+    assert (call.request_class, call.timeout_us, call.sticky_group) == (1, 1_400_000, "000a0c821d1466e1")
+    assert call.is_retry and call.is_reconnect and at == "s-1" and call.idempotency_key == "7f3a9c21e0b4d655"
     call, at = read_first(USUAL + b",h=12.5,x=odd", CONFIG)
-    assert (call.klass, call.patience_us, at, call.came_back) == (0, 1_500_000, "", False)
+    assert (call.request_class, call.timeout_us, at, call.is_reconnect) == (0, 1_500_000, "", False)
     assert call.load_hint == 12.5 and read_id(USUAL) == b"9b1f03aa5c7e2d41"
 
 
@@ -111,29 +111,29 @@
     line = HEAD + listed.encode()
     with suppress(BadLine):  # figures that are not ASCII
         call, _ = read_first(line, CONFIG)
-        assert call.patience_us == d * 1000
+        assert call.timeout_us == d * 1000
         wanted = ",".join(f"d={max(1, left)}" if f == f"d={d}" else f for f in listed.split(","))
-        assert call.parcel.with_time(left * 1000) == HEAD + wanted.encode()  # type: ignore[attr-defined]
+        assert call.request_line.with_time(left * 1000) == HEAD + wanted.encode()  # type: ignore[attr-defined]
 
 
 @given(st.binary(max_size=200), st.sampled_from([b"", HEAD, USUAL + b","]))
 def test_no_line_breaks_the_reader(noise: bytes, head: bytes) -> None:
     with suppress(BadLine):
         call, _ = read_first(head + noise, CONFIG)
-        assert call.patience_us >= 0
+        assert call.timeout_us >= 0
     report = read_report(noise)
-    assert report is None or isinstance(report, i.LoadReport)
+    assert report is None or isinstance(report, LoadReport)
 
 
 def test_a_load_report_is_read_by_name() -> None:
-    assert read_report(b"PONG latency_ms=3.1,qps=7,util=0.61,x0=0.72") == i.LoadReport(0.72, 0.61)
+    assert read_report(b"PONG latency_ms=3.1,qps=7,util=0.61,x0=0.72") == LoadReport(0.72, 0.61)
     assert read_report(b"BYE") is None
-    assert read_report(b"BUSY util=none,x0=1.5") == i.LoadReport(1.5, None)
+    assert read_report(b"BUSY util=none,x0=1.5") == LoadReport(1.5, None)
 
 
 def test_the_box_list_keeps_addresses_and_leaves_out_what_makes_no_sense() -> None:
     bench = Bench()
-    boxes = BoxList(CONFIG, bench.core)
+    backends = EndpointList(CONFIG, bench.core)
     good = {
         "id": "s-1",
         "host_port": "127.0.0.1:3000",
@@ -145,13 +145,13 @@
         "up_since_ms": 5,
     }
     bad = [{}, 7, {**good, "host_port": None}, {**good, "id": "s-9", "host_port": "x:y"}, {"id": "s-8"}]
-    boxes.take(json.loads(json.dumps({"revision": 4, "complete": True, "members": [good, *bad]})))
-    bench.core.turn()
-    assert bench.events[-1] == i.ListUpdate((i.ServerEntry("s-1", i.ServerState.READY, 1, 3, 1, 1.5, 5000),), True)
-    assert boxes.address("s-1") == ("127.0.0.1", 3000) and boxes.address("s-9") is None
-    assert boxes.revision == 4 and bench.core.counters.counts["bad_list_lines"] == 5
-    boxes.take({"revision": 5, "complete": False, "members": [{"id": "s-1", "phase": "DELETED"}]})
-    assert boxes.address("s-1") is None and not bench.core.serves("s-1") and not boxes.places
+    backends.apply(json.loads(json.dumps({"revision": 4, "complete": True, "members": [good, *bad]})))
+    bench.core.run_turn()
+    assert bench.events[-1] == EndpointListUpdate((Endpoint("s-1", BackendState.READY, 1, 3, 1, 1.5, 5000),), True)
+    assert backends.address("s-1") == ("127.0.0.1", 3000) and backends.address("s-9") is None
+    assert backends.revision == 4 and bench.core.counters.counts["bad_list_lines"] == 5
+    backends.apply({"revision": 5, "complete": False, "members": [{"id": "s-1", "phase": "DELETED"}]})
+    assert backends.address("s-1") is None and not bench.core.is_ready("s-1") and not backends.places
 
 
 @pytest.mark.parametrize("text", ["", "x", "x:", ":1", "h:70000", "h:p"])
@@ -182,7 +182,7 @@
 
 def test_no_stale_retry_or_late_news_undoes_a_watch_at_a_new_address() -> None:
     bench, dials = Bench(), Dials()
-    watch = ListWatch(dials, bench.core, BoxList(CONFIG, bench.core), ("127.0.0.1", 1))  # type: ignore[arg-type]
+    watch = EndpointWatch(dials, bench.core, EndpointList(CONFIG, bench.core), ("127.0.0.1", 1))  # type: ignore[arg-type]
     watch.watch()
     old = watch.call
     assert old
@@ -191,8 +191,8 @@
     old.take(b'{"revision": 9, "complete": true, "members": []}')
     old.over("the connection ended")
     bench.wait(1_000_000)
-    assert dials.dialled == [1, 2] and watch.box_list.revision == 0
-    assert not any(isinstance(e, i.ListError) for e in bench.events) and bench.core.serves("box-1")
+    assert dials.dialled == [1, 2] and watch.endpoint_list.revision == 0
+    assert not any(isinstance(e, EndpointListError) for e in bench.events) and bench.core.is_ready("box-1")
     assert watch.call and not watch.call.ended
     watch.call.over("the connection ended")
     watch.watch()
@@ -200,8 +200,8 @@
 
 
 def test_where_lists_are_pushed_the_watch_keeps_itself_open_well_within_the_told_time() -> None:
-    bench, dials = Bench(replace(SETTINGS, ask_for_list=False, drain_grace_us=300_000)), Dials()
-    watch = ListWatch(dials, bench.core, BoxList(CONFIG, bench.core), ("127.0.0.1", 1))  # type: ignore[arg-type]
+    bench, dials = Bench(replace(SETTINGS, polls_endpoint_list=False, drain_grace_us=300_000)), Dials()
+    watch = EndpointWatch(dials, bench.core, EndpointList(CONFIG, bench.core), ("127.0.0.1", 1))  # type: ignore[arg-type]
     watch.watch()
     bench.wait(250_000)  # silent since the call: the agent had a third of the told time, twice
     assert len(dials.dialled) == 3 and watch.call
@@ -216,9 +216,9 @@
         bench.wait(104_000)
     assert len(dials.dialled) == 9, "an agent that refuses is called again at a pace, a third of the told time"
     bench.now += 500_000  # this relay is held up, and has not read what came meanwhile
-    bench.core.turn()
+    bench.core.run_turn()
     assert len(dials.dialled) == 9
-    assert not any(isinstance(e, i.ListError) for e in bench.events), "the module has no part in it"
+    assert not any(isinstance(e, EndpointListError) for e in bench.events), "the module has no part in it"
 
 
 def test_a_knock_tells_once_whether_the_machine_took_a_connection_in_time() -> None:
@@ -226,9 +226,9 @@
     for end in ("up", "refused", "late", "late, then up"):
         bench = Bench()
         reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
-        prober = LoadProber(reactor, bench.core, lambda _: ("127.0.0.1", 9))
+        prober = BackendHealthChecker(reactor, bench.core, lambda _: ("127.0.0.1", 9))
         with patch.object(
-            bench.core.liveness, "on_connect_checked", lambda box, opened, end=end: heard.append((end, opened))
+            bench.core.liveness, "on_connect_checked", lambda backend, opened, end=end: heard.append((end, opened))
         ):
             prober.check_connect("box-1", 150_000)
             _, _, check_connect, _, _ = reactor.tcpClients[0]
@@ -240,5 +240,5 @@
             if end == "late, then up":
                 check_connect.buildProtocol(None)
     assert heard == [("up", True), ("refused", True), ("late", False), ("late, then up", False)]
-    LoadProber(reactor, bench.core, lambda _: None).check_connect("box-1", 150_000)
+    BackendHealthChecker(reactor, bench.core, lambda _: None).check_connect("box-1", 150_000)
     assert len(reactor.tcpClients) == 1, "nobody checks a box that is in no list"
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -11,18 +11,19 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from gradefront.net.boxlist import BoxList
+from balancer.actions import StartAttempt
+from balancer.events import ConnectionLoadReport, HealthCheckResult, Request
+from gradefront.net.backend_connection import LineBackendConnection
+from gradefront.net.client_protocol import ClientProtocolFactory
 from gradefront.net.closing import UNSENT_US, ConnectionCloser
-from gradefront.net.front import PlatformFront
+from gradefront.net.endpoint_list import EndpointList
+from gradefront.net.endpoint_watch import EndpointWatch, EndpointWatchCall
+from gradefront.net.health_checks import BackendHealthChecker, HealthCheckConnection, HealthCheckProtocol
 from gradefront.net.lines import FirstLine
-from gradefront.net.prober import BackendProber, LoadProber, ProbeProtocol
-from gradefront.net.upstream import PlatformUpstream
-from gradefront.net.watch import ListWatch, WatchCall
-from milletdeal import interface as i
 
 from .helper import Bench, Upstream
-from .test_door import Wire
 from .test_net_parts import CONFIG
+from .test_pre_request import Wire
 
 FIRST = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=roster-feed,d=1500,g=5c0f6e1a2b3d4c59\r\n"
 DONE = cast(Any, Failure)(ConnectionDone())
@@ -64,66 +65,68 @@
 def client(parts: list[bytes]) -> object:
     """A client's first line, `PING`s before it, lines and half a line behind."""
     bench = Bench()
-    front = PlatformFront(CONFIG, bench.core, bench)
+    front = ClientProtocolFactory(CONFIG, bench.core, bench)
     line, wire, upstream = cast(Any, front.buildProtocol(None)), Piped(), RecordingUpstream()
     line.makeConnection(wire)
     for part in parts:
         line.dataReceived(part)
-        if line.visit and not line.upstream:
+        if line.connection and not line.upstream:
             line.upstream = upstream  # it stands at once, whatever comes in the same piece
-    bench.core.turn()
-    requests = [(e.klass, e.group, e.key) for e in bench.events if isinstance(e, i.Request)]
+    bench.core.run_turn()
+    requests = [(e.request_class, e.sticky_group, e.idempotency_key) for e in bench.events if isinstance(e, Request)]
     line.connectionLost(DONE)
     return wire.said, requests, upstream.passed
 
 
-def box(parts: list[bytes]) -> object:
-    """A push box's answer, and all that follows."""
+def backend(parts: list[bytes]) -> object:
+    """A backend's answer, and all that follows."""
     bench = Bench()
-    visit, told = bench.arrive()
-    bench.order(i.Start(visit.number, "box-1", 1_000_000))
+    connection, told = bench.arrive()
+    bench.order(StartAttempt(connection.number, "box-1", 1_000_000))
     attempt = bench.attempts[-1]
-    upstream = PlatformUpstream(attempt, FirstLine(FIRST[:-2], b"", False), ConnectionCloser(bench.core, 8))
+    upstream = LineBackendConnection(attempt, FirstLine(FIRST[:-2], b"", False), ConnectionCloser(bench.core, 8))
     line, wire, passed = cast(Any, upstream.buildProtocol(None)), Piped(), list[bytes]()
     attempt.upstream = upstream
-    cast(Any, told).seat = lambda *_: setattr(upstream, "to_client", passed.append)
+    cast(Any, told).establish = lambda *_: setattr(upstream, "to_client", passed.append)
     line.makeConnection(wire)
     for part in parts:
         line.dataReceived(part)
     line.connectionLost(DONE)
-    bench.core.turn()
-    loads = [e.load for e in bench.events if isinstance(e, i.LoadNote)]
-    return wire.said, told.told, b"".join(passed), loads, [o.result for o in bench.outcomes(visit)]
+    bench.core.run_turn()
+    loads = [e.load for e in bench.events if isinstance(e, ConnectionLoadReport)]
+    return wire.said, told.told, b"".join(passed), loads, [o.result for o in bench.outcomes(connection)]
 
 
 def probe(parts: list[bytes]) -> object:
-    """An answer to a probe."""
+    """An answer to a health check."""
     bench = Bench()
-    prober = BackendProber(LoadProber(cast(Any, None), bench.core, lambda _: None), "box-1", ("127.0.0.1", 1))
-    line = cast(Any, ProbeProtocol(prober))
+    prober = HealthCheckConnection(
+        BackendHealthChecker(cast(Any, None), bench.core, lambda _: None), "box-1", ("127.0.0.1", 1)
+    )
+    line = cast(Any, HealthCheckProtocol(prober))
     prober.line, prober.asked_us = line, bench.now
     line.makeConnection(Piped())
     for part in parts:
         line.dataReceived(part)
-    bench.core.turn()
-    return [(e.result, e.report) for e in bench.events if isinstance(e, i.ProbeResult)]
+    bench.core.run_turn()
+    return [(e.result, e.load_report) for e in bench.events if isinstance(e, HealthCheckResult)]
 
 
 def watch(parts: list[bytes]) -> object:
     """Discovery's answer to a watch."""
     bench = Bench()
-    box_list = BoxList(CONFIG, bench.core)
-    call = WatchCall(ListWatch(cast(Any, None), bench.core, box_list, ("127.0.0.1", 1)))
+    endpoint_list = EndpointList(CONFIG, bench.core)
+    call = EndpointWatchCall(EndpointWatch(cast(Any, None), bench.core, endpoint_list, ("127.0.0.1", 1)))
     line = cast(Any, call.buildProtocol(None))
     line.makeConnection(Piped())
     for part in parts:
         line.dataReceived(part)
-    return box_list.revision, box_list.places, sorted(bench.core.backends)
+    return endpoint_list.revision, endpoint_list.places, sorted(bench.core.backends)
 
 
 WHOLE: dict[Callable[[list[bytes]], object], bytes] = {
     client: b"PING\r\nPING\r\n" + FIRST,
-    box: b"UP r-1\r\nLOAD 512.5\r\nLOAD x\r\nhello\r\n" + b"y" * 4000 + b"\r\nBYE\r\n",
+    backend: b"UP r-1\r\nLOAD 512.5\r\nLOAD x\r\nhello\r\n" + b"y" * 4000 + b"\r\nBYE\r\n",
     probe: b"PONG x0=0.25,util=0.5\r\n",
     watch: b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n"
     + PART[:9]
@@ -167,19 +170,19 @@
             self.cut = True
 
     bench = Bench()
-    front = PlatformFront(CONFIG, bench.core, bench)
+    front = ClientProtocolFactory(CONFIG, bench.core, bench)
     line, wire = cast(Any, front.buildProtocol(None)), Stuck()
     line.makeConnection(wire)
     line.dataReceived(FIRST)
-    line.visit.client.seat = lambda *_: None
-    bench.order(i.Start(line.visit.number, "box-1", 1_000_000))
-    bench.attempts[-1].stands(b"UP r-1")
+    line.connection.client.establish = lambda *_: None
+    bench.order(StartAttempt(line.connection.number, "box-1", 1_000_000))
+    bench.attempts[-1].succeed(b"UP r-1")
     line.dataReceived(b"half a li")
     bench.core.lifecycle.lame_duck()
     began = bench.now
     while not wire.said and bench.now < began + 3_300_000:
         bench.wait(20_000)
-    assert wire.said == b"MOVE\r\n" and not bench.core.visits, "told, whatever its own half line"
+    assert wire.said == b"MOVE\r\n" and not bench.core.connections, "told, whatever its own half line"
     bench.wait(UNSENT_US - 200_000)
     assert not wire.cut, "what it is owed has not left yet"
     bench.wait(300_000)
@@ -188,12 +191,12 @@
 
 def test_a_half_line_of_one_peer_keeps_no_other_waiting() -> None:
     bench = Bench()
-    front = PlatformFront(CONFIG, bench.core, bench)
+    front = ClientProtocolFactory(CONFIG, bench.core, bench)
     slow, quick = (cast(Any, front.buildProtocol(None)) for _ in range(2))
     for line in (slow, quick):
         line.makeConnection(Piped())
     slow.dataReceived(FIRST[:40])
     quick.dataReceived(FIRST)
-    assert quick.visit and not slow.visit
+    assert quick.connection and not slow.connection
     bench.wait(2_300_000)
     assert slow.wire.said == b"ERR\r\n" and slow.wire.ended, "nor its descriptor for long"
--- a/tests/test_door.py
+++ b/tests/test_pre_request.py
@@ -10,8 +10,9 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from gradefront.net.front import SPARE_SOCKETS, ClientProtocol, PlatformFront
-from milletdeal import interface as i
+from balancer.actions import StartAttempt
+from balancer.events import AttemptEnded, AttemptResult
+from gradefront.net.client_protocol import SPARE_SOCKETS, ClientProtocol, ClientProtocolFactory
 
 from .helper import Bench
 from .test_net_parts import CONFIG
@@ -59,12 +60,12 @@
 class Guest:
     """One connection at the front's door."""
 
-    def __init__(self, front: PlatformFront, line: ClientProtocol) -> None:
+    def __init__(self, front: ClientProtocolFactory, line: ClientProtocol) -> None:
         self.line = cast(Any, line)
         self.wire = Wire()
         self.wire.line = self.line
         self.line.makeConnection(self.wire)
-        self.came_us = front.core.clock()
+        self.arrived_us = front.core.clock()
 
     def say(self, data: bytes) -> None:
         if not self.wire.ended:
@@ -80,7 +81,7 @@
     def __init__(self, sockets: int = 512) -> None:
         self.bench = Bench()
         config = replace(CONFIG, sockets=sockets)
-        self.front = PlatformFront(config, self.bench.core, self.bench)
+        self.front = ClientProtocolFactory(config, self.bench.core, self.bench)
         self.ids = count(1)
 
     def connect(self) -> Guest:
@@ -102,10 +103,10 @@
     for word in words:
         door.bench.wait(2_000_000 // len(words))
         guest.say(word)
-    door.bench.wait(guest.came_us + OWED_US - 100_000 - door.bench.now)
+    door.bench.wait(guest.arrived_us + OWED_US - 100_000 - door.bench.now)
     assert guest.wire.said.endswith(b"ERR\r\n") and guest.wire.said.count(b"ERR") == 1 and guest.wire.ended
     guest.leave()
-    assert door.front.open == 0 and not door.front.door
+    assert door.front.open_connections == 0 and not door.front.pre_request
 
 
 def test_a_line_before_the_visit_stands_is_answered_once_and_goes_nowhere() -> None:
@@ -115,14 +116,14 @@
     assert early.wire.said == b"ERR\r\n" and early.wire.ended
     reaching = door.connect()
     reaching.say(door.first())
-    door.bench.order(i.Start(2, "box-1", 1_000_000))
+    door.bench.order(StartAttempt(2, "box-1", 1_000_000))
     (upstream,) = door.bench.upstreams
     reaching.say(b"hello\r\n")
-    assert reaching.wire.said == b"ERR\r\n" and upstream.hung and not door.bench.core.visits
+    assert reaching.wire.said == b"ERR\r\n" and upstream.hung and not door.bench.core.connections
     door.bench.wait(OWED_US)
     assert early.wire.said == reaching.wire.said == b"ERR\r\n"
-    results = [e.result for e in door.bench.events if isinstance(e, i.Outcome)]
-    assert results == [i.Result.CANCELLED], "nothing that would tell against the push box"
+    results = [e.result for e in door.bench.events if isinstance(e, AttemptEnded)]
+    assert results == [AttemptResult.CANCELLED], "nothing that would tell against the push box"
 
 
 def test_the_id_of_another_connection_is_no_id() -> None:
@@ -130,10 +131,10 @@
     usual, other, late = (door.connect() for _ in range(3))
     usual.say(door.first(7))
     other.say(door.first(7))
-    assert other.wire.said == b"ERR\r\n" and len(door.bench.core.visits) == 1
+    assert other.wire.said == b"ERR\r\n" and len(door.bench.core.connections) == 1
     usual.leave()
     late.say(door.first(7))
-    assert late.wire.said == b"ERR\r\n" and not door.bench.core.visits
+    assert late.wire.said == b"ERR\r\n" and not door.bench.core.connections
 
 
 def test_hundreds_that_say_nothing_leave_the_usual_their_room() -> None:
@@ -146,12 +147,12 @@
         if n % 15 == 0:
             usual.append(door.connect())
             usual[-1].say(door.first())
-            mine = door.bench.core.visits[max(door.bench.core.visits)]
-            door.bench.order(i.Start(mine.number, "box-1", 1_000_000))
+            mine = door.bench.core.connections[max(door.bench.core.connections)]
+            door.bench.order(StartAttempt(mine.number, "box-1", 1_000_000))
         for mute in [m for m in mutes if m.wire.ended]:
             mutes.remove(mute)
             mute.leave()
-        assert door.front.held() <= sockets - SPARE_SOCKETS // 2
+        assert door.front.descriptors_held() <= sockets - SPARE_SOCKETS // 2
     assert all(u.wire.said == b"" for u in usual), "none was turned away"
     assert len(door.bench.attempts) == len(usual) == 40
     assert door.bench.core.counters.counts["ended_for_room"] > 0
--- a/tests/test_quic_model.py
+++ b/tests/test_quic_model.py
@@ -14,22 +14,23 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
+from balancer import Balancer
+from balancer.events import BackendState, Endpoint, EndpointListUpdate
+from balancer.settings import RequestClass, Settings
 from gradefront.config import Config
-from gradefront.core.duty import Word
+from gradefront.core.connection import ConnectionState
+from gradefront.core.lifecycle_state import LifecycleEvent
 from gradefront.core.relay import RelayCore
-from gradefront.core.visit import Stage
 from gradefront.quic import config as quic_config
 from gradefront.quic.front import QuicFront
 from gradefront.quic.headers import Kind, split
 from gradefront.quic.ids import IdForm
 from gradefront.quic.initials import close_initial, seal_initial
-from milletdeal import Balancer
-from milletdeal import interface as i
 
 FORM = IdForm(0, 2, 6)
 HELLO = (b"\x06\x00\x04text").ljust(1_160, b"\0")
 SERVER_HELLO = b"\x06\x00\x04text"
-SETTINGS = i.Settings(classes=(i.RequestClass(aim_us=300_000, deadline_us=1_500_000),), max_attempts=4)
+SETTINGS = Settings(classes=(RequestClass(latency_objective_us=300_000, deadline_us=1_500_000),), max_attempts=4)
 CONFIG = Config(
     name="n0",
     listen=("127.0.0.1", 0),
@@ -42,7 +43,7 @@
     models=(),
     tenants=(),
     report_names=(),
-    tells_delay=False,
+    reports_message_latency=False,
 )
 MOST_PATHS, MOST_WAITING = 12, 4
 
@@ -75,12 +76,12 @@
 
 
 class Tables(RuleBasedStateMachine):
-    """Clients, boxes, time and the list do what they like."""
+    """Clients, backends, time and the list do what they like."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 1_000_000_000
-        self.boxes = [port() for _ in range(2)]
+        self.backends = [port() for _ in range(2)]
         told = {
             "listen": {"visit-checkin": "127.0.0.1:0"},
             "config_id": 0,
@@ -94,13 +95,13 @@
                 f"box-{n}": {
                     "server_id": f"000{n}",
                     "reset_key": "00",
-                    "address": f"127.0.0.1:{box.getsockname()[1]}",
+                    "address": f"127.0.0.1:{backend.getsockname()[1]}",
                 }
-                for n, box in enumerate(self.boxes)
+                for n, backend in enumerate(self.backends)
             },
         }
         self.core = RelayCore(Balancer(SETTINGS, 1), SETTINGS, lambda: self.now, lambda: None)
-        self.list(i.ServerState.READY, i.ServerState.READY)
+        self.list(BackendState.READY, BackendState.READY)
         reactor: Any = Reactor()
         self.front = QuicFront(CONFIG, quic_config.parse(told, CONFIG), self.core, reactor)
         self.hub = reactor.hub
@@ -111,16 +112,18 @@
         self.answers: dict[bytes, int] = {}
         self.settle()
 
-    def list(self, *states: i.ServerState) -> None:
-        self.core.listed(i.ListUpdate(tuple(i.ServerEntry(f"box-{n}", s) for n, s in enumerate(states)), True))
+    def list(self, *states: BackendState) -> None:
+        self.core.on_endpoint_list(
+            EndpointListUpdate(tuple(Endpoint(f"box-{n}", s) for n, s in enumerate(states)), True)
+        )
 
     def settle(self) -> None:
         """Let everything that is under way arrive."""
         for _ in range(3):
             self.hub._serve(0)
-            self.core.turn()
-        for n, box in enumerate(self.boxes):
-            self.at_boxes += [(n, data, where) for data, where in drained(box)]
+            self.core.run_turn()
+        for n, backend in enumerate(self.backends):
+            self.at_boxes += [(n, data, where) for data, where in drained(backend)]
         del self.at_boxes[:-20]
         for client in self.clients:
             for data, _ in drained(client):
@@ -130,7 +133,7 @@
         del self.known[:-10]
 
     def send(self, client: int, data: bytes) -> None:
-        self.clients[client].sendto(data, self.front.doors[0].address)
+        self.clients[client].sendto(data, self.front.listeners[0].address)
         self.settle()
 
     @rule(client=st.integers(0, 3), names_box=st.booleans())
@@ -163,7 +166,7 @@
             answer = seal_initial(1, packet.to_id, packet.from_id, FORM.make(bytes([0, n])), SERVER_HELLO)
         else:
             answer = close_initial(1, packet.to_id, packet.from_id, "", 2 if how == "refuse" else 1)
-        self.boxes[n].sendto(answer, where)
+        self.backends[n].sendto(answer, where)
         self.settle()
 
     @rule(client=st.integers(0, 3), which=st.integers(0, 9), fresh=st.booleans())
@@ -182,11 +185,11 @@
         end = self.now + ms * 1_000
         while self.now < end:
             self.now = min(end, max(self.now + 4_000, self.core.timers.next_due() or end))
-            self.core.turn()
+            self.core.run_turn()
         self.settle()
 
-    @rule(states=st.tuples(*[st.sampled_from([i.ServerState.READY, i.ServerState.DRAINING, i.ServerState.GONE])] * 2))
-    def change(self, states: tuple[i.ServerState, i.ServerState]) -> None:
+    @rule(states=st.tuples(*[st.sampled_from([BackendState.READY, BackendState.DRAINING, BackendState.GONE])] * 2))
+    def change(self, states: tuple[BackendState, BackendState]) -> None:
         self.list(*states)
         self.wait(130)
 
@@ -194,7 +197,7 @@
     def the_tables_fit_each_other(self) -> None:
         front = self.front
         assert len(front.route_ids) <= MOST_PATHS and len(front.pool.ports) <= 4
-        waiting = [v for v in front.visits if v.waits]
+        waiting = [v for v in front.connections if v.waits]
         assert sum(front.admission.waiting.values()) == len(waiting) <= MOST_WAITING
         for an_id, path in front.routes.items():
             assert an_id in front.route_ids[path], "a route along a path that is gone"
@@ -202,23 +205,25 @@
             assert path.port is not None and path in path.port.places[path.where].paths()
             assert len(ids) <= 8 and all(front.routes.get(x) is path for x in ids)
             if path.owner is None:
-                assert front.lone[path.client, path.box] is path
+                assert front.lone[path.client, path.backend] is path
             else:
-                assert path.owner.paths[path.client] is path and path.owner in front.visits
+                assert path.owner.paths[path.client] is path and path.owner in front.connections
         places = [p for one in front.pool.ports for place in one.places.values() for p in place.paths()]
         assert sorted(map(id, places)) == sorted(map(id, front.route_ids)), "a place without a path"
         for an_id, owner in front.owners.items():
-            assert an_id in owner.ids and owner in front.visits
-        for owner in front.visits:
+            assert an_id in owner.ids and owner in front.connections
+        for owner in front.connections:
             assert len(owner.ids) <= 16
-            assert owner.visit is not None and owner.visit.stage is not Stage.CLOSED, "a visit outlived its end"
-        standing = [v for v in self.core.visits.values() if v.stage is Stage.ESTABLISHED]
-        assert len(standing) == sum(v.stands for v in front.visits)
+            assert owner.connection is not None and owner.connection.state is not ConnectionState.CLOSED, (
+                "a visit outlived its end"
+            )
+        standing = [v for v in self.core.connections.values() if v.state is ConnectionState.ESTABLISHED]
+        assert len(standing) == sum(v.stands for v in front.connections)
         assert not self.core.counters.counts["exceptions"] and not self.core.counters.counts["overdue"]
 
     def teardown(self) -> None:
         self.front.close()
-        for one in (*self.clients, *self.boxes):
+        for one in (*self.clients, *self.backends):
             one.close()
 
 
@@ -230,25 +235,27 @@
     town = Tables()
     front, client = town.front, town.clients[0]
     an_id = FORM.make(b"\0\0")
-    for _ in range(3):  # a connection from before this relay's start: both sides speak along a path without a visit
+    for _ in range(
+        3
+    ):  # a connection from before this relay's start: both sides speak along a path without a connection
         town.send(0, b"\x40" + an_id + b"talk to me, somebody who can read this")
         where = town.at_boxes[-1][2]
-        town.boxes[0].sendto(b"\x40" + os.urandom(8) + b"talk", where)
+        town.backends[0].sendto(b"\x40" + os.urandom(8) + b"talk", where)
         town.settle()
     (path,) = front.route_ids
     assert path.owner is None and path.heard >= 2
-    assert town.core.lifecycle.hear(Word.STOP)
+    assert town.core.lifecycle.transition(LifecycleEvent.STOP)
     town.wait(3_000)
     assert path.owner is None and not town.core.counters.counts["visits_brought"], "a visit taken over at the end"
     drained(client)
     town.at_boxes.clear()
     first = os.urandom(8)
-    client.sendto(seal_initial(1, first, first, b"its own.", HELLO, True), front.doors[0].address)
+    client.sendto(seal_initial(1, first, first, b"its own.", HELLO, True), front.listeners[0].address)
     for _ in range(10):
         town.hub._serve(0)
         town.now += 4_000
-        town.core.turn()
+        town.core.run_turn()
     assert len(drained(client)) == 1, "answered at once"
-    assert not drained(town.boxes[0]) + drained(town.boxes[1]) and not front.visits, "sent on to nobody"
+    assert not drained(town.backends[0]) + drained(town.backends[1]) and not front.connections, "sent on to nobody"
     assert not town.core.counters.counts["exceptions"]
     town.teardown()
--- a/tests/test_quic_parts.py
+++ b/tests/test_quic_parts.py
@@ -14,13 +14,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from balancer.settings import RequestClass, Settings
 from gradefront.config import Config, ConfigError
 from gradefront.quic import config as quic_config
 from gradefront.quic import switch
 from gradefront.quic.headers import VERSIONS, Kind, invariants, reset_token, split, stateless_reset
 from gradefront.quic.ids import IdForm
 from gradefront.quic.initials import close_initial, open_initial, sound_retry
-from milletdeal import interface as i
 
 CONFIG = Config(
     name="n0",
@@ -28,13 +28,13 @@
     discovery=("127.0.0.1", 1),
     seed=1,
     sockets=100,
-    settings=i.Settings(classes=(i.RequestClass(aim_us=1, deadline_us=2),)),
+    settings=Settings(classes=(RequestClass(latency_objective_us=1, deadline_us=2),)),
     class_names=("visit-checkin",),
     zones=(),
     models=(),
     tenants=(),
     report_names=(),
-    tells_delay=False,
+    reports_message_latency=False,
 )
 FILE: dict[str, Any] = {
     "on": True,
--- a/tests/test_quic_recovery.py
+++ b/tests/test_quic_recovery.py
@@ -1,4 +1,4 @@
-"""The QUIC front when parts break or change: kill and restart, key rotation, moved boxes, drains under a storm."""
+"""The QUIC front when parts break or change: kill and restart, key rotation, moved backends, drains under a storm."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from gradefront.quic.ids import IdForm
 from gradefront.quic.initials import open_initial, seal_initial
 from lab.conform.quic import Client, Place, ids_of, town
-from lab.conform.raw_backend import SERVER_HELLO, RawBox
+from lab.conform.raw_backend import SERVER_HELLO, RawBackend
 from lab.flood import Forge
 from lab.quic import file_of
-from lab.town import Discovery, program, settings, soon
+from lab.stand_ins import Discovery, program, settings, soon
 
 OLD = IdForm(0, 2, 9, True, bytes(range(16)))
 NEW = IdForm(3, 2, 12, True, bytes(range(16, 32)))
 CONNECTIONS = 200
 
 
-class EchoBox(RawBox):
+class EchoBox(RawBackend):
     """Answers a short packet with its own name, to the client id that the packet tells."""
 
     forms: tuple[IdForm, ...] = (OLD,)
@@ -43,9 +43,9 @@
 
 
 class Phone(Client):
-    """A client whose messages are answered by an echo box."""
+    """A client whose messages are answered by an echo backend."""
 
-    box: EchoBox
+    backend: EchoBox
     an_id = b""
     count = 0
 
@@ -54,7 +54,7 @@
         self.turn = asyncio.Lock()  # guards against two who read one queue: each would throw the other's answer away
 
     async def ask(self, patience_s: float = 5.0) -> bool:
-        """One message, after those that are out; whether its own push box answered."""
+        """One message, after those that are out; whether its own backend answered."""
         async with self.turn:
             return await self._ask(patience_s)
 
@@ -69,29 +69,33 @@
             except TimeoutError:
                 return False
             if answer[1:13] == mark:
-                assert answer[13:] == self.box.name.encode(), "another push box answered"
+                assert answer[13:] == self.backend.name.encode(), "another push box answered"
                 return True
         return False
 
 
 @asynccontextmanager
 async def echo_town(folder: Path, **more: Any) -> AsyncIterator[tuple[Place, dict[str, Any], Discovery]]:
-    """Three echo boxes, and what the front's file says of them. The relay is the test's to start."""
+    """Three echo backends, and what the front's file says of them. The relay is the test's to start."""
     place, discovery = Place(("", 0)), Discovery()
-    place.boxes += [EchoBox(n, place.inbox, place.over) for n in range(3)]
-    for box in place.boxes:
-        box.form = OLD
-        await box.open()
-        discovery.add(box.name, box.port)
+    place.backends += [EchoBox(n, place.inbox, place.over) for n in range(3)]
+    for backend in place.backends:
+        backend.form = OLD
+        await backend.open()
+        discovery.add(backend.name, backend.port)
     file = file_of([], ids=ids_of(OLD), path_idle_s=60, **more)
     file["boxes"] = {
-        box.name: {"server_id": box.server_ids[1].hex(), "reset_key": "00ff", "address": f"127.0.0.1:{box.port}"}
-        for box in place.boxes
+        backend.name: {
+            "server_id": backend.server_ids[1].hex(),
+            "reset_key": "00ff",
+            "address": f"127.0.0.1:{backend.port}",
+        }
+        for backend in place.backends
     }
     yield place, file, discovery
     place.clean()
-    for box in place.boxes:
-        box.wire.close()
+    for backend in place.backends:
+        backend.wire.close()
 
 
 async def phone(place: Place) -> Phone:
@@ -103,7 +107,7 @@
     assert packet.kind is Kind.INITIAL
     one.an_id = packet.from_id
     server = OLD.read(one.an_id)
-    one.box = next(b for b in place.boxes if b.server_ids[1] == server)  # type: ignore[assignment]
+    one.backend = next(b for b in place.backends if b.server_ids[1] == server)  # type: ignore[assignment]
     assert await one.ask()
     return one
 
@@ -129,7 +133,7 @@
                     assert time.monotonic() < deadline, counts
                     assert all(await asyncio.gather(*(p.ask() for p in phones)))
                 assert counts["visits_now"] == counts["visits_brought"] == counts["stood"] == CONNECTIONS
-                # They are visits now: a drain moves them, and a fresh client is placed beside them.
+                # They are connections now: a drain moves them, and a fresh client is placed beside them.
                 assert await (await phone(place)).ask()
 
     asyncio.run(play())
@@ -138,9 +142,9 @@
 def test_keys_rotate_under_load_without_a_lost_packet(tmp_path: Path) -> None:
     async def play() -> None:
         async with echo_town(tmp_path) as (place, file, discovery):
-            for box in place.boxes:
-                assert isinstance(box, EchoBox)
-                box.forms = (OLD, NEW)
+            for backend in place.backends:
+                assert isinstance(backend, EchoBox)
+                backend.forms = (OLD, NEW)
             async with program(tmp_path, discovery, settings(), file) as relay:
                 await soon(discovery.asked.wait())
                 place.front = ("127.0.0.1", relay.ports[1])
@@ -162,8 +166,8 @@
 
                 talking = [asyncio.ensure_future(talk(p)) for p in phones]
                 await take(OLD, NEW)
-                for one in phones:  # each gets a fresh id of the new configuration from its push box
-                    one.an_id = NEW.make(one.box.server_ids[1])
+                for one in phones:  # each gets a fresh id of the new configuration from its backend
+                    one.an_id = NEW.make(one.backend.server_ids[1])
                     await asyncio.sleep(0)
                 # What was out under the old ids is answered before their key goes.
                 assert all(await asyncio.gather(*(p.ask() for p in phones)))
@@ -175,7 +179,7 @@
                 counts = await relay.counters()
                 assert lost == 0 and asked > 200 and counts["conf_loaded_total"] == 2 and counts["visits_now"] == 40
                 # Ids of the key that was taken away lead nowhere.
-                phones[0].an_id = OLD.make(phones[0].box.server_ids[1])
+                phones[0].an_id = OLD.make(phones[0].backend.server_ids[1])
                 assert not await phones[0].ask(0.3)
 
     asyncio.run(play())
@@ -188,7 +192,7 @@
                 await soon(discovery.asked.wait())
                 place.front = ("127.0.0.1", relay.ports[1])
                 phones = [await phone(place) for _ in range(12)]
-                moved = phones[0].box
+                moved = phones[0].backend
                 moved.wire.close()
                 await moved.open()
                 file["boxes"][moved.name]["address"] = f"127.0.0.1:{moved.port}"
@@ -221,7 +225,7 @@
 def test_a_drain_in_a_storm_of_initials_gets_nothing_new_after_500_ms(tmp_path: Path) -> None:
     async def play() -> None:
         async with town("retry") as place:  # proven ones, so that the storm is of requests, not of noise
-            drained = place.boxes[0]
+            drained = place.backends[0]
             assert drained in [(await place.standing_by_retry())[1] for _ in range(20)], "it is used before"
             told = place.discovery.tell(drained.name, "DRAINING")
             late: list[float] = []
--- a/tests/test_quic_service.py
+++ b/tests/test_quic_service.py
@@ -1,4 +1,4 @@
-"""The QUIC front's proof over loopback: the real program between stand-in devices and push boxes."""
+"""The QUIC front's proof over loopback: the real program between stand-in devices and backends."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 from aioquic.quic.packet import QuicErrorCode
 
-from lab.quic import FORM, Device, QuicBox, file_of
-from lab.town import BUSY_S, Discovery, Program, program, settings, soon
+from lab.quic import FORM, Device, QuicBackend, file_of
+from lab.stand_ins import BUSY_S, Discovery, Program, program, settings, soon
 
 HOPS = 60
 DEVICES = 6
 
 
 class Town:
-    """Push boxes, the program, and devices that come to it."""
+    """Backends, the program, and devices that come to it."""
 
-    def __init__(self, boxes: list[QuicBox], discovery: Discovery, relay: Program) -> None:
-        self.boxes = boxes
+    def __init__(self, backends: list[QuicBackend], discovery: Discovery, relay: Program) -> None:
+        self.backends = backends
         self.discovery = discovery
         self.relay = relay
         self.front = ("127.0.0.1", relay.ports[1])
@@ -35,28 +35,28 @@
         await device.start()
         return device
 
-    def box_of(self, answer: bytes) -> QuicBox:
-        return next(b for b in self.boxes if answer.startswith(b.name.encode()))
+    def box_of(self, answer: bytes) -> QuicBackend:
+        return next(b for b in self.backends if answer.startswith(b.name.encode()))
 
 
 @asynccontextmanager
 async def town(
     folder: Path, moods: list[str], told: dict[str, Any] | None = None, **quic: object
 ) -> AsyncIterator[Town]:
-    boxes = [QuicBox(f"box-{n}", bytes([7, n]), mood) for n, mood in enumerate(moods)]
+    backends = [QuicBackend(f"box-{n}", bytes([7, n]), mood) for n, mood in enumerate(moods)]
     discovery = Discovery()
-    for box in boxes:
-        await box.open()
-        discovery.add(box.name, box.port)
-    file = file_of(boxes, **quic)
+    for backend in backends:
+        await backend.open()
+        discovery.add(backend.name, backend.port)
+    file = file_of(backends, **quic)
     async with program(folder, discovery, told or settings(), file) as relay:
         await soon(discovery.asked.wait())
-        here = Town(boxes, discovery, relay)
+        here = Town(backends, discovery, relay)
         yield here
         for device in here.devices:
             device.close()
-        for box in boxes:
-            box.wire.close()
+        for backend in backends:
+            backend.wire.close()
 
 
 def test_hundreds_of_port_changes_and_every_request_gets_one_answer(tmp_path: Path) -> None:
@@ -74,9 +74,9 @@
                 assert len(device.answers) == HOPS + 1
 
             await asyncio.gather(*(client(n) for n in range(DEVICES)))
-            asked = sum((b.asked for b in here.boxes), start=here.boxes[0].asked.__class__())
+            asked = sum((b.asked for b in here.backends), start=here.backends[0].asked.__class__())
             assert len(asked) == DEVICES * (HOPS + 1) and set(asked.values()) == {1}
-            served = [c for b in here.boxes for c in b.connections]
+            served = [c for b in here.backends for c in b.connections]
             assert len(served) == DEVICES, "one connection each, whatever the addresses"
             assert all(len(c.addresses) >= HOPS for c in served), "the push box must see each address change"
             counts = await here.relay.counters()
@@ -97,7 +97,7 @@
             told = here.discovery.tell(drained.name, "DRAINING")
             new = went_on = 0
             while time.monotonic() < told + 1.2:
-                # Some of these ids happen to name the drained push box; they are requests all the same.
+                # Some of these ids happen to name the drained backend; they are requests all the same.
                 device = await here.device(FORM.make(drained.server_id) if new % 2 else None)
                 await device.ask(f"new {new}")
                 new += 1
@@ -113,7 +113,7 @@
             assert new > 10 and before >= 1 and went_on >= 1
             assert not [t for t in drained.opened_at if t > told + 0.5], "new after 500 ms"
             assert not [t for t in drained.initials if t > told + 0.5], "an Initial after 500 ms"
-            assert sum(len(b.connections) for b in here.boxes) == len(old) + new
+            assert sum(len(b.connections) for b in here.backends) == len(old) + new
 
     asyncio.run(play())
 
@@ -127,7 +127,7 @@
             assert over.error_code == QuicErrorCode.CONNECTION_REFUSED
             assert over.reason_phrase.startswith("BUSY")
             assert device.first_heard - began < 1.5 + BUSY_S, "before the client gives up"
-            sent = [len(b.tried) for b in here.boxes]
+            sent = [len(b.tried) for b in here.backends]
             assert 1 <= sum(sent) <= 4, "at most four attempts, another push box each time"
             counts = await here.relay.counters()
             assert counts["refused"] == 1 and counts["ended: full while sent"] == sum(sent)
@@ -139,7 +139,7 @@
 def test_silent_box_is_left_for_another_and_its_late_word_reaches_nobody(tmp_path: Path) -> None:
     async def play() -> None:
         async with town(tmp_path, ["silent", "serve"], settings(aim_ms=150, deadline_ms=4000)) as here:
-            silent, good = here.boxes
+            silent, good = here.backends
             while not silent.initials:  # the first pick is random: come until it was the silent one
                 device = await here.device()
                 assert here.box_of(await device.ask("hello")) is good
@@ -172,7 +172,7 @@
 def test_a_box_where_nothing_listens_is_left_for_another(tmp_path: Path) -> None:
     async def play() -> None:
         async with town(tmp_path, ["serve", "serve"]) as here:
-            here.boxes[0].wire.close()
+            here.backends[0].wire.close()
             for n in range(6):
                 device = await here.device()
                 assert await device.ask(f"{n}") == f"box-1 has {n}".encode()
--- a/tests/test_request_log.py
+++ b/tests/test_request_log.py
@@ -4,12 +4,12 @@
 
 import pytest
 
+from balancer.actions import NotSentReason, Reject, SlowStartAllowance, StartAttempt
 from gradefront.core.attempt_error import Cause
-from milletdeal import interface as i
 
 from .helper import Bench
 
-ROOM = i.SlowStartRoom(7_800_000, 0.45, 50.0, 2.0, 4.5, 3.5, 1_000_000, True)
+ROOM = SlowStartAllowance(7_800_000, 0.45, 50.0, 2.0, 4.5, 3.5, 1_000_000, True)
 
 
 def test_a_send_to_a_server_in_slow_start_and_its_end_are_logged_with_the_reason(
@@ -17,10 +17,10 @@
 ) -> None:
     caplog.set_level("INFO")
     bench = Bench()
-    visit, _ = bench.arrive()
-    bench.order(i.Start(visit.number, "box-1", 900_000, ROOM))
-    bench.attempts[0].ends(Cause.FULL)
-    bench.order(i.Start(visit.number, "box-2", 900_000))
+    connection, _ = bench.arrive()
+    bench.order(StartAttempt(connection.number, "box-1", 900_000, ROOM))
+    bench.attempts[0].end(Cause.FULL)
+    bench.order(StartAttempt(connection.number, "box-2", 900_000))
     lines = [record.getMessage() for record in caplog.records if record.name == "gradefront.request"]
     assert len(lines) == 2, "none for a warm server"
     assert (
@@ -36,11 +36,11 @@
     caplog.set_level("INFO")
     bench = Bench()
     for _ in range(5):
-        visit, _ = bench.arrive()
-        bench.order(i.Refuse(visit.number, 0, i.HoldReason.SLOW_START))
+        connection, _ = bench.arrive()
+        bench.order(Reject(connection.number, 0, NotSentReason.SLOW_START))
     bench.wait(1_100_000)
-    visit, _ = bench.arrive()
-    bench.order(i.Refuse(visit.number, 0, i.HoldReason.SLOW_START))
+    connection, _ = bench.arrive()
+    bench.order(Reject(connection.number, 0, NotSentReason.SLOW_START))
     lines = [record.getMessage() for record in caplog.records if record.name == "gradefront.request"]
     assert len(lines) == 2 and lines[1].endswith("(and 4 more)")
     assert bench.core.counters.counts["refused: only servers in slow start were left, which could take no more"] == 6
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,119 +6,138 @@
 
 import pytest
 
-from milletdeal import Balancer
-from milletdeal import interface as i
+from balancer import Balancer
+from balancer.actions import Action, CheckHealth, Fail, Migrate, Reject, SetTimer, StartAttempt, WatchEndpointList
+from balancer.events import (
+    NEVER_EXECUTED,
+    AttemptEnded,
+    AttemptResult,
+    BackendState,
+    ClientDisconnected,
+    ConnectionEstablished,
+    Endpoint,
+    EndpointListError,
+    EndpointListUpdate,
+    Event,
+    HealthCheckResult,
+    LoadReport,
+    MessageLatencyReport,
+    Request,
+    TimerFired,
+)
+from balancer.settings import Idempotency, KeyScope, LoadReportSource, RequestClass, Settings, WeightKind
 
 
 class Node:
-    """Drives one balancer with random servers, outcomes, probes and list changes; checks each action."""
+    """Drives one balancer with random servers, outcomes, health checks and list changes; checks each action."""
 
     def __init__(self, seed: int) -> None:
         r = self.r = Random(seed)
-        repeat, scope = r.choice(list(i.Repeat)), r.choice(list(i.Scope))
-        self.klass = i.RequestClass(
-            aim_us=r.choice([100_000, 500_000]),
+        repeat, scope = r.choice(list(Idempotency)), r.choice(list(KeyScope))
+        self.request_class = RequestClass(
+            latency_objective_us=r.choice([100_000, 500_000]),
             deadline_us=r.choice([400_000, 2_000_000]),
-            repeat=repeat,
-            scope=scope,
+            idempotency=repeat,
+            key_scope=scope,
             dedup_window_us=r.choice([200_000, 5_000_000]),
-            message_aim_us=100_000,
+            message_latency_objective_us=100_000,
         )
-        self.settings = i.Settings(
-            classes=(self.klass,),
+        self.settings = Settings(
+            classes=(self.request_class,),
             fleet_size=r.choice([1, 7]),
-            ask_for_list=r.random() < 0.5,
-            may_probe=r.random() < 0.7,
-            reports=r.choice(list(i.Reports)),
+            polls_endpoint_list=r.random() < 0.5,
+            may_check_health=r.random() < 0.7,
+            load_report_source=r.choice(list(LoadReportSource)),
             reports_load=True,
             max_attempts=r.choice([1, 3, 6]),
-            groups=r.random() < 0.3,
-            resolution_us=1_000,
-            weight_kind=r.choice(list(i.WeightKind)),
-            cold_us=r.choice([0, 5_000_000]),
-            start_capacity=0.2,
+            sticky_groups=r.random() < 0.3,
+            timer_resolution_us=1_000,
+            weight_kind=r.choice(list(WeightKind)),
+            warm_up_us=r.choice([0, 5_000_000]),
+            initial_capacity=0.2,
         )
         self.b = Balancer(self.settings, seed)
         self.now = 1_000
-        self.queue: list[tuple[int, int, i.Event]] = []
+        self.queue: list[tuple[int, int, Event]] = []
         self.count = 0
         self.deadline: dict[int, int] = {}
         self.pending: dict[int, int] = {}  # request -> attempt that is out
-        self.attempts: dict[int, list[tuple[i.ServerEntry, int, bool]]] = {}
+        self.attempts: dict[int, list[tuple[Endpoint, int, bool]]] = {}
         self.standing: dict[int, str] = {}
         self.answered: set[int] = set()
-        self.servers = {
-            f"s{n}": i.ServerEntry(
+        self.backends = {
+            f"s{n}": Endpoint(
                 f"s{n}", zone=n % 2, cell=n % 3, weight=r.choice([0.0, 1.0, 2.0]), started_us=r.choice([0, 1])
             )
             for n in range(r.choice([0, 1, 5]))
         }
-        self.feed(i.ListUpdate(tuple(self.servers.values())))
+        self.feed(EndpointListUpdate(tuple(self.backends.values())))
 
-    def later(self, delay: int, event: i.Event) -> None:
+    def later(self, delay: int, event: Event) -> None:
         self.count += 1
         self.queue.append((self.now + delay, self.count, event))
 
-    def feed(self, event: i.Event) -> None:
+    def feed(self, event: Event) -> None:
         for action in self.b.handle(self.now, event):
             self.check(action)
 
-    def check(self, a: i.Action) -> None:
+    def check(self, a: Action) -> None:
         r = self.r
-        if isinstance(a, i.Start):
-            assert a.request in self.deadline and a.request not in self.answered
-            assert a.request not in self.pending and a.request not in self.standing, "second copy"
-            entry = self.servers[a.server]
-            assert entry.state is i.ServerState.READY, "sent to a draining or gone server"
-            past = self.attempts.setdefault(a.request, [])
+        if isinstance(a, StartAttempt):
+            assert a.request_id in self.deadline and a.request_id not in self.answered
+            assert a.request_id not in self.pending and a.request_id not in self.standing, "second copy"
+            entry = self.backends[a.backend]
+            assert entry.state is BackendState.READY, "sent to a draining or gone server"
+            past = self.attempts.setdefault(a.request_id, [])
             assert len(past) < self.settings.max_attempts
             for earlier, at, may_have_run in past:
-                assert earlier.server != a.server or not may_have_run
+                assert earlier.backend != a.backend or not may_have_run
                 if may_have_run:
-                    assert self.klass.repeat is not i.Repeat.UNSAFE, "doubled effect"
-                    if self.klass.repeat is i.Repeat.KEYED:
-                        assert self.now < at + self.klass.dedup_window_us
-                        assert self.klass.scope is not i.Scope.ZONE or earlier.zone == entry.zone
-                        assert self.klass.scope is not i.Scope.CELL or earlier.cell == entry.cell
-            result = r.choice(list(i.Result))
-            if result is i.Result.MOOT:
-                result = i.Result.OK
+                    assert self.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT, "doubled effect"
+                    if self.request_class.idempotency is Idempotency.KEYED:
+                        assert self.now < at + self.request_class.dedup_window_us
+                        assert self.request_class.key_scope is not KeyScope.ZONE or earlier.zone == entry.zone
+                        assert self.request_class.key_scope is not KeyScope.CELL or earlier.cell == entry.cell
+            result = r.choice(list(AttemptResult))
+            if result is AttemptResult.NOT_SENT:
+                result = AttemptResult.OK
             took = r.choice([1_000, 50_000, a.timeout_us])
-            past.append((entry, self.now, result not in i.NEVER_RAN))
-            self.pending[a.request] = len(past) - 1
-            if result is i.Result.OK:
-                self.later(took, i.Established(a.request, len(past) - 1, a.server))
+            past.append((entry, self.now, result not in NEVER_EXECUTED))
+            self.pending[a.request_id] = len(past) - 1
+            if result is AttemptResult.OK:
+                self.later(took, ConnectionEstablished(a.request_id, len(past) - 1, a.backend))
             else:
-                self.later(took, i.Outcome(a.request, len(past) - 1, a.server, result))
-        elif isinstance(a, (i.Refuse, i.Fail)):
-            assert a.request in self.deadline and a.request not in self.answered, "two answers"
-            assert a.request not in self.pending and self.now <= self.deadline[a.request] + 1_000
-            ran = any(may for _, _, may in self.attempts.get(a.request, []))
-            if isinstance(a, i.Refuse) and ran:
-                assert self.klass.repeat is i.Repeat.SAFE or (
-                    self.klass.repeat is i.Repeat.KEYED and self.klass.scope is i.Scope.ALL
+                self.later(took, AttemptEnded(a.request_id, len(past) - 1, a.backend, result))
+        elif isinstance(a, (Reject, Fail)):
+            assert a.request_id in self.deadline and a.request_id not in self.answered, "two answers"
+            assert a.request_id not in self.pending and self.now <= self.deadline[a.request_id] + 1_000
+            ran = any(may for _, _, may in self.attempts.get(a.request_id, []))
+            if isinstance(a, Reject) and ran:
+                assert self.request_class.idempotency is Idempotency.IDEMPOTENT or (
+                    self.request_class.idempotency is Idempotency.KEYED
+                    and self.request_class.key_scope is KeyScope.ALL
                 )
-            self.answered.add(a.request)
-        elif isinstance(a, i.Probe):
-            assert self.settings.may_probe
+            self.answered.add(a.request_id)
+        elif isinstance(a, CheckHealth):
+            assert self.settings.may_check_health
             load = r.choice([0.1, 0.5, 0.9, 1.5, -1.0, float("nan"), 1e9])
             self.later(
                 r.choice([1_000, 90_000, 300_000]),
-                i.ProbeResult(
-                    a.server,
-                    r.choice([i.Result.OK, i.Result.OK, i.Result.TIMEOUT, i.Result.FULL]),
-                    report=r.choice([None, i.LoadReport(load)]),
+                HealthCheckResult(
+                    a.backend,
+                    r.choice([AttemptResult.OK, AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.OVERLOADED]),
+                    load_report=r.choice([None, LoadReport(load)]),
                 ),
             )
-        elif isinstance(a, i.SetTimer):
+        elif isinstance(a, SetTimer):
             assert a.delay_us >= 1
-            self.later(a.delay_us, i.TimerFired(a.timer))
-        elif isinstance(a, i.Move):
-            assert a.request in self.standing
-            del self.standing[a.request]
-        elif isinstance(a, i.WatchList):
-            assert self.settings.ask_for_list
-            self.later(10_000, i.ListError() if r.random() < 0.5 else i.ListUpdate((), whole=False))
+            self.later(a.delay_us, TimerFired(a.timer_id))
+        elif isinstance(a, Migrate):
+            assert a.request_id in self.standing
+            del self.standing[a.request_id]
+        elif isinstance(a, WatchEndpointList):
+            assert self.settings.polls_endpoint_list
+            self.later(10_000, EndpointListError() if r.random() < 0.5 else EndpointListUpdate((), is_complete=False))
 
     def run(self, steps: int) -> None:
         r = self.r
@@ -128,62 +147,62 @@
             if self.queue and (r.random() < 0.8 or self.queue[0][0] <= self.now + pause):
                 at, _, event = self.queue.pop(0)
                 self.now = max(self.now, at)
-                if isinstance(event, i.Established):
-                    self.pending.pop(event.request, None)
-                    self.standing[event.request] = event.server
-                    self.answered.add(event.request)
-                elif isinstance(event, i.Outcome):
-                    self.pending.pop(event.request, None)
+                if isinstance(event, ConnectionEstablished):
+                    self.pending.pop(event.request_id, None)
+                    self.standing[event.request_id] = event.backend
+                    self.answered.add(event.request_id)
+                elif isinstance(event, AttemptEnded):
+                    self.pending.pop(event.request_id, None)
                 self.feed(event)
                 continue
             self.now += pause
             pick = r.random()
             if pick < 0.6:
-                self.deadline[step] = self.now + self.klass.deadline_us
+                self.deadline[step] = self.now + self.request_class.deadline_us
                 self.feed(
-                    i.Request(
+                    Request(
                         step,
-                        self.klass.deadline_us,
-                        group="g",
-                        key=r.choice(["", "k"]),
+                        self.request_class.deadline_us,
+                        sticky_group="g",
+                        idempotency_key=r.choice(["", "k"]),
                         load_hint=r.choice([0.0, 1.0, 1e12]),
                     )
                 )
-            elif pick < 0.75 and self.servers:
-                name = r.choice(sorted(self.servers))
-                old = self.servers[name]
-                entry = i.ServerEntry(
+            elif pick < 0.75 and self.backends:
+                name = r.choice(sorted(self.backends))
+                old = self.backends[name]
+                entry = Endpoint(
                     name,
-                    r.choice(list(i.ServerState)),
+                    r.choice(list(BackendState)),
                     old.zone,
                     old.cell,
                     old.kind,
                     old.weight,
                     r.choice([old.started_us, self.now]),
                 )
-                self.servers[name] = entry
-                self.feed(i.ListUpdate((entry,), whole=False))
+                self.backends[name] = entry
+                self.feed(EndpointListUpdate((entry,), is_complete=False))
             elif pick < 0.9 and self.standing:
-                request, server = next(iter(self.standing.items()))
-                self.feed(i.DelayNote(request, server, r.choice([1.0, 9e5, float("nan")])))
+                request, backend = next(iter(self.standing.items()))
+                self.feed(MessageLatencyReport(request, backend, r.choice([1.0, 9e5, float("nan")])))
             elif self.deadline:
                 request = r.choice(sorted(self.deadline))
                 if request not in self.answered and request not in self.pending:
                     self.answered.add(request)
-                    self.feed(i.ClientGone(request))
+                    self.feed(ClientDisconnected(request))
         while self.queue and self.count < 50 * steps:
             self.queue.sort(key=lambda q: (q[0], q[1]))
             at, _, event = self.queue.pop(0)
             self.now = max(self.now, at)
-            if isinstance(event, (i.Established, i.Outcome)):
-                self.pending.pop(event.request, None)
-                if isinstance(event, i.Established):
-                    self.standing[event.request] = event.server
-                    self.answered.add(event.request)
+            if isinstance(event, (ConnectionEstablished, AttemptEnded)):
+                self.pending.pop(event.request_id, None)
+                if isinstance(event, ConnectionEstablished):
+                    self.standing[event.request_id] = event.backend
+                    self.answered.add(event.request_id)
             if (
-                isinstance(event, i.TimerFired)
-                or not self.settings.ask_for_list
-                or not isinstance(event, (i.ListError, i.ListUpdate))
+                isinstance(event, TimerFired)
+                or not self.settings.polls_endpoint_list
+                or not isinstance(event, (EndpointListError, EndpointListUpdate))
             ):
                 self.feed(event)
         assert set(self.deadline) == self.answered, "a request without its answer"
@@ -195,17 +214,20 @@
 
 
 def test_late_probe_does_not_place_twice() -> None:
-    """Guards against a second copy: the timer placed the request, then the missing probe came back."""
-    klass = i.RequestClass(aim_us=500_000, deadline_us=2_000_000)
-    b = Balancer(i.Settings(classes=(klass,), may_probe=True, reports=i.Reports.PROBES), 3)
-    b.handle(0, i.ListUpdate(tuple(i.ServerEntry(f"s{n}") for n in range(3))))
-    actions = b.handle(1, i.Request(1, 2_000_000))
-    probes = [a.server for a in actions if isinstance(a, i.Probe)]
-    timer = next(a for a in actions if isinstance(a, i.SetTimer))
+    """Guards against a hedged request: the timer placed the request, then the missing health check came back."""
+    request_class = RequestClass(latency_objective_us=500_000, deadline_us=2_000_000)
+    b = Balancer(
+        Settings(classes=(request_class,), may_check_health=True, load_report_source=LoadReportSource.HEALTH_CHECKS),
+        3,
+    )
+    b.handle(0, EndpointListUpdate(tuple(Endpoint(f"s{n}") for n in range(3))))
+    actions = b.handle(1, Request(1, 2_000_000))
+    probes = [a.backend for a in actions if isinstance(a, CheckHealth)]
+    timer = next(a for a in actions if isinstance(a, SetTimer))
     assert len(probes) >= 2
-    b.handle(2, i.ProbeResult(probes[0], i.Result.OK, report=i.LoadReport(0.1)))
-    placed = b.handle(1 + timer.delay_us, i.TimerFired(timer.timer))
-    assert any(isinstance(a, i.Start) for a in placed)
+    b.handle(2, HealthCheckResult(probes[0], AttemptResult.OK, load_report=LoadReport(0.1)))
+    placed = b.handle(1 + timer.delay_us, TimerFired(timer.timer_id))
+    assert any(isinstance(a, StartAttempt) for a in placed)
     for name in probes[1:]:
-        later = b.handle(200_000, i.ProbeResult(name, i.Result.OK, report=i.LoadReport(0.1)))
-        assert not any(isinstance(a, i.Start) for a in later)
+        later = b.handle(200_000, HealthCheckResult(name, AttemptResult.OK, load_report=LoadReport(0.1)))
+        assert not any(isinstance(a, StartAttempt) for a in later)
--- a/tests/test_turns.py
+++ b/tests/test_send_slots.py
@@ -9,16 +9,27 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lab.warm_up import allowed
-from milletdeal import Balancer
-from milletdeal import interface as i
-from milletdeal.turns import Dealer, Turn, TurnTable
+from balancer import Balancer
+from balancer.actions import CheckHealth, SetTimer, StartAttempt
+from balancer.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointListUpdate,
+    HealthCheckResult,
+    LoadReport,
+    SettingsChanged,
+    TimerFired,
+)
+from balancer.send_slots import SendSlot, SendSlotTable, SlotSchedule
+from balancer.settings import Settings
+from lab.slow_start_oracle import allowed
 
 from .test_failures import PROBED, of, place
 
 PERIODS = 4
 DEALERS = st.builds(
-    Dealer,
+    SlotSchedule,
     position=st.none(),
     nodes=st.integers(1, 200),
     span_us=st.integers(50_000, 8_000_000),
@@ -26,12 +37,12 @@
 )
 
 
-def placed(dealer: Dealer, position: int, processes: int = 1) -> Dealer:
+def placed(dealer: SlotSchedule, position: int, processes: int = 1) -> SlotSchedule:
     """The same for the node at a position."""
-    return Dealer(position, dealer.nodes, dealer.span_us, dealer.late_us, processes)
+    return SlotSchedule(position, dealer.nodes, dealer.span_us, dealer.late_us, processes)
 
 
-def all_turns(dealer: Dealer, mean: float, processes: int = 1) -> list[tuple[Turn, int]]:
+def all_turns(dealer: SlotSchedule, mean: float, processes: int = 1) -> list[tuple[SendSlot, int]]:
     """The turns of all nodes and their processes at one server over some periods, by time, and whose they are."""
     return sorted(
         (
@@ -47,7 +58,7 @@
 
 @settings(deadline=None, max_examples=60)
 @given(DEALERS, st.floats(0.0, 120.0), st.integers(1, 2))
-def test_no_span_takes_more_turns_than_the_server_bears(dealer: Dealer, mean: float, processes: int) -> None:
+def test_no_span_takes_more_turns_than_the_server_bears(dealer: SlotSchedule, mean: float, processes: int) -> None:
     """Each turn is used at its worst moment, and the request arrives as late as it may."""
     starts = [turn.start_us for turn, _ in all_turns(dealer, mean, processes)]
     reach_us = dealer.span_us + dealer.open_us + dealer.late_us
@@ -57,7 +68,7 @@
 
 @settings(deadline=None, max_examples=60)
 @given(DEALERS, st.floats(0.0, 120.0))
-def test_all_turns_are_dealt_and_each_node_has_some_in_its_time(dealer: Dealer, mean: float) -> None:
+def test_all_turns_are_dealt_and_each_node_has_some_in_its_time(dealer: SlotSchedule, mean: float) -> None:
     """Guards against a server that stays idle, and against relays that never may send to it."""
     many = placed(dealer, 0).many(mean)
     whose = Counter(
@@ -73,30 +84,36 @@
 
 def balancer(started_us: int = 0, **more: object) -> Balancer:
     """A node alone in its fleet, before one warm server that is full and one that is in slow start."""
-    b = Balancer(i.Settings(**{**PROBED, "start_capacity": 0.12, "cold_us": 20_000_000, "position": 0, **more}), 1)
-    b.handle(0, i.ListUpdate(servers(started_us)))
+    b = Balancer(Settings(**{**PROBED, "initial_capacity": 0.12, "warm_up_us": 20_000_000, "position": 0, **more}), 1)
+    b.handle(0, EndpointListUpdate(backends(started_us)))
     return b
 
 
-def servers(started_us: int) -> tuple[i.ServerEntry, ...]:
-    return i.ServerEntry("warm"), i.ServerEntry("cold", started_us=started_us)
+def backends(started_us: int) -> tuple[Endpoint, ...]:
+    return Endpoint("warm"), Endpoint("cold", started_us=started_us)
 
 
 def sent(b: Balancer, now: int, first: int, many: int = 20) -> list[int]:
     """Of so many requests that come at once, those that are sent to the cold server."""
     loads = {"warm": 0.95, "cold": 0.0}
-    starts = [start for n in range(many) for start in of(place(b, now, first + n, loads), i.Start)]
-    return [start.request for start in starts if start.server == "cold"]
+    starts = [start for n in range(many) for start in of(place(b, now, first + n, loads), StartAttempt)]
+    return [start.request_id for start in starts if start.backend == "cold"]
 
 
 def test_what_has_ended_was_sent_all_the_same() -> None:
     """Guards against room that is free again at once: the rule counts what was rejected, reset or served."""
-    for result in (i.Result.FULL, i.Result.RESET, i.Result.OK, i.Result.CANCELLED, i.Result.CONNECT_FAILED):
+    for result in (
+        AttemptResult.OVERLOADED,
+        AttemptResult.RESET,
+        AttemptResult.OK,
+        AttemptResult.CANCELLED,
+        AttemptResult.CONNECT_FAILED,
+    ):
         b, now, requests = balancer(1), 10_000_000, list[int]()
         for first in range(1, 400, 20):
             for request in sent(b, now, first):
                 requests.append(request)
-                b.handle(now, i.Outcome(request, 0, "cold", result, final=True))
+                b.handle(now, AttemptEnded(request, 0, "cold", result, is_final=True))
             now += 50_000
         assert len(requests) <= allowed(3 * (0.12 + 0.88 * 11 / 20) * 10 / 20), result
 
@@ -105,19 +122,19 @@
     b, now = balancer(1), 10_000_000
     before = len(sent(b, now, 1))
     assert before
-    b.handle(now, i.ListUpdate(servers(1)))
+    b.handle(now, EndpointListUpdate(backends(1)))
     assert not sent(b, now + 1, 100), "the same list, whole"
-    b.handle(now, i.ListUpdate((i.ServerEntry("warm"),)))
-    b.handle(now, i.ListUpdate(servers(1)))
+    b.handle(now, EndpointListUpdate((Endpoint("warm"),)))
+    b.handle(now, EndpointListUpdate(backends(1)))
     assert not sent(b, now + 2, 200), "it was out of the list for a moment"
-    b.handle(now, i.ListUpdate(servers(now - 1_000)))
+    b.handle(now, EndpointListUpdate(backends(now - 1_000)))
     assert not sent(b, now + 3, 300), "a new process, which may get what was sent to the one before"
 
 
 def test_a_process_that_starts_has_spent_its_turns() -> None:
     """Guards against a crash: nobody knows what the process before sent a moment ago."""
-    b = Balancer(i.Settings(**{**PROBED, "start_capacity": 0.12, "cold_us": 20_000_000, "position": 0}), 1)
-    b.handle(10_000_000, i.ListUpdate(servers(1)))
+    b = Balancer(Settings(**{**PROBED, "initial_capacity": 0.12, "warm_up_us": 20_000_000, "position": 0}), 1)
+    b.handle(10_000_000, EndpointListUpdate(backends(1)))
     assert not sent(b, 10_000_000, 1) and not sent(b, 11_000_000, 100)
     assert sent(b, 13_000_000, 200)
 
@@ -125,35 +142,35 @@
 def test_new_settings_count_what_was_sent_under_the_old_ones() -> None:
     b, now = balancer(1), 10_000_000
     assert sent(b, now, 1)
-    b.handle(now, i.NewSettings(b.s))
+    b.handle(now, SettingsChanged(b.s))
     assert not sent(b, now + 1, 100) and sent(b, now + 3_000_000, 200)
 
 
 def test_requests_without_room_wait_for_the_turns_of_their_relay() -> None:
-    """Guards against refusals while a server in slow start has turns left: each turn finds a request that waits."""
+    """Guards against rejections while a server in slow start has turns left: each turn finds a request that waits."""
     b, now, end = balancer(1, fleet_size=2), 10_000_000, 12_000_000
     b.now = now
     turns = [turn for turn in b._own_turns() if now < turn.end_us <= end]
     assert any(turn.start_us > now for turn in turns)
     timers = [
-        (now + wait.delay_us, wait.timer)
+        (now + wait.delay_us, wait.timer_id)
         for n in range(30)
-        for wait in of(place(b, now, n + 1, {"warm": 0.95, "cold": 0.0}), i.SetTimer)
+        for wait in of(place(b, now, n + 1, {"warm": 0.95, "cold": 0.0}), SetTimer)
     ]
     while timers and min(timers)[0] < end:
         at, timer = min(timers)
         timers.remove((at, timer))
-        actions = b.handle(at, i.TimerFired(timer))
-        for probe in of(actions, i.Probe):
-            report = i.LoadReport({"warm": 0.95, "cold": 0.0}[probe.server])
-            actions = actions + b.handle(at, i.ProbeResult(probe.server, i.Result.OK, report=report))
-        timers += [(at + wait.delay_us, wait.timer) for wait in of(actions, i.SetTimer)]
+        actions = b.handle(at, TimerFired(timer))
+        for probe in of(actions, CheckHealth):
+            report = LoadReport({"warm": 0.95, "cold": 0.0}[probe.backend])
+            actions = actions + b.handle(at, HealthCheckResult(probe.backend, AttemptResult.OK, load_report=report))
+        timers += [(at + wait.delay_us, wait.timer_id) for wait in of(actions, SetTimer)]
     assert all(turn.used for turn in turns)
 
 
 def test_turns_are_no_more_than_a_table_for_each_server_and_period() -> None:
     """Guards memory: what lies in the past is dropped, whatever was dealt."""
-    table = TurnTable(Dealer(0, 4, 1_000_000), Random(1), 0)
+    table = SendSlotTable(SlotSchedule(0, 4, 1_000_000), Random(1), 0)
     for second in range(100):
         for n in range(20):
             table.at(second * 1_000_000, f"s{n}", 1, lambda _: 50.0)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,17 +14,17 @@
 from pathlib import Path
 from typing import Any
 
-from lab.town import BUSY_S, Discovery, Program, PushBox, program, settings, soon
-from lab.town import LineDevice as Device
+from lab.stand_ins import BUSY_S, Discovery, Program, StandInBackend, program, settings, soon
+from lab.stand_ins import LineDevice as Device
 
 OPEN = Device.OPEN
 
 
 class Town:
-    """Push boxes, discovery, the program, and devices that come to it."""
+    """Backends, discovery, the program, and devices that come to it."""
 
-    def __init__(self, boxes: list[PushBox], discovery: Discovery, relay: Program) -> None:
-        self.boxes, self.discovery, self.relay = boxes, discovery, relay
+    def __init__(self, backends: list[StandInBackend], discovery: Discovery, relay: Program) -> None:
+        self.backends, self.discovery, self.relay = backends, discovery, relay
 
     async def device(self) -> Device:
         return Device(*await asyncio.open_connection("127.0.0.1", self.relay.ports[0]))
@@ -38,16 +38,16 @@
     wait: bool = True,
     admin: bool = False,
 ) -> AsyncIterator[Town]:
-    boxes = [PushBox(lambda line, answer=answer: answer) for answer in answers]  # type: ignore[misc]
+    backends = [StandInBackend(lambda line, answer=answer: answer) for answer in answers]  # type: ignore[misc]
     discovery = Discovery()
-    for n, box in enumerate(boxes):
-        discovery.add(f"box-{n}", await box.open())
+    for n, backend in enumerate(backends):
+        discovery.add(f"box-{n}", await backend.open())
     async with program(folder, discovery, told or settings(), admin=admin) as relay:
         if wait:
             await soon(discovery.asked.wait())
-        yield Town(boxes, discovery, relay)
-        for box in boxes:
-            box.server.close()
+        yield Town(backends, discovery, relay)
+        for backend in backends:
+            backend.server.close()
 
 
 def test_a_visit_is_passed_through_unchanged_both_ways(tmp_path: Path) -> None:
@@ -57,16 +57,16 @@
             device = await here.device()
             device.open(more=",again=1,x=odd")
             assert await device.line() == "UP r-77"
-            (first,) = here.boxes[0].first_lines
+            (first,) = here.backends[0].first_lines
             left = int(re.sub(r".*,d=(\d+),.*", r"\1", first))
             assert first == OPEN.format(id=device.id, d=left, more=",again=1,x=odd") and 300 <= left <= 1500
             assert await device.ask("where are you") == "re:where are you"
-            here.boxes[0].writers[0].write(b"LOAD 5321.5\r\nhalf a li")
+            here.backends[0].writers[0].write(b"LOAD 5321.5\r\nhalf a li")
             assert await device.line() == "LOAD 5321.5"
-            here.boxes[0].writers[0].write(b"ne\r\n" + b"x" * 4000 + b"\r\n")
+            here.backends[0].writers[0].write(b"ne\r\n" + b"x" * 4000 + b"\r\n")
             assert await device.line() == "half a line" and await device.line() == "x" * 4000
             device.writer.close()
-            await soon(here.boxes[0].ended.wait())
+            await soon(here.backends[0].ended.wait())
             counts = await here.relay.counters()
             assert counts["visits"] == counts["stood"] == counts["ended_by_client"] == 1
             assert counts["visits_came_back"] == 1 and counts["visits_now"] == 0
@@ -77,7 +77,7 @@
 def test_a_refused_visit_goes_elsewhere_and_a_full_fleet_is_answered_with_a_time(tmp_path: Path) -> None:
     async def play() -> None:
         async with town(tmp_path, ["BUSY", "UP r-1"], settings(aim_ms=30, deadline_ms=4000)) as here:
-            while not here.boxes[0].first_lines:  # the first pick is random: come until it was the full one
+            while not here.backends[0].first_lines:  # the first pick is random: come until it was the full one
                 device = await here.device()
                 device.open(d=4000)
                 assert await device.line() == "UP r-1"
@@ -88,7 +88,7 @@
             answer = await device.line()
             assert re.fullmatch(r"BUSY( \d+)?", answer) and time.monotonic() - began < 1.5 + BUSY_S
             assert await device.line() == "", "both sides close after the answer"
-            tried = [len(b.first_lines) for b in here.boxes]
+            tried = [len(b.first_lines) for b in here.backends]
             assert 1 <= sum(tried) <= 4 and max(tried) == 1
             counts = await here.relay.counters()
             assert counts["attempts"] == sum(tried) and counts["refused"] == 1
@@ -152,7 +152,7 @@
             device = await here.device()
             device.open()
             assert await device.line() == "UP r-1"
-            here.boxes[0].writers[0].transport.abort()
+            here.backends[0].writers[0].transport.abort()
             began = time.monotonic()
             assert await device.rest() == b""
             assert time.monotonic() - began < 1.0 + BUSY_S
@@ -167,7 +167,7 @@
                 device = await here.device()
                 device.open(more=f",at=box-{n}")
                 assert await device.line() == f"UP r-{n}"
-            assert [len(b.first_lines) for b in here.boxes] == [0, 2, 1]
+            assert [len(b.first_lines) for b in here.backends] == [0, 2, 1]
 
     asyncio.run(play())
 
@@ -227,7 +227,7 @@
 
 def test_pushed_lists_are_watched_from_the_start_and_a_list_from_before_serves_nobody(tmp_path: Path) -> None:
     async def play() -> None:
-        discovery, old, new = Discovery(), PushBox(lambda _: "UP r-old"), PushBox(lambda _: "UP r-new")
+        discovery, old, new = Discovery(), StandInBackend(lambda _: "UP r-old"), StandInBackend(lambda _: "UP r-new")
         discovery.add("old", await old.open())
         discovery.add("new", await new.open())
         known = json.loads(json.dumps(discovery.list()))
@@ -313,7 +313,7 @@
 
 
 def test_an_answer_reaches_the_device_though_the_box_resets_right_after_it(tmp_path: Path) -> None:
-    class Breaking(PushBox):
+    class Breaking(StandInBackend):
         async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readline()
             writer.write(b"UP r-1\r\n")
@@ -322,8 +322,8 @@
             writer.transport.abort()
 
     async def play() -> None:
-        box, discovery = Breaking(lambda line: None), Discovery()
-        discovery.add("box-0", await box.open())
+        backend, discovery = Breaking(lambda line: None), Discovery()
+        discovery.add("box-0", await backend.open())
         async with program(tmp_path, discovery, settings()) as relay:
             await soon(discovery.asked.wait())
             loop = asyncio.get_running_loop()
--- a/tests/test_retune.py
+++ b/tests/test_settings_reload.py
@@ -12,13 +12,24 @@
 
 import pytest
 
+from balancer import Balancer
+from balancer.actions import SetTimer, StartAttempt
+from balancer.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointListUpdate,
+    Event,
+    Request,
+    SettingsChanged,
+    TimerFired,
+)
+from balancer.settings import Idempotency
 from gradefront.config import ConfigError, lacks, parse
-from gradefront.core import classes
+from gradefront.core import request_classes
 from gradefront.core.attempt_error import Cause
-from gradefront.core.classes import ClassBook, NoRoom
-from lab.town import Discovery, settings, soon
-from milletdeal import Balancer
-from milletdeal import interface as i
+from gradefront.core.request_classes import RequestClassTable, TooManyClasses
+from lab.stand_ins import Discovery, settings, soon
 
 from .helper import CLASS, SETTINGS, Bench
 from .test_service import replace_config, town
@@ -78,35 +89,35 @@
 
 
 def test_a_class_keeps_its_number_while_a_visit_holds_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(classes, "MOST", 3)
+    monkeypatch.setattr(request_classes, "MOST", 3)
     slow = replace(CLASS, deadline_us=9)
-    book = ClassBook().take(("a", "b"), (CLASS, CLASS), ())
-    book = book.take(("b", "a"), (CLASS, slow), {0, 1})
+    book = RequestClassTable().extended(("a", "b"), (CLASS, CLASS), ())
+    book = book.extended(("b", "a"), (CLASS, slow), {0, 1})
     assert book.numbers() == {"b": 1, "a": 2} and book.rules == (CLASS, CLASS, slow)
-    assert book.take(("a", "b"), (CLASS, CLASS), ()).numbers() == {"a": 0, "b": 1}, "told again: as before"
-    assert book.take(("c", "b"), (CLASS, CLASS), {1, 2}).names == ("c", "b", "a"), "nobody holds the old a"
-    with pytest.raises(NoRoom):
-        book.take(("c", "d"), (CLASS, CLASS), {0, 1, 2})
+    assert book.extended(("a", "b"), (CLASS, CLASS), ()).numbers() == {"a": 0, "b": 1}, "told again: as before"
+    assert book.extended(("c", "b"), (CLASS, CLASS), {1, 2}).names == ("c", "b", "a"), "nobody holds the old a"
+    with pytest.raises(TooManyClasses):
+        book.extended(("c", "d"), (CLASS, CLASS), {0, 1, 2})
 
 
 def test_open_visits_keep_the_rules_under_which_they_came() -> None:
     bench = Bench()
     old, _ = bench.arrive()
-    told = replace(SETTINGS, classes=(replace(CLASS, repeat=i.Repeat.UNSAFE),), max_attempts=1)
-    book, merged = bench.core.retuned(told, ("visit-checkin",))
+    told = replace(SETTINGS, classes=(replace(CLASS, idempotency=Idempotency.NOT_IDEMPOTENT),), max_attempts=1)
+    book, merged = bench.core.prepare_settings(told, ("visit-checkin",))
     assert book.numbers() == {"visit-checkin": 1} and merged.classes[0] == CLASS
-    bench.core.retune(book, merged, True)
+    bench.core.apply_settings(book, merged, True)
     new, client = bench.arrive()
-    assert isinstance(bench.events[-2], i.NewSettings), "told before the first request under them"
-    for visit, most in ((old, 4), (new, 1)):
+    assert isinstance(bench.events[-2], SettingsChanged), "told before the first request under them"
+    for connection, most in ((old, 4), (new, 1)):
         for _ in range(6):
-            bench.order(i.Start(visit.number, "box-1", 500_000))
-            if not bench.attempts[-1].over:
-                bench.attempts[-1].ends(Cause.BROKEN)
-        assert visit.attempts == most
-    assert old.may_be_refused, "safe, by its own rules"
-    new.call = replace(new.call, klass=1)
-    assert not new.may_be_refused, "what may have run and must not run twice is no invitation to come again"
+            bench.order(StartAttempt(connection.number, "box-1", 500_000))
+            if not bench.attempts[-1].is_over:
+                bench.attempts[-1].end(Cause.BROKEN)
+        assert connection.attempts == most
+    assert old.may_be_rejected, "safe, by its own rules"
+    new.connect_request = replace(new.connect_request, request_class=1)
+    assert not new.may_be_rejected, "what may have run and must not run twice is no invitation to come again"
     bench.core.lifecycle.lame_duck()
     bench.wait(3_700_000)
     assert client.told == ["fail"]
@@ -115,19 +126,19 @@
 def test_the_module_counts_the_rounds_of_a_request_by_the_settings_it_came_under() -> None:
     def rounds(first: bool) -> int:
         b = Balancer(SETTINGS, 1)
-        b.handle(0, i.ListUpdate(tuple(i.ServerEntry(f"s{n}") for n in range(9))))
-        change = i.NewSettings(replace(SETTINGS, max_attempts=1))
-        events: list[i.Event] = [i.Request(7, 2_000_000), change]
+        b.handle(0, EndpointListUpdate(tuple(Endpoint(f"s{n}") for n in range(9))))
+        change = SettingsChanged(replace(SETTINGS, max_attempts=1))
+        events: list[Event] = [Request(7, 2_000_000), change]
         todo = [a for e in (events if first else events[::-1]) for a in b.handle(1, e)]
         starts, now = 0, 1
         while todo:
             action = todo.pop(0)
             now += 1
-            if isinstance(action, i.Start):
+            if isinstance(action, StartAttempt):
                 starts += 1
-                todo += b.handle(now, i.Outcome(7, starts, action.server, i.Result.CONNECT_FAILED))
-            elif isinstance(action, i.SetTimer) and not todo:
-                todo += b.handle(now, i.TimerFired(action.timer))
+                todo += b.handle(now, AttemptEnded(7, starts, action.backend, AttemptResult.CONNECT_FAILED))
+            elif isinstance(action, SetTimer) and not todo:
+                todo += b.handle(now, TimerFired(action.timer_id))
         return starts
 
     assert rounds(first=False) == 1 < rounds(first=True) <= 4
@@ -138,7 +149,7 @@
         async with town(tmp_path, ["UP r-1"], settings(), admin=True) as here:
             relay = here.relay
 
-            async def hang_up(expected: str) -> None:
+            async def reload_and_await(expected: str) -> None:
                 relay.process.send_signal(signal.SIGHUP)
                 await relay.line(expected)
 
@@ -155,7 +166,7 @@
                 (whole.replace('"discovery": "ask"', '"x": 1'), "settings.discovery: missing"),
             ):
                 (tmp_path / "config.json").write_text(text)
-                await hang_up(f"not taken, the old one stays: .*{named}")
+                await reload_and_await(f"not taken, the old one stays: .*{named}")
             (tmp_path / "config.json").write_text(whole)
             other = settings(maxAttempts=2)
             other["grades"] = [{**other["grades"][0], "name": "night-call"}, other["grades"][0]]
@@ -163,7 +174,7 @@
             moved.members = here.discovery.members
             await moved.open()
             replace_config(tmp_path, settings=other, discovery=f"127.0.0.1:{moved.port}")
-            await hang_up("classes night-call, roster-feed, 2 attempts")
+            await reload_and_await("classes night-call, roster-feed, 2 attempts")
             await soon(moved.asked.wait())  # one file may change both
             new, dropped = await here.device(), await here.device()
             new.say(new.OPEN.format(id=new.id, d=1500, more="").replace("visit-checkin", "night-call"))
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -8,9 +8,9 @@
 
 import pytest
 
+from balancer.settings import Idempotency
 from gradefront.config import parse
 from gradefront.net.lines import read_first
-from milletdeal import interface as i
 
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
 
@@ -64,16 +64,17 @@
     config = parse(
         {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f", "settings": told(site)}, {}
     )
-    assert (config.settings.max_attempts, config.settings.ask_for_list) == (attempts, asked)
+    assert (config.settings.max_attempts, config.settings.polls_endpoint_list) == (attempts, asked)
     assert len(config.class_names) == classes and len(config.tenants) == tenants
     assert config.settings.drain_grace_us == site["rules"]["drain_grace_ms"] * 1000
-    assert all(c.repeat is i.Repeat.SAFE for c in config.settings.classes)
-    for number, klass in enumerate(site["class"]):
+    assert all(c.idempotency is Idempotency.IDEMPOTENT for c in config.settings.classes)
+    for number, request_class in enumerate(site["class"]):
         tenant = site["tenant"][-1]["name"]
         line = (
-            f"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c={klass['name']},t={tenant},d={klass['deadline_ms']},"
+            f"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 "
+            f"c={request_class['name']},t={tenant},d={request_class['deadline_ms']},"
             "g=5c0f6e1a2b3d4c59"
         )
         call, _ = read_first(line.encode(), config)
-        assert (call.klass, call.tenant) == (number, tenants - 1)
-        assert call.patience_us == config.settings.classes[number].deadline_us
+        assert (call.request_class, call.tenant) == (number, tenants - 1)
+        assert call.timeout_us == config.settings.classes[number].deadline_us
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -9,12 +9,24 @@
 
 import pytest
 
-from milletdeal import Balancer
-from milletdeal import interface as i
+from balancer import Balancer
+from balancer.actions import CheckHealth, StartAttempt
+from balancer.events import (
+    AttemptEnded,
+    AttemptResult,
+    ConnectionEstablished,
+    ConnectionLoadReport,
+    Endpoint,
+    EndpointListUpdate,
+    Request,
+)
+from balancer.settings import Settings, WeightKind
 
 from .test_failures import PROBED, of, place, stand
 
-BEGIN_US = 5_000_000  # a node that has just started sends nothing to cold servers for a moment; these have not
+BEGIN_US = (
+    5_000_000  # a node that has just started sends nothing to backends in slow start for a moment; these have not
+)
 
 
 def loads_of_a_cold_server(processes: int, seed: int) -> list[float]:
@@ -23,28 +35,30 @@
     random, cold_us, mean, full = Random(seed), 20_000_000, 80_000, 50.0
     nodes = [
         Balancer(
-            i.Settings(
+            Settings(
                 **{
                     **PROBED,
                     "fleet_size": 40,
                     "position": n % 40,
                     "processes": processes,
-                    "start_capacity": 0.12,
-                    "cold_us": cold_us,
-                    "weight_kind": i.WeightKind.ROUGH,
+                    "initial_capacity": 0.12,
+                    "warm_up_us": cold_us,
+                    "weight_kind": WeightKind.ROUGH,
                 }
             ),
             1_000 * seed + n,
         )
         for n in range(40 * processes)
     ]
-    boxes = tuple(i.ServerEntry(f"s{n}", weight=4.0) for n in range(7))
-    for number, node in enumerate(nodes):  # 5 each in the mean: half of what the boxes take
-        node.handle(1, i.ListUpdate(boxes))
+    backends = tuple(Endpoint(f"s{n}", weight=4.0) for n in range(7))
+    for number, node in enumerate(nodes):  # 5 each in the mean: half of what the backends take
+        node.handle(1, EndpointListUpdate(backends))
         for n in range(number % 5 * 5 // 2):
             stand(node, -n, f"s{n % 7}", 1)
-            node.handle(1, i.LoadNote(-n, f"s{n % 7}", mean * random.lognormvariate(-0.72, 1.2)))
-        node.handle(BEGIN_US, i.ListUpdate((i.ServerEntry("cold", weight=4.0, started_us=BEGIN_US),), whole=False))
+            node.handle(1, ConnectionLoadReport(-n, f"s{n % 7}", mean * random.lognormvariate(-0.72, 1.2)))
+        node.handle(
+            BEGIN_US, EndpointListUpdate((Endpoint("cold", weight=4.0, started_us=BEGIN_US),), is_complete=False)
+        )
     standing, loads = dict[int, float](), list[float]()
     for step in range(200):
         now = BEGIN_US + step * cold_us // 200
@@ -52,13 +66,13 @@
             for request in (step * 10_000 + n * 10 + k + 1 for k in range(n % 10 // 3 + (step % 5 == 0))):
                 # Reports are late by 1.5 s, so that only the budget guards.
                 loaded = {f"s{k}": 0.7 for k in range(7)} | {"cold": loads[-15] if step > 15 else 0.0}
-                for start in of(place(node, now, request, loaded), i.Start):
-                    node.handle(now, i.Established(start.request, 0, start.server, 1))
-                    if start.server == "cold":
-                        work = standing[start.request] = mean * random.lognormvariate(-0.72, 1.2)
-                        node.handle(now, i.LoadNote(start.request, "cold", work))
+                for start in of(place(node, now, request, loaded), StartAttempt):
+                    node.handle(now, ConnectionEstablished(start.request_id, 0, start.backend, 1))
+                    if start.backend == "cold":
+                        work = standing[start.request_id] = mean * random.lognormvariate(-0.72, 1.2)
+                        node.handle(now, ConnectionLoadReport(start.request_id, "cold", work))
                     else:
-                        node.handle(now, i.Outcome(start.request, 0, start.server, i.Result.OK, True))
+                        node.handle(now, AttemptEnded(start.request_id, 0, start.backend, AttemptResult.OK, True))
         loads.append(sum(standing.values()) / mean / full / (0.12 + 0.88 * step / 200))
     return loads
 
@@ -89,30 +103,30 @@
     worst = 0
     for seed in range(12):
         random, numbers = Random(seed), count(1)
-        settings = i.Settings(
+        settings = Settings(
             **{
                 **PROBED,
                 "fleet_size": fleet,
-                "start_capacity": 0.12,
-                "cold_us": cold_us,
-                "weight_kind": i.WeightKind.ROUGH,
+                "initial_capacity": 0.12,
+                "warm_up_us": cold_us,
+                "weight_kind": WeightKind.ROUGH,
             }
         )
         nodes = [Balancer(settings, 100 * seed + n) for n in range(fleet)]
-        servers = tuple(i.ServerEntry(f"s{n}", weight=4.0, started_us=n < 3) for n in range(9))
+        backends = tuple(Endpoint(f"s{n}", weight=4.0, started_us=n < 3) for n in range(9))
         for node in nodes:
-            node.handle(1, i.ListUpdate(servers))
+            node.handle(1, EndpointListUpdate(backends))
         for n in range(9 * full // 2):  # half of what the servers take, dealt at random
             node, request = nodes[random.randrange(fleet)], next(numbers)
             stand(node, request, f"s{n % 9}", 2)
-            node.handle(2, i.LoadNote(request, f"s{n % 9}", light * mean))
+            node.handle(2, ConnectionLoadReport(request, f"s{n % 9}", light * mean))
         sends = Counter[str]()
         loads = {f"s{n}": 0.1 if n < 3 else 0.6 for n in range(9)}
         for n in range(crowd):
             node, at = nodes[n % fleet], 5_000_000 + n * 1_000_000 // crowd
-            for start in of(place(node, at, next(numbers), loads, came_back=True), i.Start):
-                sends[start.server] += 1
-                node.handle(at, i.Established(start.request, 0, start.server, 1))
+            for start in of(place(node, at, next(numbers), loads, is_reconnect=True), StartAttempt):
+                sends[start.backend] += 1
+                node.handle(at, ConnectionEstablished(start.request_id, 0, start.backend, 1))
         worst = max(worst, *(sends[f"s{n}"] for n in range(3)))
     assert worst <= allowed, f"{worst} requests within a second, {allowed:.1f} push it over"
 
@@ -121,15 +135,15 @@
     """Guards against a fleet half of whose servers are new: looks that could only end in a wait, and their price."""
     start, warm, cold, waiting = 10_000_000, {"s0", "s1", "s2", "s3"}, set[str](), 0
     for position in range(200):
-        settings = {"fleet_size": 200, "position": position, "start_capacity": 0.2, "cold_us": 20_000_000}
-        b = Balancer(i.Settings(**{**PROBED, **settings}), position)
-        servers = tuple(i.ServerEntry(f"s{n}", started_us=start * (n >= 4)) for n in range(16))
-        b.handle(start - 5_000_000, i.ListUpdate(servers))
-        for server in b.servers.values():
-            server.chance = 0.999
+        settings = {"fleet_size": 200, "position": position, "initial_capacity": 0.2, "warm_up_us": 20_000_000}
+        b = Balancer(Settings(**{**PROBED, **settings}), position)
+        backends = tuple(Endpoint(f"s{n}", started_us=start * (n >= 4)) for n in range(16))
+        b.handle(start - 5_000_000, EndpointListUpdate(backends))
+        for backend in b.backends.values():
+            backend.chance = 0.999
         b.now = start
-        in_turn = {turn.server for turn in b._own_turns() if turn.open(start)}
-        probed = {p.server for p in of(b.handle(start, i.Request(1, 2_000_000)), i.Probe)}
+        in_turn = {turn.backend for turn in b._own_turns() if turn.open(start)}
+        probed = {p.backend for p in of(b.handle(start, Request(1, 2_000_000)), CheckHealth)}
         assert probed <= warm | in_turn, "only who may be sent something"
         cold |= probed - warm
         waiting += not in_turn
--- a/tests/test_slow_start_model.py
+++ b/tests/test_slow_start_model.py
@@ -11,9 +11,24 @@
 
 import pytest
 
-from lab.warm_up import Arrival, SlowStartRules, WarmUp
-from milletdeal import Balancer
-from milletdeal import interface as i
+from balancer import Balancer
+from balancer.actions import CheckHealth, SetTimer, StartAttempt
+from balancer.events import (
+    AttemptEnded,
+    AttemptResult,
+    BackendState,
+    ConnectionEstablished,
+    ConnectionLoadReport,
+    Endpoint,
+    EndpointListUpdate,
+    Event,
+    HealthCheckResult,
+    LoadReport,
+    Request,
+    TimerFired,
+)
+from balancer.settings import Settings, WeightKind
+from lab.slow_start_oracle import Arrival, SlowStartRules, WarmUp
 
 from .test_failures import PROBED, stand
 
@@ -21,7 +36,7 @@
 BEGIN_US = 10_000_000  # the burst begins
 LENGTH_US = 3_000_000
 WARM, VANISH, COLD = 7, 3, 3
-ENDINGS = (None, i.Result.OK, i.Result.FULL, i.Result.RESET, i.Result.CANCELLED)
+ENDINGS = (None, AttemptResult.OK, AttemptResult.OVERLOADED, AttemptResult.RESET, AttemptResult.CANCELLED)
 
 
 @dataclass(frozen=True)
@@ -30,10 +45,10 @@
 
     nodes: int
     rules: SlowStartRules
-    age_s: float  # of cold servers as the burst begins
+    age_s: float  # of backends in slow start as the burst begins
     fills: float
     work: float  # of a connection, in mean ones
-    ending: i.Result | None  # how connections end soon; None: they stand
+    ending: AttemptResult | None  # how connections end soon; None: they stand
     restarts: bool  # some nodes start anew in the burst
     whole_lists: bool
     returns: bool  # a cold server comes back under its name
@@ -78,25 +93,25 @@
 
     def _node(self, position: int) -> Balancer:
         drawn, rules = self.drawn, self.drawn.rules
-        settings = i.Settings(
+        settings = Settings(
             **{
                 **PROBED,
                 "fleet_size": drawn.nodes,
                 "position": position,
-                "start_capacity": rules.start_capacity,
-                "cold_us": int(rules.warm_s * 1e6),
-                "tip_multiple": rules.multiple,
-                "fall_us": int(rules.window_s * 1e6),
-                "weight_kind": i.WeightKind.ROUGH,
+                "initial_capacity": rules.start_capacity,
+                "warm_up_us": int(rules.warm_s * 1e6),
+                "overload_multiple": rules.multiple,
+                "overload_window_us": int(rules.window_s * 1e6),
+                "weight_kind": WeightKind.ROUGH,
             }
         )
         node = Balancer(settings, self.random.getrandbits(30))
         node.handle(self.now, self.list())
         return node
 
-    def list(self) -> i.ListUpdate:
+    def list(self) -> EndpointListUpdate:
         """The whole list."""
-        return i.ListUpdate(tuple(i.ServerEntry(name, started_us=at) for name, at in self.started.items()))
+        return EndpointListUpdate(tuple(Endpoint(name, started_us=at) for name, at in self.started.items()))
 
     def fill(self) -> None:
         """Half of what warm servers take stands, dealt at random, before the burst."""
@@ -104,32 +119,37 @@
         for n in range(int(WARM * self.drawn.fills / 2)):
             node, request = self.random.choice(self.nodes), next(self.numbers)
             stand(node, request, f"s{n % WARM}", self.now)
-            node.handle(self.now, i.LoadNote(request, f"s{n % WARM}", self.drawn.work * 80_000))
+            node.handle(self.now, ConnectionLoadReport(request, f"s{n % WARM}", self.drawn.work * 80_000))
         for node in self.nodes:
             for n in range(WARM):
-                node.handle(self.now, i.ProbeResult(f"s{n}", i.Result.OK, report=i.LoadReport(0.5)))
+                node.handle(self.now, HealthCheckResult(f"s{n}", AttemptResult.OK, load_report=LoadReport(0.5)))
 
-    def do(self, node: Balancer, event: i.Event) -> None:
+    def do(self, node: Balancer, event: Event) -> None:
         """Have a node handle an event, and carry out what it says."""
         actions = node.handle(self.now, event)
         for action in actions:
-            if isinstance(action, i.SetTimer):
+            if isinstance(action, SetTimer):
                 due = self.now + action.delay_us
-                self.timers.append((due, next(self.order), node, action.timer))
-            elif isinstance(action, i.Probe):
-                load = 0.75 if action.server.startswith("s") else 0.1
-                self.do(node, i.ProbeResult(action.server, i.Result.OK, report=i.LoadReport(load)))
-            elif isinstance(action, i.Start):
+                self.timers.append((due, next(self.order), node, action.timer_id))
+            elif isinstance(action, CheckHealth):
+                load = 0.75 if action.backend.startswith("s") else 0.1
+                self.do(node, HealthCheckResult(action.backend, AttemptResult.OK, load_report=LoadReport(load)))
+            elif isinstance(action, StartAttempt):
                 self.start(node, action)
 
-    def start(self, node: Balancer, action: i.Start) -> None:
+    def start(self, node: Balancer, action: StartAttempt) -> None:
         """An attempt arrives; what becomes of it is drawn."""
-        self.warm_ups[action.server].arrive(Arrival(self.now / 1e6, str(id(node)), True))
-        ending = self.drawn.ending if action.server.startswith("c") else None
-        if ending in (None, i.Result.OK, i.Result.RESET, i.Result.CANCELLED):
-            self.do(node, i.Established(action.request, 0, action.server))
+        self.warm_ups[action.backend].arrive(Arrival(self.now / 1e6, str(id(node)), True))
+        ending = self.drawn.ending if action.backend.startswith("c") else None
+        if ending in (None, AttemptResult.OK, AttemptResult.RESET, AttemptResult.CANCELLED):
+            self.do(node, ConnectionEstablished(action.request_id, 0, action.backend))
         if ending:
-            self.do(node, i.Outcome(action.request, 0, action.server, ending, final=ending is not i.Result.FULL))
+            self.do(
+                node,
+                AttemptEnded(
+                    action.request_id, 0, action.backend, ending, is_final=ending is not AttemptResult.OVERLOADED
+                ),
+            )
 
     def step(self) -> None:
         """Let the clock run by a step."""
@@ -138,7 +158,7 @@
         self.timers = [timer for timer in self.timers if timer[0] > self.now]
         for _, _, node, number in due:
             if node in self.nodes:
-                self.do(node, i.TimerFired(number))
+                self.do(node, TimerFired(number))
 
     def burst(self) -> None:
         """Servers vanish, and a crowd comes within a second and a half; other things happen meanwhile."""
@@ -147,14 +167,14 @@
         for n in range(VANISH):
             del self.started[f"s{n}"]
         for node in self.nodes:
-            gone = tuple(i.ServerEntry(f"s{n}", i.ServerState.GONE) for n in range(VANISH))
-            self.do(node, i.ListUpdate(gone, whole=False))
+            gone = tuple(Endpoint(f"s{n}", BackendState.GONE) for n in range(VANISH))
+            self.do(node, EndpointListUpdate(gone, is_complete=False))
         crowd = int(VANISH * drawn.fills)
         for step in range(LENGTH_US // STEP_US):
             self.step()
             if step < 75:
                 for _ in range(max(1, crowd // 75)):
-                    back = i.Request(next(self.numbers), 2_000_000, came_back=True)
+                    back = Request(next(self.numbers), 2_000_000, is_reconnect=True)
                     self.do(random.choice(self.nodes), back)
             if drawn.whole_lists and step % 10 == 0:
                 for node in self.nodes:
--- a/tests/test_slow_start_processes.py
+++ b/tests/test_slow_start_processes.py
@@ -11,7 +11,7 @@
 import pytest
 
 from lab.crowd import Fleet, Scene
-from lab.warm_up import SlowStartRules
+from lab.slow_start_oracle import SlowStartRules
 
 LIGHT, USUAL = 5_600.0, 80_000.0  # work of a connection, microseconds a second
 
--- a/tests/test_stored_form.py
+++ b/tests/test_stored_form.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gradefront.config import parse
-from gradefront.state.form import BadForm, read, ruled, write
+from gradefront.state.form import BadForm, read, stored_rules, write
 from tests.helper import CLASS
 
 # As version 0.2.0 wrote it.
@@ -34,7 +34,7 @@
     }
     settings = {"grades": [grade | changes], "familyInfo": {"messageAimUs": [100_000]}}
     config = parse({"settings": settings, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2"}, {})
-    return ruled(config.settings.classes[0])
+    return stored_rules(config.settings.classes[0])
 
 
 def test_a_description_of_version_1_is_read_and_written_with_the_same_bytes() -> None:
@@ -42,7 +42,7 @@
 
 
 def test_the_rules_of_a_description_equal_those_of_the_same_settings_only() -> None:
-    described = read(VERSION_1, NOW_US).rules
+    described = read(VERSION_1, NOW_US).class_rules
     assert configured() == described
     for change in (
         {"aimUs": 500_001},
@@ -57,7 +57,7 @@
 
 def test_rules_have_the_stored_names_in_their_order() -> None:
     stored = json.loads(VERSION_1)["rules"]
-    assert list(ruled(replace(CLASS))) == list(stored)
+    assert list(stored_rules(replace(CLASS))) == list(stored)
 
 
 @pytest.mark.parametrize("name", sorted(json.loads(VERSION_1)))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,13 +16,13 @@
 
 import pytest
 
+from balancer.events import Endpoint, EndpointListUpdate
 from gradefront.config import ConfigError, parse
-from gradefront.core.duty import Duty
+from gradefront.core.lifecycle_state import LifecycleState
 from gradefront.serve import inherited
-from gradefront.state.form import BadForm, Left, read, write
+from gradefront.state.form import BadForm, ConnectionSnapshot, read, write
 from gradefront.state.handover import NAME
-from lab.town import Discovery, LineDevice, Program, PushBox, program, settings, soon
-from milletdeal import interface as i
+from lab.stand_ins import Discovery, LineDevice, Program, StandInBackend, program, settings, soon
 
 from .helper import Bench
 from .test_net_parts import CONFIG
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("fd", ["x", "-1", "٤", "4 "])
 def test_a_descriptor_that_is_no_number_is_told(fd: str) -> None:
     with pytest.raises(ConfigError, match="LB_SOCKET_FD"):
-        parse(CONFIG.told, {"LB_SOCKET_FD": fd})
+        parse(CONFIG.given, {"LB_SOCKET_FD": fd})
 
 
 def test_a_descriptor_that_does_not_listen_is_told() -> None:
@@ -45,16 +45,16 @@
 def test_a_new_process_says_yes_on_fresh_news_or_once_there_is_no_more_time() -> None:
     for news_us, ready_us in ((1_000_000, 1_000_000), (9_000_000, 3_600_000)):
         bench = Bench()
-        bench.core.lifecycle.duty = Duty.STARTING
+        bench.core.lifecycle.state = LifecycleState.STARTING
         opened: list[int] = []
-        bench.core.lifecycle.opens = lambda bench=bench, opened=opened: opened.append(bench.now)
-        bench.core.lifecycle.await_news()
+        bench.core.lifecycle.on_ready = lambda bench=bench, opened=opened: opened.append(bench.now)
+        bench.core.lifecycle.await_endpoint_list()
         began = bench.now
-        bench.core.listed(i.ListUpdate((i.ServerEntry("box-1"),)))
-        assert not bench.core.lifecycle.takes_clients, "a list from before may name boxes that have left"
+        bench.core.on_endpoint_list(EndpointListUpdate((Endpoint("box-1"),)))
+        assert not bench.core.lifecycle.accepts_clients, "a list from before may name boxes that have left"
         bench.wait(min(news_us, 5_000_000))
-        bench.core.lifecycle.has_news()
-        assert bench.core.lifecycle.takes_clients and len(opened) == 1 and opened[0] - began <= ready_us
+        bench.core.lifecycle.on_fresh_endpoint_list()
+        assert bench.core.lifecycle.accepts_clients and len(opened) == 1 and opened[0] - began <= ready_us
 
 
 def test_a_replaced_process_tells_its_clients_from_the_start() -> None:
@@ -86,7 +86,7 @@
     asyncio.run(play())
 
 
-LEFT = Left(
+LEFT = ConnectionSnapshot(
     "9b1f03aa5c7e2d41",
     "visit-checkin",
     {"aim_us": 1},
@@ -130,18 +130,18 @@
     def __init__(self, folder: Path, shared: bool = True) -> None:
         self.folder = folder
         self.shared = folder if shared else None  # where processes meet
-        self.box, self.discovery = PushBox(lambda line: "UP r-1"), Discovery()
+        self.backend, self.discovery = StandInBackend(lambda line: "UP r-1"), Discovery()
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=512)
         self.stack = AsyncExitStack()
 
     async def __aenter__(self) -> Handing:
-        self.discovery.add("box-0", await self.box.open())
+        self.discovery.add("box-0", await self.backend.open())
         return self
 
     async def __aexit__(self, *_: object) -> None:
         await self.stack.aclose()
         self.listener.close()
-        self.box.server.close()
+        self.backend.server.close()
 
     async def start(self, name: str, told: dict[str, Any] | None = None) -> Program:
         (self.folder / name).mkdir()
@@ -229,19 +229,19 @@
             devices = [await here.standing(old) for _ in range(30)]
             for n, device in enumerate(devices):
                 device.writer.write(b"half a li")  # a line that one process begins to read
-                here.box.writers[n].write(b"and ha")
+                here.backend.writers[n].write(b"and ha")
             new = await here.start("new")
             assert await old.stop() == 0
             counts = await new.counters()
             assert counts["taken_over"] == counts["visits_now"] == 30 and "stood" not in counts
-            for device, writer in zip(devices, here.box.writers, strict=True):
+            for device, writer in zip(devices, here.backend.writers, strict=True):
                 device.writer.write(b"ne\r\n")
                 writer.write(b"lf back\r\n")
                 assert {await device.line(), await device.line()} == {"re:half a line", "and half back"}
             assert (await new.figures())["svc_current"] == 30
             devices[0].writer.close()
-            await soon(here.box.ended.wait())
-            here.box.writers[1].close()
+            await soon(here.backend.ended.wait())
+            here.backend.writers[1].close()
             assert await devices[1].line() == ""
             third = await here.start("third", settings(aim_ms=200, deadline_ms=4000))  # under other rules
             assert await new.stop() == 0
@@ -291,7 +291,7 @@
                 stranger.listen()
                 old.process.send_signal(signal.SIGTERM)
                 call = await asyncio.to_thread(stranger.accept)
-                call[0].close()  # before or after the first visit came to it: that one's sockets go with it
+                call[0].close()  # before or after the first connection came to it: that one's sockets go with it
             assert await device.line() in ("MOVE", "")
             assert await old.stop() == 0
 
