--- a/benchmarks/quic_flood.py
+++ b/benchmarks/quic_flood.py
@@ -54,9 +54,9 @@
     for backend in backends:
         await backend.open()
         discovery.add(backend.name, backend.port)
-    told: dict[str, Any] = {"mode": retry, "keys": [KEY]} if retry != "never" else {}
+    given: dict[str, Any] = {"mode": retry, "keys": [KEY]} if retry != "never" else {}
     with tempfile.TemporaryDirectory() as folder:
-        async with program(Path(folder), discovery, settings(), file_of(backends, retry=told)) as relay:
+        async with program(Path(folder), discovery, settings(), file_of(backends, retry=given)) as relay:
             await soon(discovery.asked.wait())
             front = ("127.0.0.1", relay.ports[1])
             pid = relay.process.pid
--- a/benchmarks/quic_forward.py
+++ b/benchmarks/quic_forward.py
@@ -28,14 +28,14 @@
 from .quic_flood import cpu_s
 
 KEY = bytes(range(16))
-BOXES = 6
+BACKENDS = 6
 SIZE = 250  # octets of a datagram: a message and its answer are small
 RATE = 12_000
-TURN_S = 1.5
-TURNS = 5
+ROUND_S = 1.5
+ROUNDS = 5
 
 
-def bare(boxes_at: list[tuple[str, int]], told: Connection) -> None:
+def bare(backends_at: list[tuple[str, int]], given: Connection) -> None:
     """The bare forwarder: one port a client would be as our old front; one for all is the cheapest there is."""
     front = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     front.bind(("127.0.0.1", 0))
@@ -43,7 +43,7 @@
     front.setblocking(False)
     back = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     back.bind(("127.0.0.1", 0))
-    told.send(front.getsockname())
+    given.send(front.getsockname())
     backends: dict[Any, Any] = {}
     poll = select.epoll()
     poll.register(front.fileno(), select.EPOLLIN)
@@ -56,22 +56,22 @@
                 break
             where = backends.get(client)
             if where is None:
-                where = backends[client] = boxes_at[len(backends) % len(boxes_at)]
+                where = backends[client] = backends_at[len(backends) % len(backends_at)]
             back.sendto(datagram, where)
 
 
-def sink(told: Connection) -> None:
+def sink(given: Connection) -> None:
     """Backends that read and count."""
     poll = select.epoll()
     takers = {}
-    for _ in range(BOXES):
+    for _ in range(BACKENDS):
         taker = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         taker.bind(("127.0.0.1", 0))
         taker.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8 << 20)
         taker.setblocking(False)
         poll.register(taker.fileno(), select.EPOLLIN)
         takers[taker.fileno()] = taker
-    told.send([taker.getsockname() for taker in takers.values()])
+    given.send([taker.getsockname() for taker in takers.values()])
     count = 0
     while True:
         for number, _ in poll.poll(0.02):
@@ -81,9 +81,9 @@
                     count += 1
             except BlockingIOError:
                 pass
-        if told.poll():
-            told.recv()
-            told.send(count)
+        if given.poll():
+            given.recv()
+            given.send(count)
             count = 0
 
 
@@ -96,7 +96,7 @@
         for _ in range(paths):
             one = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             one.bind(("127.0.0.1", 0))
-            an_id = form.make(bytes([7, len(self.ways) % BOXES]))
+            an_id = form.make(bytes([7, len(self.ways) % BACKENDS]))
             self.ways.append((one, b"\x40" + an_id + os.urandom(SIZE - 1 - form.length)))
 
     def send(self, front: tuple[str, int], seconds: float) -> None:
@@ -139,10 +139,10 @@
 async def compare(paths: int, hidden: bool) -> tuple[float, float]:
     """CPU us for each datagram: the bare forwarder's, ours."""
     form = IdForm(0, 2, 9, True, KEY if hidden else None)
-    backend, pipe, boxes_at = child(sink)
-    forwarder, _, bare_at = child(bare, boxes_at)
+    backend, pipe, backends_at = child(sink)
+    forwarder, _, bare_at = child(bare, backends_at)
     discovery = Discovery()
-    for n, at in enumerate(boxes_at):
+    for n, at in enumerate(backends_at):
         discovery.add(f"box-{n}", at[1])
     ids = {"config_id": 0, "server_id_length": 2, "nonce_length": 9, **({"key": KEY.hex()} if hidden else {})}
     file = {
@@ -153,7 +153,7 @@
         "most_ports": 900,
         "boxes": {
             f"box-{n}": {"server_id": f"07{n:02x}", "reset_key": "00", "address": f"{at[0]}:{at[1]}"}
-            for n, at in enumerate(boxes_at)
+            for n, at in enumerate(backends_at)
         },
     }
     load = Load(paths, form)
@@ -165,10 +165,10 @@
             for where, _ in fronts.values():
                 await asyncio.to_thread(load.once_each, where)
             counted(pipe)
-            for _ in range(TURNS):
+            for _ in range(ROUNDS):
                 for name, (where, pid) in fronts.items():
                     used = cpu_s(pid)
-                    await asyncio.to_thread(load.send, where, TURN_S)
+                    await asyncio.to_thread(load.send, where, ROUND_S)
                     await asyncio.sleep(0.1)
                     spent[name] += cpu_s(pid) - used
                     passed[name] += counted(pipe)
--- a/benchmarks/quic_initials.py
+++ b/benchmarks/quic_initials.py
@@ -75,7 +75,7 @@
         self.client = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.client.bind(("127.0.0.1", 0))
         self.client.setblocking(False)
-        told = {
+        given = {
             "listen": {"visit-checkin": "127.0.0.1:0"},
             "most_waiting": 100_000,
             "limits": WIDE,
@@ -94,9 +94,9 @@
         self.core.on_endpoint_list(EndpointListUpdate((Endpoint("box-0"),), True))
         self.core.run_turn()
         reactor: Any = Still()
-        self.front = QuicFront(CONFIG, quic_config.parse(told, CONFIG), self.core, reactor)
+        self.front = QuicFront(CONFIG, quic_config.parse(given, CONFIG), self.core, reactor)
         self.hub = reactor.hub
-        self.door = self.front.listeners[0].address
+        self.listener = self.front.listeners[0].address
 
     def relay(self) -> float:
         """Let the relay do what there is; its CPU seconds."""
@@ -157,7 +157,7 @@
     for _ in range(ROUNDS):
         batch = [make() for _ in range(EACH)]
         for datagram in batch:
-            stage.client.sendto(datagram, stage.door)
+            stage.client.sendto(datagram, stage.listener)
         spent = stage.relay()
         stage.answer()
         after = stage.relay()
@@ -181,7 +181,7 @@
                 stage.client = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
                 stage.client.bind(("127.0.0.1", 0))
                 stage.client.setblocking(False)
-                stage.client.sendto(forge.make(), stage.door)
+                stage.client.sendto(forge.make(), stage.listener)
             stage.relay()
             stage.answer()
             stage.relay()
@@ -197,7 +197,7 @@
     an_ids = [next(reversed(owner.ids)) for owner in list(stage.front.connections)[:400]]
     for an_id in an_ids:
         one = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        one.sendto(b"\x40" + an_id + os.urandom(40), stage.door)
+        one.sendto(b"\x40" + an_id + os.urandom(40), stage.listener)
         one.close()
         stage.relay()
     gc.collect()
--- a/benchmarks/quic_scale.py
+++ b/benchmarks/quic_scale.py
@@ -29,25 +29,25 @@
 from .quic_forward import child
 
 FORM = IdForm(0, 2, 9, True, bytes(range(16)))
-BOXES = 3
+BACKENDS = 3
 DESCRIPTORS = 1_024
 HELLO = (b"\x06\x00\x04text").ljust(1_160, b"\0")
 PACE_S = 0.002
 
 
-def backends(told: Connection) -> None:
+def backends(given: Connection) -> None:
     """Backends: they serve every Initial, and answer a message with their number to the client id that it names.
     Whoever gets an id of another's says so."""
     poll = select.epoll()
     found: dict[int, tuple[int, socket.socket]] = {}
-    for n in range(BOXES):
+    for n in range(BACKENDS):
         one = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         one.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8 << 20)
         one.bind(("127.0.0.1", 0))
         one.setblocking(False)
         poll.register(one.fileno(), select.EPOLLIN)
         found[one.fileno()] = n, one
-    told.send([one.getsockname() for _, one in found.values()])
+    given.send([one.getsockname() for _, one in found.values()])
     misled = 0
     while True:
         for number, _ in poll.poll(0.05):
@@ -70,9 +70,9 @@
                 at = 1 + FORM.length
                 misled += FORM.read(data[1:at]) != bytes([7, n])
                 one.sendto(b"\x40" + data[at : at + 12] + bytes([n]), sender)
-        if told.poll():
-            told.recv()
-            told.send(misled)
+        if given.poll():
+            given.recv()
+            given.send(misled)
 
 
 class Phones:
--- a/benchmarks/scrape.py
+++ b/benchmarks/scrape.py
@@ -35,7 +35,7 @@
 
 
 async def crowd(relay: Program, devices: list[LineDevice], until: float) -> int:
-    """Devices talk, others come and go; how many came."""
+    """Devices talk, others come and go; how many arrived."""
 
     async def talk(device: LineDevice) -> None:
         while time.monotonic() < until:
@@ -49,10 +49,10 @@
 
     talking = [asyncio.ensure_future(talk(device)) for device in devices]
     coming: list[asyncio.Future[None]] = []
-    for came in count():
+    for arrived in count():
         if time.monotonic() >= until:
             await asyncio.gather(*talking, *coming)
-            return came
+            return arrived
         coming.append(asyncio.ensure_future(connection()))
         await asyncio.sleep(COMING_S)
     raise AssertionError
@@ -78,13 +78,13 @@
         async with program(Path(folder), discovery, settings(deadline_ms=4000), admin=True) as relay:
             await soon(discovery.asked.wait())
             devices = [await stands(relay) for _ in range(STANDING)]
-            print("| reader | devices came | CPU of the relay | a device | reads | median | worst |")
+            print("| reader | devices arrived | CPU of the relay | a device | reads | median | worst |")
             print("| --- | --- | --- | --- | --- | --- | --- |")
             for number in range(ROUNDS):
                 reads: list[float] = []
                 until, before = time.monotonic() + ROUND_S, cpu_s(relay.process.pid)
                 reader = asyncio.ensure_future(scrape(relay, until, reads)) if number % 2 else None
-                came = await crowd(relay, devices, until)
+                arrived = await crowd(relay, devices, until)
                 if reader:
                     await reader
                 used = cpu_s(relay.process.pid) - before
@@ -94,8 +94,8 @@
                     else "- | - | -"
                 )
                 print(
-                    f"| {'yes' if number % 2 else 'no'} | {came} | {used / ROUND_S:.1%} | "
-                    f"{used / came * 1e6:.0f} us | {shown} |"
+                    f"| {'yes' if number % 2 else 'no'} | {arrived} | {used / ROUND_S:.1%} | "
+                    f"{used / arrived * 1e6:.0f} us | {shown} |"
                 )
 
 
--- a/gradefront/quic/config.py
+++ b/gradefront/quic/config.py
@@ -1,4 +1,4 @@
-"""The second front's file: where it listens, which backend is meant by which id, and what its door bears.
+"""The second front's file: where it listens, which backend is meant by which id, and what its listener bears.
 
 The file is checked whole, and an error names file, field and value. What is read of it is typed by msgspec, which
 is imported only where the front is on or checked.
@@ -36,7 +36,7 @@
     forms: tuple[IdForm, ...]
     backends: dict[str, QuicBackend]
     path_idle_us: int
-    visit_idle_us: int
+    connection_idle_us: int
     confirm_us: int
     most_paths: int
     most_ports: int
@@ -63,21 +63,21 @@
         }
 
 
-def parse(told: dict[str, Any], config: Config, path: Path = FILE) -> QuicConfig:
+def parse(given: dict[str, Any], config: Config, path: Path = FILE) -> QuicConfig:
     """The settings from the file's object; an error names file, field and value."""
     from gradefront.settings.typed import checked
 
     from .settings import QuicFile
 
     try:
-        return _build(checked(told, QuicFile), config, path.parent)
+        return _build(checked(given, QuicFile), config, path.parent)
     except (ValueError, ConfigError) as error:
         raise ConfigError(f"{path.name}: {error}") from None
 
 
 def _build(file: Any, config: Config, folder: Path) -> QuicConfig:
     forms = _forms(file, folder)
-    backends = _boxes(file, forms)
+    backends = _backends(file, forms)
     limits, prove = _limits(file), file.retry
     keys = {
         key.sequence: TokenKey(
@@ -97,7 +97,7 @@
         forms=forms,
         backends=backends,
         path_idle_us=round(file.path_idle_s * 1e6),
-        visit_idle_us=round(file.visit_idle_s * 1e6),
+        connection_idle_us=round(file.connection_idle_s * 1e6),
         confirm_us=round(file.confirm_s * 1e6),
         most_paths=file.most_paths,
         most_ports=file.most_ports,
@@ -118,14 +118,14 @@
 
 
 def _forms(file: Any, folder: Path) -> tuple[IdForm, ...]:
-    told = list(file.ids)
-    if not told:  # the form of before: one configuration, its fields beside all others
+    given = list(file.ids)
+    if not given:  # the form of before: one configuration, its fields beside all others
         for name in ("config_id", "server_id_length", "nonce_length"):
             if getattr(file, name) is None:
                 raise ValueError(f"{name}: missing")
-        return (IdForm(file.config_id, file.server_id_length, file.nonce_length, file.id_tells_length),)
+        return (IdForm(file.config_id, file.server_id_length, file.nonce_length, file.id_encodes_length),)
     forms = []
-    for n, one in enumerate(told):
+    for n, one in enumerate(given):
         key = secret(one.key, one.key_file, 16, f"ids[{n}]", folder) if one.key or one.key_file else None
         try:
             forms.append(IdForm(one.config_id, one.server_id_length, one.nonce_length, one.encodes_length, key))
@@ -138,16 +138,16 @@
     return tuple(forms)
 
 
-def _boxes(file: Any, forms: Iterable[IdForm]) -> dict[str, QuicBackend]:
+def _backends(file: Any, forms: Iterable[IdForm]) -> dict[str, QuicBackend]:
     from gradefront.settings.typed import checked
 
-    from .settings import Box
+    from .settings import BackendEntry
 
     lengths = {form.server_id_length for form in forms}
     backends: dict[str, QuicBackend] = {}
     owners: dict[bytes, str] = {}
     for name, entry in file.backends.items():
-        backend = checked(entry, Box, f"boxes.{name}")
+        backend = checked(entry, BackendEntry, f"boxes.{name}")
         texts = ([backend.server_id] if backend.server_id else []) + list(backend.server_ids)
         if not texts:
             raise ValueError(f"boxes.{name}.server_id: missing")
@@ -173,30 +173,30 @@
     from gradefront.routing.admission import Limits, Prove
     from gradefront.routing.networks import NetworkSet, Prefixes
 
-    told = file.limits
+    given = file.limits
     sets = []
     for name in ("allow", "deny"):
         try:
-            sets.append(NetworkSet(getattr(told, name)))
+            sets.append(NetworkSet(getattr(given, name)))
         except ValueError as error:
             raise ValueError(f"limits.{name}: {error}") from None
     allow, deny = sets
     if both := allow.overlap(deny):
         raise ValueError(f"limits.deny: '{both}' is in limits.allow too")
     try:
-        prefixes = Prefixes(told.prefix_v4, told.prefix_v6)
+        prefixes = Prefixes(given.prefix_v4, given.prefix_v6)
     except ValueError as error:
         raise ValueError(f"limits.{error}") from None
     return Limits(
         prove=Prove(file.retry.mode),
-        pressure=told.pressure,
-        address_rate=told.address_rate,
-        address_burst=told.address_burst,
-        network_rate=told.network_rate,
-        network_burst=told.network_burst,
-        unknown_rate=told.unknown_rate,
-        refusal_rate=told.refusal_rate,
-        cpu_share=told.cpu_share,
+        pressure=given.pressure,
+        address_rate=given.address_rate,
+        address_burst=given.address_burst,
+        network_rate=given.network_rate,
+        network_burst=given.network_burst,
+        unknown_rate=given.unknown_rate,
+        refusal_rate=given.refusal_rate,
+        cpu_share=given.cpu_share,
         most_waiting=file.most_waiting,
         allow=allow,
         deny=deny,
--- a/gradefront/quic/connections.py
+++ b/gradefront/quic/connections.py
@@ -86,7 +86,7 @@
         self.hello: HelloReader | None = None
         self.ids: OrderedDict[bytes, None] = OrderedDict()
         self.paths: dict[Address, Path] = {}
-        self.brought: Path | None = None  # a path that had no connection, which this one is made for
+        self.adopted_path: Path | None = None  # a path that had no connection, which this one is made for
         self.upstream: QuicBackendConnection | None = None
         self.connection: Connection | None = None
         self.since_us = self.used_us = front.now()
@@ -221,7 +221,7 @@
             if path:
                 path.send(datagram)
 
-    def heard(self, path: Path, datagram: bytes) -> None:
+    def on_backend_datagram(self, path: Path, datagram: bytes) -> None:
         """From the backend while the attempt is out: only a sound answer counts."""
         owner = self.owner
         for packet in split(datagram, len(owner.client_id)):
@@ -272,7 +272,7 @@
     owner = QuicClientConnection(
         front, path.listener, path.client, path.last_id, path.client_id if path.plain else b"", 0
     )
-    owner.brought = path
+    owner.adopted_path = path
     owner.confirmed = True
     owner.last_id = path.last_id
     return owner
--- a/gradefront/quic/front.py
+++ b/gradefront/quic/front.py
@@ -1,7 +1,7 @@
 """The QUIC front: an Initial with an unknown id is a connection that the core places; later packets go by id.
 
 Packets pass through, and QUIC ends at the backend. This front reads headers, and the payload of Initial
-packets only, whose keys anyone on the path can derive. A datagram's way: `door.Door` (known path: straight to
+packets only, whose keys anyone on the path can derive. A datagram's way: `listener.Listener` (known path: straight to
 its backend) or `take` below; back through `paths.Port`.
 """
 
@@ -59,7 +59,7 @@
     # ---- from clients
 
     def take(self, listener: Listener, datagram: bytes, client: Address) -> None:
-        """A client's datagram that the door knows no path for."""
+        """A client's datagram that the listener knows no path for."""
         self.core.counters.add("quic_datagrams_in")
         if not datagram:
             self.drop("malformed")
@@ -158,7 +158,7 @@
             listener.reply(close_initial(first.version, first.to_id, first.from_id, "", INVALID_TOKEN), client)
 
     def _open(self, packet: Packet, first_id: bytes) -> Opened | None:
-        """Open a client's Initial on the door's budget of CPU."""
+        """Open a client's Initial on the listener's budget of CPU."""
         began = time.perf_counter_ns()
         opened = open_initial(packet, first_id, from_client=True)
         self.admission.cpu.spend(self.now(), (time.perf_counter_ns() - began) / 1_000)
--- a/gradefront/quic/headers.py
+++ b/gradefront/quic/headers.py
@@ -175,8 +175,8 @@
     return hmac.digest(key, connection_id, "sha256")[:TOKEN]
 
 
-def stateless_reset(key: bytes, connection_id: bytes, room: int = 43) -> bytes:
+def stateless_reset(key: bytes, connection_id: bytes, space: int = 43) -> bytes:
     """RFC 9000 10.3: looks like a short packet, ends in the token; at least 21 octets, at most `room`."""
-    noise = bytearray(os.urandom(max(5, min(room, 43) - TOKEN)))
+    noise = bytearray(os.urandom(max(5, min(space, 43) - TOKEN)))
     noise[0] = FIXED | noise[0] & 0x3F
     return bytes(noise) + reset_token(key, connection_id)
--- a/gradefront/quic/hello.py
+++ b/gradefront/quic/hello.py
@@ -112,9 +112,9 @@
             names = _Reader(content.vector(2))
             while names.left:
                 is_host = names.take(1) == b"\x00"
-                told = names.vector(2)
+                given = names.vector(2)
                 if is_host and not name:
-                    name = told.decode("ascii", "replace").lower().rstrip(".")
+                    name = given.decode("ascii", "replace").lower().rstrip(".")
         elif kind == ALPN and not protocols:
             listed = _Reader(content.vector(2))
             while listed.left and len(protocols) < MOST_NAMES:
--- a/gradefront/quic/listener.py
+++ b/gradefront/quic/listener.py
@@ -15,7 +15,7 @@
 
 LONGEST_DATAGRAM = 9_216  # jumbo frames; QUIC over more doesn't cross a network
 BATCH = 64  # datagrams read in one go, so that timers and other sockets get their turn
-BUFFER = 4 << 20  # asked of the system for the doors: a batch must not overrun while the module thinks
+BUFFER = 4 << 20  # asked of the system for the listeners: a batch must not overrun while the module thinks
 
 
 class Listener(Socket):
@@ -53,7 +53,7 @@
                     try:
                         path.go(datagram, path.where)
                     except OSError:
-                        path.sent_in_vain()
+                        path.on_send_failed()
                     continue
             try:
                 self.take(self, datagram, client)  # whole: an IPv6 sender has its scope
--- a/gradefront/quic/maintenance.py
+++ b/gradefront/quic/maintenance.py
@@ -21,7 +21,7 @@
 TICKS = 8
 SILENT_US = 5_000_000  # a backend that answers none of several datagrams for so long is gone
 SILENT_DATAGRAMS = 4
-QUIET_US = 5_000_000  # devices speak every 2 s: one quiet for longer may have gone on at another address
+IDLE_AFTER_US = 5_000_000  # devices speak every 2 s: one quiet for longer may have gone on at another address
 ALONE_US = 6_000_000  # a path that no connection took over by then is a connection of its own
 START_US = 10_000_000  # after a start paths are adopted at once: no connection of ours can have left them
 EXCHANGES = 2  # datagrams each way that show a connection which goes on
@@ -35,7 +35,7 @@
         """Begin an attempt."""
         assert isinstance(request_line, QuicClientConnection)
         upstream = request_line.upstream = QuicBackendConnection(self, request_line, attempt)
-        if request_line.brought is not None:  # it stands there already
+        if request_line.adopted_path is not None:  # it stands there already
             attempt.upstream = upstream
             attempt.succeed(None)
         elif attempt.backend not in self.quic.backends:
@@ -55,7 +55,7 @@
             if now - owner.since_us < self.quic.confirm_us:
                 break
             self._nobody_there(owner)
-        self._gone_boxes()
+        self._gone_backends()
         if now - self.began_us < START_US + ALONE_US:  # later no path is young enough for the question
             self.placed_since = self._placed_since()
         # An eighth of the paths, the oldest first, each to the end of the line; then an eighth of the connections.
@@ -66,7 +66,7 @@
             del self.connections[owner]
             self.connections[owner] = None
             if owner.stands:
-                self._look_at_visit(owner, now)
+                self._check_connection(owner, now)
 
     def _nobody_there(self, owner: QuicClientConnection) -> None:
         """The backend answered, and no client went on: a made-up sender, or one who left."""
@@ -76,7 +76,7 @@
             self.core.on_client_closed(owner.connection, ConnectionEnd.ORDERLY)
         owner.forget()
 
-    def _gone_boxes(self) -> None:
+    def _gone_backends(self) -> None:
         """A backend that the list no longer names gets nothing more, by any path."""
         for backend in self.quic.backends:
             serving = self.core.backends.state(backend) in SERVING
@@ -93,13 +93,13 @@
 
     def _look_at_path(self, path: Path, now: int) -> None:
         owner = path.owner
-        sent, heard = self.freshen(path, now)
+        sent, received = self.freshen(path, now)
         if owner:
             if sent:
                 owner.used_us, owner.client, owner.last_id = now, path.client, path.last_id or owner.last_id
-            if (sent or heard) and owner.upstream:
+            if (sent or received) and owner.upstream:
                 owner.upstream.attempt.on_activity()
-            if heard:
+            if received:
                 owner.unanswered = 0
             elif sent:
                 if not owner.unanswered:
@@ -110,7 +110,7 @@
         elif (
             owner is None
             and path.plain
-            and path.heard >= EXCHANGES
+            and path.received >= EXCHANGES
             and path.sent >= EXCHANGES
             and self.core.accepts_work
             and self.core.backends.state(path.backend) in SERVING
@@ -128,7 +128,7 @@
         """By backend, since when the first of the connections there that this relay placed has been."""
         since: dict[str, int] = {}
         for v in self.connections:
-            if v.brought is None and v.upstream:
+            if v.adopted_path is None and v.upstream:
                 backend = v.upstream.attempt.backend
                 since[backend] = min(v.since_us, since.get(backend, v.since_us))
         return since
@@ -149,15 +149,15 @@
             path.backend,
         )
 
-    def _look_at_visit(self, owner: QuicClientConnection, now: int) -> None:
+    def _check_connection(self, owner: QuicClientConnection, now: int) -> None:
         assert owner.upstream and owner.connection
         attempt = owner.upstream.attempt
         if owner.unanswered >= SILENT_DATAGRAMS and now - owner.unanswered_us > SILENT_US:
             attempt.end(Cause.SILENT, ConnectionEnd.BROKEN)
-        elif now - owner.used_us > QUIET_US and self.adopt(owner, attempt.backend):
-            log.debug("visit %d goes on at another address", owner.connection.number)
-        elif now - owner.used_us > self.quic.visit_idle_us:
-            log.info("visit %d at push box %s has gone quiet", owner.connection.number, attempt.backend)
+        elif now - owner.used_us > IDLE_AFTER_US and self.adopt(owner, attempt.backend):
+            log.debug("connection %d goes on at another address", owner.connection.number)
+        elif now - owner.used_us > self.quic.connection_idle_us:
+            log.info("connection %d at backend %s has expired idle", owner.connection.number, attempt.backend)
             self.core.on_client_closed(owner.connection, ConnectionEnd.ORDERLY)
             owner.forget()
 
--- a/gradefront/quic/paths.py
+++ b/gradefront/quic/paths.py
@@ -45,9 +45,9 @@
         "owner",
         "port",
         "sent",
-        "heard",
+        "received",
         "seen_sent",
-        "seen_heard",
+        "seen_received",
         "go",
         "since_us",
         "used_us",
@@ -64,9 +64,9 @@
         self.listener = listener
         self.owner = owner
         self.port: Port | None = None
-        self.go: Callable[[bytes, Address], int] | None = None  # the port's way out, kept for the door's loop
-        self.sent = self.heard = 0  # datagrams to and from the backend
-        self.seen_sent = self.seen_heard = 0  # of which the last sweep knew
+        self.go: Callable[[bytes, Address], int] | None = None  # the port's way out, kept for the listener's loop
+        self.sent = self.received = 0  # datagrams to and from the backend
+        self.seen_sent = self.seen_received = 0  # of which the last sweep knew
         self.since_us = self.used_us = now_us
         self.last_id = b""
         self.plain = False  # its answers need no look: they go to the client
@@ -82,7 +82,7 @@
             self.go(datagram, self.where)
             return True
         except OSError:
-            self.sent_in_vain()
+            self.on_send_failed()
             return False
 
     def learn(self, datagram: bytes) -> bool:
@@ -91,16 +91,18 @@
         don't match: on a shared place they are copied then, not lost."""
         if datagram and datagram[0] < 0x80:
             self.answers += 1
-            told = datagram[1 : 1 + LONGEST_ID]
-            alike = next((n for n, (a, b) in enumerate(zip(self.client_id, told, strict=False)) if a != b), len(told))
-            self.client_id = told[:alike] if self.answers > 1 else told
+            given = datagram[1 : 1 + LONGEST_ID]
+            alike = next(
+                (n for n, (a, b) in enumerate(zip(self.client_id, given, strict=False)) if a != b), len(given)
+            )
+            self.client_id = given[:alike] if self.answers > 1 else given
         if self.answers < LEARNED:
             return False
         if len(self.client_id) < LEAST_LEARNED:  # clients may have ids of no length: such paths aren't shared
             self.client_id = b""
         return True
 
-    def sent_in_vain(self) -> None:
+    def on_send_failed(self) -> None:
         """The system didn't take it: a full buffer drops it, as any network may; a rejection waits to be read."""
         if self.port is not None:
             self.port.errors()
@@ -224,16 +226,16 @@
             return 1
         path = place.only
         if path is not None and path.plain:
-            path.heard += 1
+            path.received += 1
             try:
                 path.listener.sendto(datagram, path.client)
             except OSError:
                 self.pool.lost()
         elif datagram:
             try:
-                self.pool.heard(place, datagram)
+                self.pool.on_backend_datagram(place, datagram)
             except Exception:
-                log.exception("a push box's datagram failed")
+                log.exception("a backend's datagram failed")
         return 1
 
     def errors(self) -> None:
@@ -275,7 +277,7 @@
         host: str,
         most: int,
         share: int,
-        heard: Callable[[Path, bytes], None],
+        on_backend_datagram: Callable[[Path, bytes], None],
         refused: Callable[[Path], None],
         count: Callable[[str], None],
     ) -> None:
@@ -283,7 +285,7 @@
         self.host = host
         self.most = most
         self.share = share
-        self.tell_heard = heard
+        self.report_received = on_backend_datagram
         self.refused = refused
         self.count = count
         self.ports: list[Port] = []
@@ -299,13 +301,13 @@
         """The system didn't take a datagram."""
         self.count("quic_dropped_unsent")
 
-    def heard(self, place: Place, datagram: bytes) -> None:
+    def on_backend_datagram(self, place: Place, datagram: bytes) -> None:
         """An answer that needs a look."""
         paths = [place.only] if place.only else place.find(datagram)
         if len(paths) > 1:
             self.count("quic_copied_to_sharers")
         for path in paths:
-            self.tell_heard(path, datagram)
+            self.report_received(path, datagram)
 
     def place(
         self, path: Path, client_id: bytes, avoid: set[Port], now_us: int, known: Callable[[Path], bytes]
--- a/gradefront/quic/settings.py
+++ b/gradefront/quic/settings.py
@@ -27,7 +27,7 @@
     key_file: str = ""
 
 
-class Box(Part, frozen=True):
+class BackendEntry(Part, frozen=True):
     """A backend."""
 
     address: str
@@ -54,8 +54,8 @@
     life_s: Seconds = 10.0
 
 
-class DoorLimits(Part, frozen=True):
-    """What the door bears; rates are a second."""
+class ListenerLimits(Part, frozen=True):
+    """What the listener bears; rates are a second."""
 
     pressure: Rate = 200.0
     address_rate: Rate = 100.0
@@ -82,20 +82,20 @@
     """The whole file."""
 
     listen: dict[str, str]
-    backends: dict[str, Any] = msgspec.field(name="boxes")  # of Box; each is checked with its name
+    backends: dict[str, Any] = msgspec.field(name="boxes")  # of BackendEntry; each is checked with its name
     on: bool = False
     config_id: int | None = None
     server_id_length: int | None = None
     nonce_length: int | None = None
-    id_tells_length: bool = True
+    id_encodes_length: bool = msgspec.field(name="id_tells_length", default=True)
     ids: tuple[Ids, ...] = ()
     path_idle_s: Seconds = 20.0
-    visit_idle_s: Seconds = 30.0
+    connection_idle_s: Seconds = msgspec.field(name="visit_idle_s", default=30.0)
     confirm_s: Seconds = 3.0
     most_paths: Count = 8_192
     most_ports: Annotated[int, Meta(ge=1, le=60_000)] = 768
     port_share: Annotated[int, Meta(ge=1, le=64)] = 4
     most_waiting: Count = 256
     retry: Retry = Retry()
-    limits: DoorLimits = DoorLimits()
+    limits: ListenerLimits = ListenerLimits()
     classes: Classes = Classes()
--- a/gradefront/quic/sockets.py
+++ b/gradefront/quic/sockets.py
@@ -9,7 +9,7 @@
 from gradefront.config import Address
 
 BUSY = 4  # datagrams in one look that make a busy time
-LOOKS = 3  # more looks in a busy time, before the reactor has its turn; with LOOK_S less than a tick of 4 ms
+CHECKS = 3  # more looks in a busy time, before the reactor has its turn; with LOOK_S less than a tick of 4 ms
 LOOK_S = 0.001  # what the system can wait at least
 MOST_READY = 256  # sockets served in one go
 
@@ -48,9 +48,9 @@
 
     def doRead(self) -> None:
         """Sockets are ready. In a busy time it stays for a few more looks, which wait a millisecond at most."""
-        done, looks = self._serve(0), 0
-        while done >= BUSY and looks < LOOKS:
-            done, looks = self._serve(LOOK_S), looks + 1
+        done, checks = self._serve(0), 0
+        while done >= BUSY and checks < CHECKS:
+            done, checks = self._serve(LOOK_S), checks + 1
 
     def _serve(self, wait_s: float) -> int:
         """Read what is ready; about how many datagrams that were."""
@@ -100,8 +100,8 @@
     @property
     def address(self) -> Address:
         """Where it is bound."""
-        told = self.socket.getsockname()
-        return told[0], told[1]
+        given = self.socket.getsockname()
+        return given[0], given[1]
 
     def read(self) -> int:
         """Read what there is; how many datagrams."""
--- a/gradefront/quic/switch.py
+++ b/gradefront/quic/switch.py
@@ -16,9 +16,9 @@
 
 def load(config: Config, path: Path) -> QuicConfig | None:
     """The front's settings; None where there is no file or the front is off. Raises ConfigError."""
-    told = read_object(path)
-    if not told or not told.get("on"):
+    given = read_object(path)
+    if not given or not given.get("on"):
         return None
     from .config import parse
 
-    return parse(told, config, path)
+    return parse(given, config, path)
--- a/gradefront/quic/tables.py
+++ b/gradefront/quic/tables.py
@@ -28,7 +28,7 @@
 
 
 class Tables:
-    """The front's tables. `owners`: connections by id; `routes`: paths by id, for the door; `lone`: paths that no
+    """The front's tables. `owners`: connections by id; `routes`: paths by id, for the listener; `lone`: paths that no
     connection has, by client address and backend; `answered` and `moved`: answers given, by id."""
 
     def __init__(self, config: Config, quic: QuicConfig, core: RelayCore, reactor: Reactor) -> None:
@@ -45,7 +45,7 @@
         self.answered: OrderedDict[bytes, tuple[bytes, int]] = OrderedDict()
         self.moved: OrderedDict[bytes, tuple[bytes, int]] = OrderedDict()
         self.used_tokens: OrderedDict[bytes, None] = OrderedDict()
-        self.lengths = [0] * 8  # of ids, by configuration: shared with the doors, changed in place
+        self.lengths = [0] * 8  # of ids, by configuration: shared with the listeners, changed in place
         self.began_us = self.now()
         self.negotiations = Bucket(NEGOTIATIONS, NEGOTIATIONS, self.began_us)
         self.retries = Bucket(RETRIES, RETRIES / 4, self.began_us)
@@ -56,7 +56,13 @@
         host = source_of(backend.address for backend in quic.backends.values())
         self.hub = Hub(reactor)
         self.pool = PortPool(
-            self.hub, host, quic.most_ports, quic.port_share, self._heard, self._refused, core.counters.add
+            self.hub,
+            host,
+            quic.most_ports,
+            quic.port_share,
+            self._on_backend_datagram,
+            self._refused,
+            core.counters.add,
         )
 
     def configure(self, quic: QuicConfig) -> None:
@@ -95,7 +101,7 @@
         }
 
     def _route(self, an_id: bytes, path: Path) -> None:
-        """From now on the door sends this id along this path."""
+        """From now on the listener sends this id along this path."""
         old = self.routes.get(an_id)
         if old is path:
             return
@@ -131,7 +137,7 @@
         place = self.quic.backends.get(backend)
         if place is None:
             return None
-        if len(self.route_ids) >= self.quic.most_paths and not self._make_room():
+        if len(self.route_ids) >= self.quic.most_paths and not self._evict():
             return None
         path = Path(client, backend, place.address, listener, owner, self.now())
         path.plain = owner is not None and owner.stands
@@ -163,7 +169,7 @@
         owner.paths[path.client] = path
         self.pool.settle(path, owner.client_id)
 
-    def _make_room(self) -> bool:
+    def _evict(self) -> bool:
         """Bound the paths: of the oldest few the one that was quiet for longest goes, unless an attempt is out
         on it. Looking at all would cost too much in a storm."""
         oldest = list(islice(self.route_ids, 16))
@@ -197,13 +203,13 @@
         for path in list(owner.paths.values()):
             self._close_path(path)
 
-    def _heard(self, path: Path, datagram: bytes) -> None:
+    def _on_backend_datagram(self, path: Path, datagram: bytes) -> None:
         """From a backend, where the port doesn't know that it may go straight to the client."""
-        path.heard += 1
+        path.received += 1
         owner = path.owner
         if owner and not owner.stands:
             if owner.upstream and not owner.upstream.attempt.is_over:
-                owner.upstream.heard(path, datagram)
+                owner.upstream.on_backend_datagram(path, datagram)
             return
         if not path.plain and path.learn(datagram):
             path.plain = True
@@ -249,7 +255,7 @@
     @staticmethod
     def freshen(path: Path, now: int) -> tuple[int, int]:
         """What passed since the last look, to and from the backend."""
-        sent, heard = path.sent - path.seen_sent, path.heard - path.seen_heard
-        if sent or heard:
-            path.used_us, path.seen_sent, path.seen_heard = now, path.sent, path.heard
-        return sent, heard
+        sent, received = path.sent - path.seen_sent, path.received - path.seen_received
+        if sent or received:
+            path.used_us, path.seen_sent, path.seen_received = now, path.sent, path.received
+        return sent, received
--- a/tests/test_quic_model.py
+++ b/tests/test_quic_model.py
@@ -243,7 +243,7 @@
         town.backends[0].sendto(b"\x40" + os.urandom(8) + b"talk", where)
         town.settle()
     (path,) = front.route_ids
-    assert path.owner is None and path.heard >= 2
+    assert path.owner is None and path.received >= 2
     assert town.core.lifecycle.transition(LifecycleEvent.STOP)
     town.wait(3_000)
     assert path.owner is None and not town.core.counters.counts["visits_brought"], "a visit taken over at the end"
--- a/tests/test_quic_service.py
+++ b/tests/test_quic_service.py
@@ -253,7 +253,7 @@
             counts = await here.relay.counters()
             assert counts["quic_paths_evicted"] >= 10 and counts["visits_now"] == 1
             device.close()
-            await here.relay.line("has gone quiet")
+            await here.relay.line("has expired idle")
             counts = await here.relay.counters()
             assert counts["ended_by_client"] == 1 and counts["visits_now"] == 0
 
