--- /dev/null
+++ b/gradefront/core/answers.py
@@ -0,0 +1,127 @@
+"""How connections end: the one final answer, migration, and a client that disconnects."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Protocol
+
+from balancer.actions import Fail, Reject
+from balancer.events import AttemptEnded, ClientDisconnected, Event
+
+from .attempt_error import AttemptError, AttemptPhase, Cause
+from .connection import Attempt, Connection, ConnectionState
+from .counters import Counters
+from .ports import ConnectionEnd
+from .request_log import RequestLog
+
+
+class Core(Protocol):
+    """What this part uses of the core."""
+
+    connections: dict[int, Connection]
+    clock: Callable[[], int]
+    counters: Counters
+    request_log: RequestLog
+
+    def enqueue(self, event: Event) -> None:
+        """Keep an event for the decision module."""
+
+
+class Answers:
+    """Ends connections. `release` takes each out of the table once, so that none gets a second answer."""
+
+    def __init__(self, core: Core) -> None:
+        self.core = core
+
+    def answer(self, connection: Connection, answer: Reject | Fail | None) -> None:
+        """Give a connection its one final answer; an established one is migrated instead.
+
+        None is the failure that the core itself decides on.
+        """
+        if connection.state is ConnectionState.CLOSED:
+            return
+        was_established, attempt = connection.state is ConnectionState.ESTABLISHED, connection.attempt
+        self.release(connection)
+        if attempt:  # only where the core itself gave up: the module answers when nothing is in flight
+            self._cancel(attempt)
+        if was_established:
+            connection.client.migrate()
+        elif isinstance(answer, Reject):
+            self.core.request_log.on_rejected(connection, answer)
+            connection.client.reject(answer.retry_after_us)
+        else:
+            self.core.request_log.on_failed(connection, answer)
+            connection.client.fail()
+
+    def give_up(self, connection: Connection) -> None:
+        """Fail a connection on the core's own account, and notify the module that it is over."""
+        if not connection.adopted_backend:
+            self.core.enqueue(ClientDisconnected(connection.number))
+        self.answer(connection, None)
+
+    def reject_unestablished(self, connection: Connection) -> None:
+        """Fail a connection whose client broke the protocol before it was established."""
+        if connection.is_awaiting_answer:
+            self.give_up(connection)
+
+    def on_client_closed(self, connection: Connection, how: ConnectionEnd) -> None:
+        """The client closed its side: it is owed no answer any more."""
+        if connection.state is ConnectionState.CLOSED:
+            return
+        was_established, attempt = connection.state is ConnectionState.ESTABLISHED, connection.attempt
+        self.core.counters.add("ended_by_client" if was_established else "gave_up_waiting")
+        if not was_established and not connection.adopted_backend:
+            self.core.enqueue(ClientDisconnected(connection.number))
+        self.release(connection)
+        if attempt:
+            attempt.close(how)
+            if was_established or not connection.adopted_backend:
+                self.report_attempt_end(attempt, AttemptError(attempt.phase, Cause.CALLED_OFF), is_final=True)
+
+    def migrate(self, connection: Connection) -> None:
+        """Tell the client of an established connection to reconnect, and end both sides."""
+        attempt = connection.attempt
+        if connection.state is not ConnectionState.ESTABLISHED or attempt is None:
+            return
+        self.release(connection)
+        self.core.counters.add("moved")
+        connection.client.migrate()
+        self._cancel(attempt)
+
+    def migrate_off_silent(self, connection: Connection, alone: bool) -> None:
+        """Migrate a connection off a backend that does not reply; `alone`: it replies on others."""
+        attempt = connection.attempt
+        assert attempt
+        self.core.counters.add("moved_from_silent")
+        self.release(connection)
+        connection.client.migrate()
+        attempt.close(ConnectionEnd.BROKEN)
+        cause = Cause.CALLED_OFF if alone else Cause.SILENT
+        self.report_attempt_end(attempt, AttemptError(AttemptPhase.UP, cause), is_final=True)
+
+    def release(self, connection: Connection) -> None:
+        """Close a connection as far as the core goes. Raises IllegalTransitionError if it was closed already."""
+        connection.transition(ConnectionState.CLOSED)
+        connection.attempt = None
+        if connection.deadline_timer:
+            connection.deadline_timer.cancel()
+        self.core.connections.pop(connection.number, None)
+
+    def report_attempt_end(self, attempt: Attempt, attempt_error: AttemptError, is_final: bool) -> None:
+        """Report to the module how an attempt, or the connection that it established, ended."""
+        self.core.request_log.on_attempt_end(attempt, attempt_error)
+        self.core.enqueue(
+            AttemptEnded(
+                request_id=attempt.connection.number,
+                attempt=attempt.number,
+                backend=attempt.backend,
+                result=attempt_error.result,
+                is_final=is_final,
+                duration_us=self.core.clock() - attempt.started_us,
+                load_report=attempt.report,
+            )
+        )
+
+    def _cancel(self, attempt: Attempt) -> None:
+        attempt.close(ConnectionEnd.ORDERLY)
+        self.report_attempt_end(attempt, AttemptError(attempt.phase, Cause.CALLED_OFF), is_final=True)
--- /dev/null
+++ b/gradefront/core/attempts.py
@@ -0,0 +1,175 @@
+"""Attempts at backends, from the decision module's action to their end. One at most is in flight for a connection."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from functools import partial
+from typing import Protocol
+
+from balancer.actions import SlowStartAllowance, StartAttempt
+from balancer.events import (
+    NEVER_EXECUTED,
+    AttemptEnded,
+    AttemptResult,
+    ConnectionAdopted,
+    ConnectionEstablished,
+    ConnectionLoadReport,
+    Event,
+)
+
+from .answers import Answers
+from .attempt_error import AttemptError, AttemptPhase, Cause
+from .connection import Attempt, Connection, ConnectionState, Owner
+from .ports import ConnectionEnd
+from .request_log import RequestLog
+from .timer_wheel import TimerWheel
+
+log = logging.getLogger("gradefront.attempts")
+
+ADOPTED_ATTEMPT_US = 9_000_000  # an attempt for an adopted connection; a lost one leaves time for others
+ADOPTED_MAX_ATTEMPTS = 4
+ADOPTED_BACKOFF_US = 500_000  # doubled with each attempt
+
+
+class Core(Owner, Protocol):
+    """What this part uses of the core."""
+
+    connections: dict[int, Connection]
+    timers: TimerWheel
+    wake: Callable[[], None]
+    request_log: RequestLog
+    answers: Answers
+
+    def enqueue(self, event: Event) -> None:
+        """Keep an event for the decision module."""
+
+
+class Attempts:
+    """Starts attempts and follows each to its end."""
+
+    def __init__(self, core: Core) -> None:
+        self.core = core
+
+    def start(self, action: StartAttempt) -> None:
+        """Start the attempt that the module asks for, or report that nothing was sent."""
+        core, connection = self.core, self.core.connections.get(action.request_id)
+        if (
+            connection is None
+            or connection.state is not ConnectionState.QUEUED
+            or connection.attempts >= connection.settings.max_attempts
+            or not core.accepts_work
+        ):
+            # Guards against a send after the end, a hedged request, and one attempt too many.
+            core.enqueue(
+                AttemptEnded(
+                    request_id=action.request_id,
+                    attempt=connection.attempts if connection else 0,
+                    backend=action.backend,
+                    result=AttemptResult.NOT_SENT,
+                    is_final=connection is None or connection.state is ConnectionState.ESTABLISHED,
+                )
+            )
+            return
+        until_us = min(connection.deadline_us, core.clock() + action.timeout_us)
+        self._begin(connection, action.backend, until_us, action.slow_start)
+
+    def start_adopted(self, connection: Connection) -> None:
+        """Start an attempt of an adopted connection, at its own backend."""
+        until_us = min(connection.deadline_us, self.core.clock() + ADOPTED_ATTEMPT_US)
+        self._begin(connection, connection.adopted_backend, until_us)
+
+    def _begin(
+        self, connection: Connection, backend: str, until_us: int, allowance: SlowStartAllowance | None = None
+    ) -> None:
+        """Begin an attempt; with an `allowance` the backend is in slow start."""
+        core = self.core
+        connection.transition(ConnectionState.CONNECTING)
+        attempt = connection.attempt = Attempt(core, connection, backend, until_us, allowance is not None)
+        core.request_log.on_send(attempt, allowance)
+        connection.attempts += 1
+        core.counters.add("attempts")
+        connect_by_us = until_us
+        if not connection.adopted_backend:
+            connect_by_us = min(until_us, attempt.started_us + connection.settings.connect_timeout_us)
+        attempt.timer = core.timers.set(connect_by_us, partial(attempt.end, Cause.SILENT))
+        attempt.upstream = connection.connector.connect(attempt, connection.connect_request.request_line)
+        if attempt.is_over:  # it ended at once, before its upstream connection was known here
+            attempt.upstream.close(ConnectionEnd.ORDERLY)
+
+    def on_advanced(self, attempt: Attempt) -> None:
+        """An attempt reached its next phase: from the connect timeout to the timeout of the whole attempt."""
+        core = self.core
+        attempt.write_started_us = attempt.write_started_us or core.clock()
+        if attempt.phase is AttemptPhase.SENT:
+            core.counters.add("sends_total")
+        if attempt.phase is AttemptPhase.WRITING and attempt.timer:
+            attempt.timer.cancel()
+            attempt.timer = core.timers.set(attempt.expires_us, partial(attempt.end, Cause.SILENT))
+            core.wake()
+
+    def on_succeeded(self, attempt: Attempt, response_line: object) -> None:
+        """A backend accepted the connection."""
+        core, connection = self.core, attempt.connection
+        connection.transition(ConnectionState.ESTABLISHED)
+        attempt.phase = AttemptPhase.UP
+        attempt.last_received_us = now = core.clock()
+        for timer in (attempt.timer, connection.deadline_timer):
+            if timer:
+                timer.cancel()
+        if connection.adopted_backend:
+            core.enqueue(ConnectionAdopted(connection.as_event(core.clock()), attempt.backend))
+        else:
+            core.enqueue(
+                ConnectionEstablished(
+                    request_id=connection.number,
+                    attempt=attempt.number,
+                    backend=attempt.backend,
+                    duration_us=now - attempt.started_us,
+                )
+            )
+        core.request_log.on_established(connection)
+        assert attempt.upstream is not None
+        connection.client.establish(attempt.upstream, response_line)
+
+    def on_load_report(self, attempt: Attempt, load: float) -> None:
+        """A backend reported the load of a connection, in microseconds of work a second."""
+        self.core.enqueue(ConnectionLoadReport(attempt.connection.number, attempt.backend, load))
+
+    def on_ended(self, attempt: Attempt, attempt_error: AttemptError, how: ConnectionEnd) -> None:
+        """An attempt failed, or an established connection ended at the backend's side."""
+        core, connection = self.core, attempt.connection
+        was_established = connection.state is ConnectionState.ESTABLISHED
+        attempt.close(how)
+        core.counters.add(f"ended: {attempt_error}")
+        if was_established:
+            core.answers.release(connection)
+            core.answers.report_attempt_end(attempt, attempt_error, is_final=True)
+            connection.client.close(how)
+            return
+        connection.transition(ConnectionState.QUEUED)
+        connection.attempt = None
+        if connection.adopted_backend:
+            self._retry_adopted(connection, attempt_error)
+            return
+        if attempt_error.result not in NEVER_EXECUTED:
+            connection.first_sent_us = connection.first_sent_us or attempt.write_started_us
+        core.answers.report_attempt_end(attempt, attempt_error, is_final=False)
+
+    def _retry_adopted(self, connection: Connection, attempt_error: AttemptError) -> None:
+        """Retry an adopted connection after a backoff, or fail it: the module has no part in it yet."""
+        if connection.attempts >= min(ADOPTED_MAX_ATTEMPTS, connection.settings.max_attempts):
+            log.warning(
+                "connection %d could not go on at backend %s: %s",
+                connection.number,
+                connection.adopted_backend,
+                attempt_error,
+            )
+            self.core.answers.answer(connection, None)
+            return
+
+        def retry() -> None:
+            if connection.state is ConnectionState.QUEUED:
+                self.start_adopted(connection)
+
+        self.core.after(ADOPTED_BACKOFF_US << connection.attempts, retry)
--- a/gradefront/core/connection.py
+++ b/gradefront/core/connection.py
@@ -5,6 +5,7 @@
 import logging
 from collections import deque
 from collections.abc import Callable
+from dataclasses import dataclass
 from enum import Enum
 from typing import Protocol
 
@@ -17,11 +18,11 @@
 from .ports import BackendConnection, ClientConnection, ConnectionEnd, EndpointWatcher
 from .timer_wheel import Timer
 
-log = logging.getLogger("gradefront.visit")
+log = logging.getLogger("gradefront.connection")
 
 
 class Liveness(Protocol):
-    """Whom an attempt tells what it hears."""
+    """What an attempt notifies of messages."""
 
     def on_message_sent(self, backend: str) -> None:
         """A message that is owed a reply went to a backend."""
@@ -30,11 +31,27 @@
         """A backend sent a message."""
 
     def on_reply_received(self, backend: str, connection: int, took_us: int) -> None:
-        """A message came back from a backend."""
+        """A backend replied to a message of a connection."""
+
+
+class AttemptListener(Protocol):
+    """What an attempt notifies of its progress."""
+
+    def on_advanced(self, attempt: Attempt) -> None:
+        """It reached its next phase."""
+
+    def on_succeeded(self, attempt: Attempt, response_line: object) -> None:
+        """The backend accepted the connection."""
+
+    def on_ended(self, attempt: Attempt, attempt_error: AttemptError, how: ConnectionEnd) -> None:
+        """It ended at the backend's side."""
+
+    def on_load_report(self, attempt: Attempt, load: float) -> None:
+        """The backend reported the connection's load, in microseconds of work a second."""
 
 
 class Owner(Protocol):
-    """Whom an attempt tells how far it came."""
+    """What an attempt uses of the core."""
 
     clock: Callable[[], int]
     counters: Counters
@@ -42,54 +59,46 @@
 
     @property
     def liveness(self) -> Liveness:
-        """Whom it tells what it hears."""
+        """What is notified of messages."""
 
-    def after(self, delay_us: int, then: Callable[[], None]) -> Timer:
-        """Run `then` later."""
-
-    def is_ready(self, backend: str) -> bool:
-        """Whether new work may go to a backend, as last heard."""
+    @property
+    def attempts(self) -> AttemptListener:
+        """What is notified of the attempt's progress."""
 
     @property
     def accepts_work(self) -> bool:
         """Whether the relay begins anything new."""
 
-    def on_client_closed(self, connection: Connection, how: ConnectionEnd) -> None:
-        """The client ended its side."""
-
-    def on_attempt_advanced(self, attempt: Attempt) -> None:
-        """It came further."""
+    def after(self, delay_us: int, then: Callable[[], None]) -> Timer:
+        """Run `then` later."""
 
-    def on_attempt_succeeded(self, attempt: Attempt, response_line: object) -> None:
-        """A backend took the connection."""
+    def is_ready(self, backend: str) -> bool:
+        """Whether new work may go to a backend, by the newest endpoint list."""
 
-    def on_attempt_ended(self, attempt: Attempt, attempt_error: AttemptError, how: ConnectionEnd) -> None:
-        """It ended at the backend's side."""
+    def on_client_closed(self, connection: Connection, how: ConnectionEnd) -> None:
+        """The client closed its side."""
 
     def migrate(self, connection: Connection) -> None:
-        """Tell the client to come again, if the connection stands."""
-
-    def on_connection_load(self, attempt: Attempt, load: float) -> None:
-        """The backend told the connection's load."""
+        """Tell the client to reconnect, if the connection is established."""
 
 
 class BackendConnector(Protocol):
-    """Reaches backends for one front."""
+    """Reaches backends for one listener."""
 
     def connect(self, attempt: Attempt, request_line: object) -> BackendConnection:
-        """Begin the attempt; how it goes is told to `attempt`."""
+        """Begin the attempt; `attempt` is notified of its progress."""
 
 
 class ConnectionState(Enum):
-    """Where a connection stands."""
+    """How far a connection has come."""
 
-    QUEUED = "queued"  # the decision module has it, nothing is out
-    CONNECTING = "connecting"  # one attempt is out
+    QUEUED = "queued"  # the decision module has it, no attempt is in flight
+    CONNECTING = "connecting"  # one attempt is in flight
     ESTABLISHED = "established"  # a backend serves it
     CLOSED = "closed"  # answered and over
 
 
-#: The steps that a connection may take. Guards against a second answer or a hedged request: any other step raises.
+#: The legal transitions. Guards against a second answer or a hedged request: any other one raises.
 TRANSITIONS: dict[ConnectionState, frozenset[ConnectionState]] = {
     ConnectionState.QUEUED: frozenset({ConnectionState.CONNECTING, ConnectionState.CLOSED}),
     ConnectionState.CONNECTING: frozenset(
@@ -100,81 +109,51 @@
 }
 
 
-class IllegalTransition(Exception):
-    """A step that no connection takes; it stops that connection, not the relay."""
+class IllegalTransitionError(Exception):
+    """A transition that no connection may take; it stops that connection, not the relay."""
 
 
+@dataclass(slots=True, eq=False)
 class Connection:
-    """One item that a client brought: its number, its deadline, its one answer."""
-
-    __slots__ = (
-        "number",
-        "connect_request",
-        "client",
-        "connector",
-        "deadline_us",
-        "state",
-        "attempts",
-        "attempt",
-        "adopted_backend",
-        "deadline_timer",
-        "arrived_us",
-        "settings",
-        "first_sent_us",
-    )
+    """A client's request for a connection, and the connection made for it. Times are by the relay's clock."""
+
+    number: int
+    connect_request: ConnectRequest
+    client: ClientConnection
+    connector: BackendConnector
+    arrived_us: int
+    deadline_us: int
+    settings: Settings  # those in force when it arrived
+    adopted_backend: str = ""  # the one backend of a connection that was established before the relay's start
+    state: ConnectionState = ConnectionState.QUEUED
+    attempts: int = 0  # attempts made so far; the next one's number
+    attempt: Attempt | None = None  # the one that is in flight, or that established the connection
+    deadline_timer: Timer | None = None
+    first_sent_us: int = 0  # when the first possibly executed attempt began to be written; 0: none has
 
-    def __init__(
-        self,
-        number: int,
-        call: ConnectRequest,
-        client: ClientConnection,
-        caller: BackendConnector,
-        now_us: int,
-        deadline_us: int,
-        settings: Settings,
-        pinned: str = "",
-    ) -> None:
-        self.number = number
-        self.settings = settings  # under which it came
-        self.connect_request = call
-        self.client = client
-        self.connector = caller
-        self.arrived_us = now_us
-        self.deadline_us = deadline_us
-        self.state = ConnectionState.QUEUED
-        self.attempts = 0  # attempts made so far; the next one's number
-        self.attempt: Attempt | None = None  # the one that is out, or that stands
-        self.adopted_backend = pinned  # the one backend that a connection from before the start may go to
-        self.deadline_timer: Timer | None = None
-        self.first_sent_us = 0  # when the first attempt that may have run began to be written; 0: none has
+    @property
+    def is_awaiting_answer(self) -> bool:
+        """Whether the client is owed its final answer."""
+        return self.state in (ConnectionState.QUEUED, ConnectionState.CONNECTING)
 
     @property
     def may_be_rejected(self) -> bool:
-        """Whether to come again is harmless: nothing was sent, or its effects may be had twice."""
+        """Whether the client may safely come again: nothing was sent, or the request is idempotent."""
         return (
             not self.attempts
             or self.settings.classes[self.connect_request.request_class].idempotency is Idempotency.IDEMPOTENT
         )
 
     def as_event(self, now_us: int) -> Request:
-        """What the module is told of it."""
-        call = self.connect_request
-        return Request(
-            self.number,
-            max(1, self.deadline_us - now_us),
-            call.request_class,
-            call.tenant,
-            call.idempotency_key,
-            call.sticky_group,
-            call.load_hint,
-            False,
-            call.is_reconnect,
-            call.is_retry,
-        )
+        """The module's event for it."""
+        return self.connect_request.as_event(self.number, self.deadline_us - now_us)
 
     def may_retry(self, now_us: int) -> bool:
-        """Whether a further attempt doubles no effect. Asked when it is written: the module decides earlier, and a
-        window may close while a connection comes up."""
+        """Whether a retry doubles no effect.
+
+        Checked as the request is written: the module decides earlier, and a deduplication window may close while a
+        connection comes up.
+        """
         if not self.first_sent_us:
             return True
         rule = self.settings.classes[self.connect_request.request_class]
@@ -183,14 +162,14 @@
         return rule.idempotency is Idempotency.IDEMPOTENT
 
     def transition(self, to: ConnectionState) -> None:
-        """Take a legal step, or raise."""
+        """Enter a state. Raises IllegalTransitionError where TRANSITIONS has no such step."""
         if to not in TRANSITIONS[self.state]:
-            raise IllegalTransition(f"visit {self.number}: {self.state.value} to {to.value}")
+            raise IllegalTransitionError(f"connection {self.number}: {self.state.value} to {to.value}")
         self.state = to
 
 
 class Attempt:
-    """One attempt at a backend. A upstream connection tells it how far it came; once over, it hears nothing more."""
+    """One attempt at a backend, driven by its upstream connection; once over, it ignores further calls."""
 
     __slots__ = (
         "core",
@@ -221,27 +200,27 @@
         self.phase = AttemptPhase.CONNECTING
         self.started_us = self.last_received_us = core.clock()
         self.expires_us = until_us
-        self.slow_start = slow_start  # the server had just started
+        self.slow_start = slow_start  # the backend is in slow start
         self.write_started_us = 0  # when its first line began to be written
         self.timer: Timer | None = None
         self.upstream: BackendConnection | None = None
         self.is_over = False
-        self.load = 0.0  # what the backend last told of the connection's load, us of work a second; 0: nothing
-        self.report: LoadReport | None = None  # what the backend's last word said of its load
+        self.load = 0.0  # the connection's load as last reported, in us of work a second; 0: no report
+        self.report: LoadReport | None = None  # the backend's own load, in its final response
         self.awaiting_reply_us: deque[int] = deque(maxlen=16)  # when messages went to the backend that await a reply
 
     def send_veto(self) -> Cause | None:
-        """Why the request may not leave any more, asked as a piece of it is about to be written; None: it may."""
+        """Why the request may not be sent any more, checked as a piece of it is about to be written; None: it may."""
         connection, core = self.connection, self.core
         if self.is_over or not core.accepts_work or not connection.may_retry(core.clock()):
             return Cause.NOT_TRIED
         if not connection.adopted_backend:
-            # Guards against a late connect that delivers new work to a backend that was told to drain meanwhile.
+            # Guards against a late connect that delivers new work to a backend that began to drain meanwhile.
             if core.endpoint_watcher:
                 core.endpoint_watcher.read_pending()
             if not core.is_ready(self.backend):
                 return Cause.BROKEN
-        # Last, as the look nearest to the write: the end of the client's side may lie unread yet.
+        # Last, as the check nearest to the write: the end of the client's side may lie unread yet.
         if connection.client.has_disconnected() and not self.is_over:
             core.on_client_closed(connection, ConnectionEnd.ORDERLY)
         return Cause.NOT_TRIED if self.is_over else None
@@ -251,23 +230,23 @@
         return max(0, self.expires_us - self.core.clock())
 
     def advance(self, phase: AttemptPhase) -> None:
-        """The upstream connection has come this far."""
+        """The upstream connection has reached this phase."""
         if not self.is_over and phase > self.phase:
             self.phase = phase
-            self.core.on_attempt_advanced(self)
+            self.core.attempts.on_advanced(self)
 
     def succeed(self, response_line: object) -> None:
-        """The backend took the connection; `receipt` goes to the client as the backend made it."""
+        """The backend accepted the connection; `response_line` goes to the client unchanged."""
         if not self.is_over:
-            self.core.on_attempt_succeeded(self, response_line)
+            self.core.attempts.on_succeeded(self, response_line)
 
     def end(self, cause: Cause, how: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
-        """The attempt, or the connection that it made stand, ended at the backend's side."""
+        """The attempt, or the connection that it established, ended at the backend's side."""
         if not self.is_over:
-            self.core.on_attempt_ended(self, AttemptError(self.phase, cause), how)
+            self.core.attempts.on_ended(self, AttemptError(self.phase, cause), how)
 
     def on_message_sent(self) -> None:
-        """The client sent a message that the backend is to answer."""
+        """The client sent a message that the backend owes a reply to."""
         self.awaiting_reply_us.append(self.core.clock())
         self.core.liveness.on_message_sent(self.backend)
 
@@ -281,14 +260,14 @@
             )
 
     def on_activity(self) -> None:
-        """Something passed, either way, on a connection whose messages the front can't tell apart."""
+        """Data passed, either way, on a connection whose messages the listener can't tell apart."""
         self.last_received_us = self.core.clock()
 
     def on_load_report(self, load: float) -> None:
-        """The backend told what load this connection is now."""
+        """The backend reported the load of this connection, in microseconds of work a second."""
         if not self.is_over:
             self.load = load
-            self.core.on_connection_load(self, load)
+            self.core.attempts.on_load_report(self, load)
 
     def close(self, how: ConnectionEnd) -> None:
         """End it from this side."""
@@ -298,6 +277,6 @@
         if self.upstream:
             try:
                 self.upstream.close(how)
-            except Exception:  # guards the client's answer against an error on the backend's side
-                log.exception("an attempt at push box %s could not be ended", self.backend)
+            except Exception:  # noqa: BLE001 - guards the client's answer against an error on the backend's side
+                log.exception("an attempt at backend %s could not be ended", self.backend)
                 self.core.counters.add("exceptions")
--- a/gradefront/core/counters.py
+++ b/gradefront/core/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what the relay takes in, sends and answers."""
+"""Counters of what the relay accepts, sends and answers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 log = logging.getLogger("gradefront.bad")
 
-TELL_US = 1_000_000  # between two log lines of one kind: a line each would cost more than what it tells of
+LOG_INTERVAL_US = 1_000_000  # between two log lines of one kind: a line each would cost more than its cause
 
 
 class Counters:
@@ -17,20 +17,20 @@
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self.by_class: Counter[tuple[str, str]] = Counter()
-        self.told_us: dict[str, int] = {}  # by kind, when the last log line of it was written
-        self.told: Counter[str] = Counter()  # by kind, the count that it told
+        self.logged_us: dict[str, int] = {}  # by kind, when the last log line of it was written
+        self.logged: Counter[str] = Counter()  # by kind, the count at that line
 
     def add(self, name: str, amount: int = 1) -> None:
         """Count."""
         self.counts[name] += amount
 
     def bad(self, name: str, what: str, now_us: int, amount: int = 1) -> None:
-        """Count what others do wrong; a log line of each kind once a second at most."""
+        """Count a fault of a peer; a log line of each kind once a second at most."""
         self.add(name, amount)
-        if now_us - self.told_us.get(name, -TELL_US) >= TELL_US:
-            more = self.counts[name] - self.told[name] - 1
+        if now_us - self.logged_us.get(name, -LOG_INTERVAL_US) >= LOG_INTERVAL_US:
+            more = self.counts[name] - self.logged[name] - 1
             log.warning("%s (and %d more since the last such line)", what, more)
-            self.told_us[name], self.told[name] = now_us, self.counts[name]
+            self.logged_us[name], self.logged[name] = now_us, self.counts[name]
 
     def add_of_class(self, name: str, request_class: str) -> None:
         """Count for one request class."""
--- a/gradefront/core/lifecycle.py
+++ b/gradefront/core/lifecycle.py
@@ -7,9 +7,10 @@
 from functools import partial
 from typing import Protocol
 
-from balancer.actions import Fail, Reject
+from balancer.actions import Reject
 from balancer.settings import RequestClass
 
+from .answers import Answers
 from .backends import Backends
 from .connection import Connection, ConnectionState
 from .lifecycle_state import LifecycleEvent, LifecycleState, step
@@ -35,6 +36,7 @@
 
     connections: dict[int, Connection]
     backends: Backends
+    answers: Answers
     clock: Callable[[], int]
 
     def after(self, delay_us: int, then: Callable[[], None]) -> Timer:
@@ -43,9 +45,6 @@
     def migrate(self, connection: Connection) -> None:
         """Tell a client to come again."""
 
-    def answer(self, connection: Connection, answer: Reject | Fail | None) -> None:
-        """The one final answer."""
-
 
 class Lifecycle:
     """One relay's state, and what each step of it asks for."""
@@ -169,7 +168,9 @@
         for connection in list(self.core.connections.values()):
             if connection.state is not ConnectionState.ESTABLISHED:
                 # Guards against doubled effects: a rejection is an invitation to come again.
-                self.core.answer(connection, Reject(connection.number) if connection.may_be_rejected else None)
+                self.core.answers.answer(
+                    connection, Reject(connection.number) if connection.may_be_rejected else None
+                )
 
     def stop(self, done: Callable[[], None]) -> None:
         """The last moment, once: whoever still waits gets the answer that this relay won't give later, and nothing
--- a/gradefront/core/liveness.py
+++ b/gradefront/core/liveness.py
@@ -9,6 +9,7 @@
 from balancer.events import Event, MessageLatencyReport
 from balancer.settings import RequestClass, Settings
 
+from .answers import Answers
 from .backends import Backends
 from .connection import Connection, ConnectionState
 from .counters import Counters
@@ -32,6 +33,7 @@
     counters: Counters
     connections: dict[int, Connection]
     backends: Backends
+    answers: Answers
     health_checker: HealthChecker | None
     clock: Callable[[], int]
 
@@ -44,9 +46,6 @@
     def migrate(self, connection: Connection) -> None:
         """Tell a client to come again."""
 
-    def migrate_off_silent(self, connection: Connection, alone: bool) -> None:
-        """Move a connection off a backend that answers nothing."""
-
 
 class Liveness:
     """Watches over one core's standing connections."""
@@ -121,7 +120,7 @@
         log.warning("push box %s owes replies and takes no connection; its %d visits move", backend, len(here))
         self.core.counters.add("boxes_vanished")
         for connection in here:
-            self.core.migrate_off_silent(connection, alone=False)
+            self.core.answers.migrate_off_silent(connection, alone=False)
         # Guards against finding out about a lost zone backend by backend, each when a client's message is due.
         backends = self.core.backends
         near = [other for other in held if backends.zone(other) == backends.zone(backend)]
@@ -156,7 +155,7 @@
                     attempt.backend,
                     ", alone" if alone else "",
                 )
-                self.core.migrate_off_silent(connection, alone)
+                self.core.answers.migrate_off_silent(connection, alone)
             elif (
                 now - max(attempt.last_received_us, attempt.awaiting_reply_us[-1] if attempt.awaiting_reply_us else 0)
                 > DEAD_LINE_US
--- a/gradefront/core/request_classes.py
+++ b/gradefront/core/request_classes.py
@@ -1,4 +1,4 @@
-"""All request classes that were ever told, by number. A number keeps its rules while a connection may hold it."""
+"""All request classes that were ever configured, by number. A number keeps its rules while a connection uses it."""
 
 from __future__ import annotations
 
@@ -7,43 +7,45 @@
 
 from balancer.settings import RequestClass
 
-MOST = 128  # numbers; beyond it those are used anew that no connection holds
+MAX_CLASSES = 128  # numbers; beyond it those that no connection uses are assigned anew
 
 
-class TooManyClasses(Exception):
+class TooManyClassesError(Exception):
     """More classes are in use than there are numbers."""
 
 
 @dataclass(frozen=True)
 class RequestClassTable:
-    """An immutable value: taking new classes makes a new book."""
+    """An immutable value: `extended` makes a new table."""
 
     names: tuple[str, ...] = ()
     rules: tuple[RequestClass, ...] = ()
     current: tuple[int, ...] = ()  # the numbers in force
 
     def extended(
-        self, names: tuple[str, ...], rules: tuple[RequestClass, ...], held: Collection[int]
+        self, names: tuple[str, ...], rules: tuple[RequestClass, ...], in_use: Collection[int]
     ) -> RequestClassTable:
-        """The book after these classes were told; `held` are the numbers that connections hold. A class told again
-        with the same rules has its number of before. Raises NoRoom."""
-        book = list(zip(self.names, self.rules, strict=True))
-        told = list(zip(names, rules, strict=True))
-        free = [n for n, entry in enumerate(book) if n not in held and entry not in told]
+        """The table after these classes were configured; `in_use` are the numbers that connections use.
+
+        A class that is configured again with the same rules keeps its number. Raises TooManyClassesError.
+        """
+        table = list(zip(self.names, self.rules, strict=True))
+        configured = list(zip(names, rules, strict=True))
+        free = [n for n, entry in enumerate(table) if n not in in_use and entry not in configured]
         current = []
-        for entry in told:
-            if entry in book:
-                number = book.index(entry)
-            elif len(book) < MOST:
-                number = len(book)
-                book.append(entry)
+        for entry in configured:
+            if entry in table:
+                number = table.index(entry)
+            elif len(table) < MAX_CLASSES:
+                number = len(table)
+                table.append(entry)
             elif free:
                 number = free.pop(0)
-                book[number] = entry
+                table[number] = entry
             else:
-                raise TooManyClasses(f"visits hold classes under all of {MOST} numbers")
+                raise TooManyClassesError(f"connections use classes under all of {MAX_CLASSES} numbers")
             current.append(number)
-        return RequestClassTable(tuple(n for n, _ in book), tuple(r for _, r in book), tuple(current))
+        return RequestClassTable(tuple(n for n, _ in table), tuple(r for _, r in table), tuple(current))
 
     def numbers(self) -> dict[str, int]:
         """The classes in force, by name."""
--- a/gradefront/core/timer_wheel.py
+++ b/gradefront/core/timer_wheel.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 TICK_US = 4_000  # as coarse as the shortest waits (a few tens of ms) allow
-SLOTS = 1_024  # a turn of about 4 s; longer timers go round
+SLOTS = 1_024  # a round of about 4 s; longer timers go round again
 
 
 class Timer:
@@ -18,12 +18,12 @@
         self.then: Callable[[], None] | None = then
 
     def cancel(self) -> None:
-        """The timer will not run; its place on the wheel is cleared when its turn comes."""
+        """The timer will not run; its place on the wheel is cleared when its tick is due."""
         self.then = None
 
 
 class TimerWheel:
-    """A hashed wheel. A timer never runs early, and at most a tick late when the wheel is turned in time."""
+    """A hashed wheel. A timer never runs early, and at most a tick late when `pop_due` is called in time."""
 
     def __init__(self, now_us: int) -> None:
         self.tick = now_us // TICK_US  # the last tick that has been run
@@ -39,7 +39,7 @@
         return timer
 
     def next_due(self) -> int | None:
-        """When to turn the wheel next, in us; for a timer of a later round, when to look again."""
+        """When to call `pop_due` next, in us; for a timer of a later round, when to check again. None: no timers."""
         if not self.taken:
             return None
         start = (self.tick + 1) % SLOTS
@@ -50,8 +50,8 @@
             gap = SLOTS - start + (self.taken & -self.taken).bit_length() - 1
         return (self.tick + 1 + gap) * TICK_US
 
-    def turn(self, now_us: int) -> list[Callable[[], None]]:
-        """What has come due by `now_us`, in order of its ticks."""
+    def pop_due(self, now_us: int) -> list[Callable[[], None]]:
+        """Take out and return what is due by `now_us`, in order of its ticks."""
         last = now_us // TICK_US
         due: list[Timer] = []
         for tick in range(self.tick + 1, min(last, self.tick + SLOTS) + 1):
--- a/gradefront/serve.py
+++ b/gradefront/serve.py
@@ -23,7 +23,7 @@
 from .config import Config, ConfigError, lacks, load
 from .core.lifecycle_state import LifecycleEvent, LifecycleState
 from .core.relay import RelayCore
-from .core.request_classes import TooManyClasses
+from .core.request_classes import TooManyClassesError
 from .fleet.switch import fleet_file
 from .fleet.switch import load as load_fleet
 from .net.backend_connection import LineBackendConnector
@@ -193,7 +193,7 @@
                 **{name: getattr(old, name) for name in AT_START},
             )
             quic = load_quic(config, quic_file()) if self.quic else None
-        except (ConfigError, TooManyClasses) as error:
+        except (ConfigError, TooManyClassesError) as error:
             log.error("configuration not taken, the old one stays: %s", error)
             self.core.counters.add("conf_invalid_total")
             return
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -26,7 +26,7 @@
 from gradefront.core.connection import ConnectionState
 from gradefront.core.message_latency import MessageLatency
 from gradefront.core.ports import ConnectionEnd
-from gradefront.core.relay import ANSWER_MARGIN_US
+from gradefront.core.requests import ANSWER_MARGIN_US
 from gradefront.core.timer_wheel import SLOTS, TICK_US, TimerWheel
 
 from .helper import Bench, Client
@@ -63,7 +63,7 @@
         timers.set(delay, lambda delay=delay: ran.append((delay, now)))  # type: ignore[misc]
     while (due := timers.next_due()) is not None:
         now = max(now + 1, min(due, now + step))
-        for then in timers.turn(now):
+        for then in timers.pop_due(now):
             then()
     assert sorted(d for d, _ in ran) == sorted(delays)
     assert all(at >= d and at - d <= TICK_US for d, at in ran)
@@ -74,7 +74,7 @@
     for delay in (9_000_000, 50_000, 5_000_000):
         timers.set(delay, lambda delay=delay: ran.append(delay))  # type: ignore[misc]
     timers.set(60_000, lambda: ran.append(0)).cancel()
-    for then in timers.turn(20_000_000):
+    for then in timers.pop_due(20_000_000):
         then()
     assert ran == [50_000, 5_000_000, 9_000_000] and timers.next_due() is None
 
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -43,7 +43,7 @@
         loop.core.lifecycle.stop(lambda: None)
     for connection in list(loop.core.connections.values()):
         if why == "the backend has vanished":
-            loop.core.migrate_off_silent(connection, alone=False)
+            loop.core.answers.migrate_off_silent(connection, alone=False)
         else:
             loop.core.migrate(connection)
     loop.step(3)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -216,7 +216,7 @@
             await soon(here.discovery.asked.wait())
             assert 1.5 < time.monotonic() - began < 6.0
             here.discovery.tell("box-0", "DRAINING")
-            await here.relay.line("box-0 drains")
+            await here.relay.line("backend box-0 is draining")
             for _ in range(6):
                 device = await here.device()
                 device.open()
@@ -296,7 +296,7 @@
                 assert len(old.watches) == watched, "the old address got a new connection"
                 here.discovery = new
             here.discovery.tell("box-0", "DRAINING")
-            await relay.line("box-0 drains")
+            await relay.line("backend box-0 is draining")
             for _ in range(6):
                 fresh = await here.device()
                 fresh.open()
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -28,7 +28,7 @@
 from gradefront.config import ConfigError, lacks, parse
 from gradefront.core import request_classes
 from gradefront.core.attempt_error import Cause
-from gradefront.core.request_classes import RequestClassTable, TooManyClasses
+from gradefront.core.request_classes import RequestClassTable, TooManyClassesError
 from lab.stand_ins import Discovery, settings, soon
 
 from .helper import CLASS, SETTINGS, Bench
@@ -89,14 +89,14 @@
 
 
 def test_a_class_keeps_its_number_while_a_visit_holds_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(request_classes, "MOST", 3)
+    monkeypatch.setattr(request_classes, "MAX_CLASSES", 3)
     slow = replace(CLASS, deadline_us=9)
     book = RequestClassTable().extended(("a", "b"), (CLASS, CLASS), ())
     book = book.extended(("b", "a"), (CLASS, slow), {0, 1})
     assert book.numbers() == {"b": 1, "a": 2} and book.rules == (CLASS, CLASS, slow)
     assert book.extended(("a", "b"), (CLASS, CLASS), ()).numbers() == {"a": 0, "b": 1}, "told again: as before"
     assert book.extended(("c", "b"), (CLASS, CLASS), {1, 2}).names == ("c", "b", "a"), "nobody holds the old a"
-    with pytest.raises(TooManyClasses):
+    with pytest.raises(TooManyClassesError):
         book.extended(("c", "d"), (CLASS, CLASS), {0, 1, 2})
 
 
