--- a/gradefront/__main__.py
+++ b/gradefront/__main__.py
@@ -6,9 +6,9 @@
 
 
 def main() -> int:
-    """Run. The command line is imported only where there is one: a relay's start and memory don't pay for it."""
+    """Run; the exit status. The command line is imported only where it is used: it costs start-up time and memory."""
     if len(sys.argv) == 1:
-        from .serve import serve
+        from .service import serve
 
         return serve()
     from .cli import command
--- a/gradefront/admin/metrics.py
+++ b/gradefront/admin/metrics.py
@@ -1,4 +1,4 @@
-"""The figures in Prometheus' text form, rendered from the tally. No I/O."""
+"""The figures in Prometheus' text form, rendered from the counters. No I/O."""
 
 from __future__ import annotations
 
@@ -17,15 +17,17 @@
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
-def lines(counters: Counters, classes: Iterable[str], levels: Mapping[str, int]) -> list[str]:
-    """One line a figure: counts by class and in all, from 0 on, and present levels. `classes` are all that
-    were ever told: a dropped one keeps its counts."""
-    told = list(dict.fromkeys(classes))
+def render_metrics(counters: Counters, classes: Iterable[str], levels: Mapping[str, int]) -> list[str]:
+    """One line a figure: counts by class and in all, from 0 on, and present levels.
+
+    `classes` are all that were ever in force: a dropped one keeps its counts.
+    """
+    distinct = list(dict.fromkeys(classes))
     return [
         *(
             f'{PREFIX}{name}{{{CLASS}="{escaped(request_class)}"}} {counters.of_class(name, request_class)}'
             for name in BY_CLASS
-            for request_class in told
+            for request_class in distinct
         ),
         *(f"{PREFIX}{name} {counters.counts[name]}" for name in COUNTS),
         *(f"{PREFIX}{name} {value}" for name, value in levels.items()),
--- a/gradefront/cli/serve.py
+++ b/gradefront/cli/serve.py
@@ -13,6 +13,6 @@
 )
 def serve() -> int:
     """Serve until told to stop. LB_CONFIG names the relay's file; status 2 where it makes no sense."""
-    from gradefront.serve import serve as run
+    from gradefront.service import serve as run
 
     return run()
--- a/gradefront/quic/switch.py
+++ b/gradefront/quic/switch.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import os
 from pathlib import Path
 from typing import TYPE_CHECKING
 
@@ -14,6 +15,11 @@
 FILE = Path(__file__).resolve().parent.parent.parent / "deploy" / "quic.json"
 
 
+def quic_file() -> Path:
+    """The QUIC front's file."""
+    return Path(os.environ.get("GRADEFRONT_QUIC", FILE))
+
+
 def load(config: Config, path: Path) -> QuicConfig | None:
     """The front's settings; None where there is no file or the front is off. Raises ConfigError."""
     told = read_object(path)
--- /dev/null
+++ b/gradefront/reload.py
@@ -0,0 +1,108 @@
+"""SIGHUP: a replaced configuration file is taken whole or not at all."""
+
+from __future__ import annotations
+
+import logging
+import os
+from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING
+
+from balancer.settings import Settings
+
+from .config import Address, Config, ConfigError, lacks, load
+from .core.request_classes import RequestClassTable, TooManyClasses
+from .net.client_protocol import ClientProtocolFactory
+from .net.endpoint_list import EndpointList
+from .net.endpoint_watch import EndpointWatch
+from .quic.switch import load as load_quic
+from .quic.switch import quic_file
+
+if TYPE_CHECKING:
+    from .quic.config import QuicConfig
+    from .quic.front import QuicFront
+
+log = logging.getLogger("gradefront")
+
+FIXED_AT_START = ("name", "listen", "admin")  # a change waits for the next start
+
+
+@dataclass(frozen=True)
+class _Prepared:
+    """A configuration that was read and checked, and is not in force yet."""
+
+    config: Config
+    request_classes: RequestClassTable
+    settings: Settings
+    quic: QuicConfig | None
+    deferred: list[str]  # changed fields that wait for the next start
+
+
+def _discovery(loaded: Config, current: Config) -> Address:
+    """The address to watch. LB_DISCOVERY gives that of the start: once the file names another, the file decides."""
+    filed = loaded.filed_discovery
+    return filed if filed and filed != current.filed_discovery else current.discovery
+
+
+class ConfigReloader:
+    """Owns the configuration in force, and replaces it in all parts at once."""
+
+    def __init__(
+        self,
+        config: Config,
+        front: ClientProtocolFactory,
+        endpoint_list: EndpointList,
+        endpoint_watch: EndpointWatch,
+        quic: QuicFront | None,
+    ) -> None:
+        self.config = config
+        self.core = front.core
+        self.front = front
+        self.endpoint_list = endpoint_list
+        self.endpoint_watch = endpoint_watch
+        self.quic = quic
+
+    def reload(self) -> None:
+        """Read the file anew. Where it makes no sense, that is logged and the old configuration stays."""
+        try:
+            prepared = self._prepare()
+        except (ConfigError, TooManyClasses) as error:
+            log.error("configuration not taken, the old one stays: %s", error)
+            self.core.counters.add("conf_invalid_total")
+            return
+        if prepared.deferred:
+            log.warning("taken at the next start only: %s", ", ".join(prepared.deferred))
+        self._apply(prepared)
+
+    def _prepare(self) -> _Prepared:
+        """Read and check the files; changes nothing. Raises ConfigError and TooManyClasses."""
+        current = self.config
+        loaded = load(os.environ)
+        if missing := lacks(loaded.given, current.given):
+            raise ConfigError(f"{missing}: missing")
+        request_classes, settings = self.core.prepare_settings(loaded.settings, loaded.class_names)
+        config = replace(
+            loaded,
+            settings=settings,
+            class_numbers=request_classes.numbers(),
+            discovery=_discovery(loaded, current),
+            seed=current.seed,
+            **{name: getattr(current, name) for name in FIXED_AT_START},
+        )
+        quic = load_quic(config, quic_file()) if self.quic else None
+        deferred = [name for name in FIXED_AT_START if getattr(loaded, name) != getattr(current, name)]
+        return _Prepared(config, request_classes, settings, quic, deferred)
+
+    def _apply(self, prepared: _Prepared) -> None:
+        config, settings = prepared.config, prepared.settings
+        moved = config.discovery != self.config.discovery
+        self.config = self.front.config = self.endpoint_list.config = config
+        if (prepared.request_classes, settings) != (self.core.request_classes, self.core.settings):
+            self.core.apply_settings(prepared.request_classes, settings, config.reports_message_latency)
+            log.info("settings: classes %s, %d attempts", ", ".join(config.class_names), settings.max_attempts)
+        self.core.counters.add("conf_loaded_total")
+        log.info("configuration taken; discovery at %s:%d", *config.discovery)
+        if moved:
+            self.endpoint_watch.go_to(config.discovery)
+        if self.quic and prepared.quic:
+            self.quic.config = config
+            self.quic.configure(prepared.quic)
--- /dev/null
+++ b/gradefront/service.py
@@ -0,0 +1,168 @@
+"""The relay as a process: its parts, its signals, and `serve`."""
+
+from __future__ import annotations
+
+import gc
+import logging
+import os
+import signal
+import sys
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any, cast
+
+from twisted.internet.error import CannotListenError
+from twisted.internet.main import installReactor
+
+from . import startup
+from .config import Config, ConfigError, load
+from .fleet.switch import fleet_file
+from .fleet.switch import load as load_fleet
+from .listening import ClientListener, inherited_listener
+from .net.reactor import Clock, Driver, Reactor, RelayReactor
+from .quic.switch import load as load_quic
+from .quic.switch import quic_file
+from .reload import ConfigReloader
+from .shutdown import Shutdown
+
+if TYPE_CHECKING:
+    from .fleet.settings import FleetConfig
+    from .quic.config import QuicConfig
+
+log = logging.getLogger("gradefront")
+
+EXIT_OK = 0
+EXIT_BAD_CONFIG = 2
+US_PER_S = 1e6
+
+
+class Relay:
+    """One relay: the core, the fronts that clients come to, and what starts, reconfigures and ends them.
+
+    `clock` gives Unix time in microseconds; without it the system's is used. Raises ConfigError where a setting makes
+    no sense, and CannotListenError.
+    """
+
+    def __init__(
+        self,
+        config: Config,
+        quic: QuicConfig | None,
+        reactor: Reactor,
+        fleet: FleetConfig | None = None,
+        clock: Callable[[], int] | None = None,
+    ) -> None:
+        system_clock = Clock()
+        clock = clock or system_clock
+        self.driver = Driver(reactor, clock)
+        self.core = core = startup.build_core(config, self.driver, clock)
+        self.endpoint_list, self.endpoint_watch = startup.build_endpoint_watch(
+            config, core, reactor, system_clock.stepped
+        )
+        inherited = inherited_listener(config.socket_fd) if config.socket_fd is not None else None
+        # The configured list may send clients to backends that drain, as another process or the agent knows already.
+        awaits_fresh_list = inherited is not None or self.endpoint_watch.pushed
+        if awaits_fresh_list:
+            core.lifecycle.await_endpoint_list()
+        startup.apply_known_endpoints(config, self.endpoint_list)
+        self.front = startup.build_client_factory(config, core, self.endpoint_list, reactor)
+        self.client_listener = ClientListener(config, self.front, reactor, inherited)
+        if inherited:
+            core.lifecycle.on_ready = self.client_listener.adopt
+        self.quic = startup.build_quic_front(config, quic, core, reactor) if quic else None
+        self.fleet = startup.start_fleet(fleet, core, reactor) if fleet else None
+        self.admin_server = startup.start_admin_server(config, core, reactor)
+        if not inherited:
+            self.client_listener.listen()
+        if awaits_fresh_list:  # others spread their first poll, since a whole fleet may start and ask one service
+            self.endpoint_watch.watch()
+        self._reloader = ConfigReloader(config, self.front, self.endpoint_list, self.endpoint_watch, self.quic)
+        self._shutdown = Shutdown(self.front, self.client_listener, self.endpoint_watch, self.fleet, reactor)
+
+    @property
+    def port(self) -> Any:
+        """The port that accepts clients; None before an inherited listener is read."""
+        return self.client_listener.port
+
+    def log_counters(self) -> None:
+        """Log the counters as one line."""
+        levels = {"connections_now": self.front.open_connections, "visits_now": len(self.core.connections)}
+        if self.quic:
+            levels |= self.quic.levels()
+        if self.fleet:
+            levels |= self.fleet.levels()
+        log.info("counters %s", self.core.counters.line(**levels))
+
+    def reload(self) -> None:
+        """Read the configuration file anew; what stands goes on."""
+        self._reloader.reload()
+
+    def leave(self) -> None:
+        """Begin a planned restart."""
+        self._shutdown.begin()
+
+
+def _on_signal(number: signal.Signals, do: Callable[[], None], reactor: Reactor) -> None:
+    """Have the reactor do it, once it runs."""
+    signal.signal(number, lambda *_: reactor.callFromThread(do))
+
+
+def _log_settings(config: Config) -> None:
+    settings = config.settings
+    log.info("settings: %s; message latency reported: %s", settings, config.reports_message_latency)
+    log.info(  # a line of its own: collectors cut long ones
+        "slow start: %d relays, capacity from %.2f, warm after %.1f s, overloaded by %.1f times it in %.2f s",
+        settings.fleet_size,
+        settings.initial_capacity,
+        settings.warm_up_us / US_PER_S,
+        settings.overload_multiple,
+        settings.overload_window_us / US_PER_S,
+    )
+
+
+def _log_listeners(relay: Relay, name: str) -> None:
+    if relay.port:
+        where = relay.port.getHost()
+        log.info("relay %s listens on %s:%d", name, where.host, where.port)
+    if relay.admin_server:
+        where = relay.admin_server.getHost()
+        log.info("admin interface at %s:%d", where.host, where.port)
+    for listener in relay.quic.listeners if relay.quic else ():
+        log.info("quic front listens on %s:%d", *listener.address)
+
+
+def _start(reactor: Reactor) -> Relay:
+    """Read the configuration and build the relay. Raises ConfigError and CannotListenError."""
+    config = load(os.environ)
+    quic = load_quic(config, quic_file())
+    fleet = load_fleet(config, fleet_file())
+    relay = Relay(config, quic, reactor, fleet)
+    _log_settings(config)
+    _log_listeners(relay, config.name)
+    return relay
+
+
+def serve() -> int:
+    """Serve until told to stop. The exit status: 0 then, 2 where the configuration makes no sense."""
+    reactor = cast(Reactor, cast(Any, RelayReactor)())
+    cast(Any, installReactor)(reactor)
+    relay: Relay
+    # Before the file is read: a signal that comes meanwhile waits for the reactor and ends nothing.
+    for number, do in (
+        (signal.SIGTERM, Relay.leave),
+        (signal.SIGINT, Relay.leave),
+        (signal.SIGUSR1, Relay.log_counters),
+        (signal.SIGHUP, Relay.reload),
+    ):
+        _on_signal(number, lambda do=do: do(relay), reactor)  # type: ignore[misc]
+    logging.basicConfig(
+        stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s %(message)s"
+    )
+    try:
+        relay = _start(reactor)
+    except (ConfigError, CannotListenError) as error:
+        print(f"gradefront: {error}", file=sys.stderr)
+        return EXIT_BAD_CONFIG
+    gc.collect()
+    gc.freeze()  # start-up objects stay; collecting them again and again would cost scarce CPU
+    reactor.run(installSignalHandlers=False)
+    relay.log_counters()
+    return EXIT_OK
--- /dev/null
+++ b/gradefront/shutdown.py
@@ -0,0 +1,106 @@
+"""The planned end of a relay, from SIGTERM to the stop of the reactor."""
+
+from __future__ import annotations
+
+import logging
+from typing import TYPE_CHECKING
+
+from .core.lifecycle_state import LifecycleEvent, LifecycleState
+from .listening import ClientListener
+from .net.client_protocol import ClientProtocolFactory
+from .net.endpoint_watch import EndpointWatch
+from .net.reactor import Reactor
+from .state.handover import HandoverSender, call_next
+
+if TYPE_CHECKING:
+    from .net.fleet_port import FleetPort
+
+log = logging.getLogger("gradefront")
+
+EMPTY_CHECK_US = 100_000  # between checks whether a replaced process still has connections
+CLOSED_CHECK_US = 8_000  # between checks whether peers have closed or taken their answers
+# After the last answers:
+PRE_REQUEST_END_US = 100_000  # clients without a request are told to come again
+STOP_US = 250_000  # the process ends, whoever has not closed by then; 0.2 s before SIGKILL
+FORCED_STOP_US = 350_000  # ... even where a client has not taken its answer yet; 0.1 s before SIGKILL
+
+
+class Shutdown:
+    """Ends a relay: hands connections over to a process that replaces it, and closes the others in order."""
+
+    def __init__(
+        self,
+        front: ClientProtocolFactory,
+        listener: ClientListener,
+        endpoint_watch: EndpointWatch,
+        fleet: FleetPort | None,
+        reactor: Reactor,
+    ) -> None:
+        self.core = front.core
+        self.front = front
+        self.listener = listener
+        self.endpoint_watch = endpoint_watch
+        self.fleet = fleet
+        self.reactor = reactor
+
+    def begin(self) -> None:
+        """A planned restart. A second signal changes nothing."""
+        if self.core.lifecycle.state in (LifecycleState.LEAVING, LifecycleState.STOPPING, LifecycleState.STOPPED):
+            return
+        if not self.listener.is_replaced():
+            # This process goes on reading the listener, and holds its connections, to the last.
+            self.core.lifecycle.leave(self._close_connections)
+            return
+        self.listener.stop()  # what waits in the listener's queue belongs to the new process
+        receiver = self.listener.handover_receiver
+        call = call_next(receiver) if receiver else None
+        self.listener.close_handover()
+        if call:
+            log.info("connections go to the process that takes over")
+            HandoverSender(self.core, self.front, call).step()
+        self.core.lifecycle.leave(self._close_connections, replaced=call is None)
+        self._stop_when_empty()
+
+    def _stop_when_empty(self) -> None:
+        """End early: nobody comes here any more, and the time, memory and descriptors are the new process's."""
+        if self.front.open_connections or self.core.connections:
+            self.core.after(EMPTY_CHECK_US, self._stop_when_empty)
+        else:
+            self.core.lifecycle.stop(self._close_connections)
+
+    def _close_connections(self) -> None:
+        """All requests are answered. Close in order: a client without a request may send one in this very moment."""
+        self.listener.close_handover()
+        if self.fleet:
+            self.fleet.leave()
+        self.core.after(PRE_REQUEST_END_US, self._end_pre_request)
+        self.core.after(STOP_US, self._stop_when_sent)
+        self.core.after(FORCED_STOP_US, self._stop)
+        self._stop_when_closed()
+
+    def _end_pre_request(self) -> None:
+        """Tell clients without a request to come again, also those that wait to be accepted."""
+        self.listener.accept_last_and_stop()
+        self.front.end_rest()
+
+    def _stop_when_closed(self) -> None:
+        """Wait for the peers to close, so that no close resets what they have not read yet."""
+        port = self.listener.port
+        if self.front.open_connections or self.front.upstreams or (port and port.connected):
+            self.core.after(CLOSED_CHECK_US, self._stop_when_closed)
+        else:
+            self._stop()
+
+    def _stop_when_sent(self) -> None:
+        """Wait no longer for peers to close, only for those that have not taken their answer."""
+        if self.front.closing.unsent:
+            self.core.after(CLOSED_CHECK_US, self._stop_when_sent)
+        else:
+            self._stop()
+
+    def _stop(self) -> None:
+        if self.core.lifecycle.transition(LifecycleEvent.STOPPED):
+            self.front.closing.close_all()
+            self.front.upstreams.close_all()
+            self.endpoint_watch.close()
+            self.reactor.stop()
--- /dev/null
+++ b/gradefront/startup.py
@@ -0,0 +1,105 @@
+"""Builds the parts of a relay, one function a part. `Relay` calls them in the order in which they depend on each
+other."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+from twisted.internet.error import CannotListenError
+
+from balancer import Balancer
+
+from .admin.calls import admin_calls
+from .admin.server import AdminServer
+from .config import Config, ConfigError
+from .core.relay import RelayCore
+from .fleet.switch import fleet_file
+from .net.backend_connection import LineBackendConnector
+from .net.client_protocol import ClientProtocolFactory
+from .net.closing import DESCRIPTOR_SHARE, ConnectionCloser
+from .net.endpoint_list import EndpointList
+from .net.endpoint_watch import EndpointWatch
+from .net.health_checks import BackendHealthChecker
+from .net.reactor import Driver, Reactor
+
+if TYPE_CHECKING:
+    from .fleet.settings import FleetConfig
+    from .net.fleet_port import FleetPort
+    from .quic.config import QuicConfig
+    from .quic.front import QuicFront
+
+ADMIN_BACKLOG = 64  # connections that wait to be accepted
+
+
+def build_core(config: Config, driver: Driver, clock: Callable[[], int]) -> RelayCore:
+    """The relay core with its decision module, driven by `driver`. `clock` gives Unix time in microseconds."""
+    driver.core = core = RelayCore(
+        Balancer(config.settings, config.seed),
+        config.settings,
+        clock,
+        driver.wake,
+        config.reports_message_latency,
+        config.class_names,
+    )
+    return core
+
+
+def build_endpoint_watch(
+    config: Config, core: RelayCore, reactor: Reactor, clock_stepped: Callable[[], bool]
+) -> tuple[EndpointList, EndpointWatch]:
+    """The endpoint list, and the watch that keeps it; health checks go to the addresses that it names.
+
+    `clock_stepped` says whether the wall clock has been stepped since the start.
+    """
+    endpoint_list = EndpointList(config, core, clock_stepped)
+    core.endpoint_watcher = endpoint_watch = EndpointWatch(reactor, core, endpoint_list, config.discovery)
+    core.health_checker = BackendHealthChecker(reactor, core, endpoint_list.address)
+    return endpoint_list, endpoint_watch
+
+
+def apply_known_endpoints(config: Config, endpoint_list: EndpointList) -> None:
+    """Begin with the endpoint list that the configuration gives. Raises ConfigError."""
+    try:
+        endpoint_list.apply(config.known, whole=True)
+    except ValueError as error:
+        raise ConfigError(f"known: {error}") from None
+
+
+def build_client_factory(
+    config: Config, core: RelayCore, endpoint_list: EndpointList, reactor: Reactor
+) -> ClientProtocolFactory:
+    """What serves each client, with its way to backends."""
+    upstreams = ConnectionCloser(core, config.sockets // DESCRIPTOR_SHARE)
+    connector = LineBackendConnector(reactor, endpoint_list.address, upstreams)
+    return ClientProtocolFactory(config, core, connector, upstreams)
+
+
+def build_quic_front(config: Config, quic: QuicConfig, core: RelayCore, reactor: Reactor) -> QuicFront:
+    """The QUIC front. Imported only where it is on: its libraries cost start-up time and memory."""
+    from .quic.front import QuicFront
+
+    return QuicFront(config, quic, core, reactor)
+
+
+def start_fleet(fleet: FleetConfig, core: RelayCore, reactor: Reactor) -> FleetPort:
+    """The port that gossips with other relays. Imported only where it is on. Raises ConfigError."""
+    from .net.fleet_port import FleetPort
+
+    port = FleetPort(fleet, core)
+    try:
+        reactor.listenUDP(fleet.listen[1], port, fleet.listen[0])
+    except CannotListenError as error:
+        raise ConfigError(f"{fleet_file().name}: listen: {error}") from None
+    return port
+
+
+def start_admin_server(config: Config, core: RelayCore, reactor: Reactor) -> Any:
+    """The listening port of the admin interface; None where none is configured. Raises ConfigError."""
+    if not config.admin:
+        return None
+    host, port = config.admin
+    try:
+        return reactor.listenTCP(port, AdminServer(core, admin_calls(core)), ADMIN_BACKLOG, host)
+    except CannotListenError as error:
+        raise ConfigError(f"LB_ADMIN: the operators' door: {error}") from None
--- a/lab/stand_ins.py
+++ b/lab/stand_ins.py
@@ -332,7 +332,7 @@
         for _ in range(0 if listener else 1 + len((quic or {}).get("listen", ()))):
             running.ports.append(int((await running.line(r"listens on \S+:(\d+)")).group(1)))
         if admin:
-            running.door = int((await running.line(r"operators' door at \S+:(\d+)")).group(1))
+            running.door = int((await running.line(r"admin interface at \S+:(\d+)")).group(1))
         yield running
     finally:
         if process.returncode is None:
--- a/tests/loop.py
+++ b/tests/loop.py
@@ -21,7 +21,7 @@
 from gradefront.core.ports import BackendConnection
 from gradefront.net.client_protocol import ClientProtocol
 from gradefront.net.reactor import RelayReactor
-from gradefront.serve import Relay
+from gradefront.service import Relay
 from lab.stand_ins import settings
 
 LONG_S = 10.0  # against a hang only
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 from twisted.internet.testing import StringTransport
 
-from gradefront.admin.metrics import lines
+from gradefront.admin.metrics import render_metrics
 from gradefront.admin.server import CALLERS, MOST_CALLERS, PATIENCE_US, AdminServer, CallerLine
 from gradefront.core.counters import Counters
 from lab.stand_ins import LineDevice, settings, soon
@@ -115,7 +115,7 @@
 
 def test_figures_are_there_from_the_start_and_labels_can_not_break_the_form() -> None:
     counters = Counters()
-    assert lines(counters, ["a"], {"current": 0}) == [
+    assert render_metrics(counters, ["a"], {"current": 0}) == [
         'svc_answered_total{group="a"} 0',
         'svc_deferred_total{group="a"} 0',
         'svc_errored_total{group="a"} 0',
@@ -125,7 +125,7 @@
         "svc_current 0",
     ]
     counters.add_of_class("answered_total", 'q"\\\n')
-    assert lines(counters, ['q"\\\n', 'q"\\\n'], {})[0] == 'svc_answered_total{group="q\\"\\\\\\n"} 1'
+    assert render_metrics(counters, ['q"\\\n', 'q"\\\n'], {})[0] == 'svc_answered_total{group="q\\"\\\\\\n"} 1'
 
 
 def test_the_program_tells_its_figures_and_is_emptied_by_call(tmp_path: Path) -> None:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -103,7 +103,7 @@
 
 def test_serving_imports_neither_command_line_nor_second_front_nor_lab() -> None:
     code = (
-        "import sys, gradefront.__main__, gradefront.serve\n"
+        "import sys, gradefront.__main__, gradefront.service\n"
         "print([m for m in sys.modules if m.split('.')[0] in"
         " ('click', 'msgspec', 'netaddr', 'pytricia', 'aioquic', 'lab')"
         " or m.startswith(('gradefront.quic.', 'gradefront.routing', 'gradefront.cli'))])"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,7 +19,7 @@
 from balancer.events import Endpoint, EndpointListUpdate
 from gradefront.config import ConfigError, parse
 from gradefront.core.lifecycle_state import LifecycleState
-from gradefront.serve import inherited
+from gradefront.listening import inherited_listener
 from gradefront.state.form import BadForm, ConnectionSnapshot, read, write
 from gradefront.state.handover import NAME
 from lab.stand_ins import Discovery, LineDevice, Program, StandInBackend, program, settings, soon
@@ -39,7 +39,7 @@
         six.listen()
         for fd in (plain.fileno(), six.fileno(), 999):
             with pytest.raises(ConfigError, match=f"LB_SOCKET_FD: {fd}"):
-                inherited(fd)
+                inherited_listener(fd)
 
 
 def test_a_new_process_says_yes_on_fresh_news_or_once_there_is_no_more_time() -> None:
