--- a/gradefront/fleet/__init__.py
+++ b/gradefront/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What relays know of each other, where they may talk. No I/O; imported only where deploy/fleet.json is on."""
+"""Membership among relays, where they may talk to each other. No I/O; imported only where deploy/fleet.json is on."""
--- a/gradefront/fleet/members.py
+++ b/gradefront/fleet/members.py
@@ -1,8 +1,7 @@
-"""The table of members: states, which of two records is newer, and what is remembered of the gone.
+"""The member table: states, which of two records of a member overrides the other, and tombstones.
 
-Each record has one writer, the member itself; the others may only add a suspicion, or a death, to what it wrote.
-Records are ordered by incarnation, then by boot id, then by state: the same records in any order give the same
-table.
+A record has one writer, the member itself; others may only add a suspicion or a death to it. Records are ordered by
+incarnation, then by boot id, then by state: the same records in any order give the same table.
 """
 
 from __future__ import annotations
@@ -11,19 +10,22 @@
 from enum import IntEnum
 from hashlib import blake2b
 
-MOST_MEMBERS = 256  # records; beyond it the longest gone make room, and where none is gone, newcomers are refused
-FORGET_US = 60_000_000  # a tombstone's life
-FRESH_US = FORGET_US // 2  # a name that is not known is believed only on a newer word: no tombstone comes to life
+MAX_MEMBERS = 256  # a full table drops its oldest tombstone, and without one rejects newcomers
+TOMBSTONE_LIFETIME_US = 60_000_000
+# An unknown name must have spoken within this: guards against a dropped tombstone that comes back to life.
+NEWCOMER_MAX_AGE_US = TOMBSTONE_LIFETIME_US // 2
+NO_CONTACT_US = -(1 << 60)
+DIGEST_BYTES = 7
 
 
 class State(IntEnum):
-    """In the order in which one overrides another within an incarnation."""
+    """A member's state; within an incarnation the higher one overrides."""
 
-    JOINING = 0  # heard of by others only, or named in the file
+    JOINING = 0  # known from others or from the file only
     ALIVE = 1
     SUSPECT = 2
     DEAD = 3
-    LEFT = 4  # it said so itself
+    LEFT = 4  # announced by the member itself
 
 
 GONE = (State.DEAD, State.LEFT)
@@ -31,30 +33,33 @@
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """What is told of one member. `where` is its address (host:port); `boot` is drawn anew by each process;
-    `over` is the boot id that it took the name over from, 0 for none. `age_us`: since it last spoke itself."""
+    """What gossip says of one member.
+
+    `address` is host:port. `boot_id` is drawn anew by each process. `superseded_boot_id` is that of the process whose
+    name it took over, 0 for none. `age_us` is the time in microseconds since the member last spoke itself.
+    """
 
     name: str
-    where: str
+    address: str
     state: State
     incarnation: int
-    boot: int
-    over: int = 0
+    boot_id: int
+    superseded_boot_id: int = 0
     age_us: int = 0
 
-    def newer_than(self, other: Record) -> bool:
-        """A total order of all records of one name, whatever their way here."""
-        return (self.incarnation, self.boot, self.state) > (other.incarnation, other.boot, other.state)
+    def overrides(self, other: Record) -> bool:
+        """Whether this record replaces another one of the same name: a total order, whatever their order here."""
+        return (self.incarnation, self.boot_id, self.state) > (other.incarnation, other.boot_id, other.state)
 
 
 @dataclass(slots=True)
 class Member:
-    """A record, and what only this relay knows of the member."""
+    """A record, and what only this relay knows of the member. Times are microseconds on this relay's clock."""
 
     record: Record
-    spoke_us: int  # when the member last spoke to anyone, on this relay's clock, as far as told
-    changed_us: int  # when its state last changed here
-    heard_us: int = -(1 << 60)  # when this relay last heard it directly
+    last_spoke_us: int  # to anyone, as far as gossip says
+    state_changed_us: int
+    last_contact_us: int = NO_CONTACT_US  # when it last spoke to this relay
 
     @property
     def gone(self) -> bool:
@@ -63,69 +68,73 @@
 
 
 class Table:
-    """All that is known of the members but this relay itself."""
+    """All that is known of the members except this relay itself, whose name is `own_name`."""
 
-    def __init__(self, own: str) -> None:
-        self.own = own
+    def __init__(self, own_name: str) -> None:
+        self.own_name = own_name
         self.members: dict[str, Member] = {}
-        self._digest: tuple[Record, int] | None = None  # of this relay's record; none once a record has changed
-        self.refused = 0  # records for which there was no room, or whose word was too old
+        self._digest: tuple[Record, int] | None = None  # with the own record it was made for; None after a change
+        self.rejected = 0  # records of newcomers that came too late or to a full table
 
-    def take(self, record: Record, now_us: int, direct: bool = False) -> Member | None:
-        """Merge one record; the member where that changed what is known, else None."""
+    def merge(self, record: Record, now_us: int, direct: bool = False) -> Member | None:
+        """Merges a record; `direct` where the member itself sent it. Returns the member if the record changed it."""
         member = self.members.get(record.name)
         if member is None:
-            return self._enter(record, now_us, direct)
+            return self._add(record, now_us, direct)
         if record.state is not State.DEAD:
-            member.spoke_us = max(member.spoke_us, now_us - record.age_us)
-        if not record.newer_than(member.record):
+            member.last_spoke_us = max(member.last_spoke_us, now_us - record.age_us)
+        if not record.overrides(member.record):
             return None
         if record.state is not member.record.state:
-            member.changed_us = now_us
+            member.state_changed_us = now_us
         member.record, self._digest = record, None
         return member
 
-    def _enter(self, record: Record, now_us: int, direct: bool) -> Member | None:
+    def _add(self, record: Record, now_us: int, direct: bool) -> Member | None:
         if record.state in GONE:
-            return None  # nothing is known that it could end
-        if record.age_us > FRESH_US or not self._room():
-            self.refused += 1
+            return None
+        if record.age_us > NEWCOMER_MAX_AGE_US or not self._evict_if_full():
+            self.rejected += 1
             return None
         if record.state is State.ALIVE and not direct:
-            record = replace(record, state=State.JOINING)  # until it is heard itself
+            record = replace(record, state=State.JOINING)  # alive only once it has spoken to this relay
         self._digest = None
         member = self.members[record.name] = Member(record, now_us - record.age_us, now_us)
         return member
 
-    def _room(self) -> bool:
-        if len(self.members) < MOST_MEMBERS:
+    def _evict_if_full(self) -> bool:
+        """Drops the oldest tombstone of a full table. Returns whether a member can be added."""
+        if len(self.members) < MAX_MEMBERS:
             return True
         gone = [m for m in self.members.values() if m.gone]
         if not gone:
             return False
-        del self.members[min(gone, key=lambda m: (m.changed_us, m.record.name)).record.name]
+        del self.members[min(gone, key=lambda m: (m.state_changed_us, m.record.name)).record.name]
         return True
 
-    def forget(self, now_us: int, kept: frozenset[str]) -> None:
-        """Drop tombstones whose time is over, but for names that the file keeps."""
-        for name in [n for n, m in self.members.items() if m.gone and now_us - m.changed_us > FORGET_US]:
-            if name not in kept:
+    def forget(self, now_us: int, configured: frozenset[str]) -> None:
+        """Drops expired tombstones, except those of `configured` names."""
+        expired = [
+            n for n, m in self.members.items() if m.gone and now_us - m.state_changed_us > TOMBSTONE_LIFETIME_US
+        ]
+        for name in expired:
+            if name not in configured:
                 del self.members[name]
                 self._digest = None
 
     def present(self) -> list[Member]:
-        """Those that are alive or suspect."""
+        """The members that are alive or suspect."""
         return [m for m in self.members.values() if m.record.state in (State.ALIVE, State.SUSPECT)]
 
-    def digest(self, mine: Record) -> int:
-        """A number that is the same where two relays know the same, suspicions apart."""
-        if self._digest is None or self._digest[0] != mine:
+    def digest(self, own: Record) -> int:
+        """A number that two relays share if they know the same, suspicions apart. `own` is this relay's record."""
+        if self._digest is None or self._digest[0] != own:
             lines = [
-                (m.record.name, m.record.incarnation, m.record.boot, m.gone)
+                (m.record.name, m.record.incarnation, m.record.boot_id, m.gone)
                 for m in self.members.values()
-                if m.record.boot
+                if m.record.boot_id
             ]
-            lines.append((mine.name, mine.incarnation, mine.boot, mine.state in GONE))
-            packed = blake2b(repr(sorted(lines)).encode(), digest_size=7).digest()
-            self._digest = mine, int.from_bytes(packed, "big")
+            lines.append((own.name, own.incarnation, own.boot_id, own.state in GONE))
+            packed = blake2b(repr(sorted(lines)).encode(), digest_size=DIGEST_BYTES).digest()
+            self._digest = own, int.from_bytes(packed, "big")
         return self._digest[1]
--- a/gradefront/fleet/swim.py
+++ b/gradefront/fleet/swim.py
@@ -1,295 +1,312 @@
-"""Who is there: SWIM's probing and gossip, with Lifeguard's self-doubt, as a state machine without I/O.
+"""Membership: SWIM's probing and gossip, with Lifeguard's local health, as a state machine without I/O.
 
-The owner calls `tick` TICKS times a pace, `heard` for each message, and sends what both return. Times are
-microseconds on a monotonic clock of the owner; nothing here compares clocks of two relays.
+The owner calls `tick` TICKS_PER_PERIOD times a protocol period and `receive` for each message, and sends what both
+return. Times are microseconds on the owner's monotonic clock; clocks of two relays are never compared.
 
-Two points beyond the published forms. A relay that hears from fewer than half of those that it should hear from
-doubts itself first: its suspicions ripen at a third of the pace, so that one cut-off relay calls nobody dead at once.
-And a name that two processes hold is proven, not guessed: a record says which boot it took its name over from, so
-that whoever reads its own boot there, while it runs, knows that the other runs too.
+Two points go beyond the published forms. A relay that hears from fewer than half of those that it should hear from
+doubts itself first: its suspicions time out later, so that one relay that is cut off declares nobody dead at once.
+And a name that two processes hold is proven: a record says which boot it took its name over from, so that whoever
+reads its own boot id there, while it runs, knows that the other runs too.
 """
 
 from __future__ import annotations
 
 import math
 from collections import Counter
-from collections.abc import Iterable
 from dataclasses import dataclass, replace
 from random import Random
 
 from .members import Member, Record, State, Table
-from .wire import Message, Told, fill, heard, told
-
-DIRECT = 0.75  # paces: until a probe's answer is missed and others are asked to try
-HELP = 0.4  # paces: a helper's timeout; its word must be back before the prober's is over
-INDIRECT = 2.0  # paces: until the target is suspected, from the probe on
-SUSPECT = 7.0  # paces: until a suspected member is dead; a pause of a second must be over by then
-DOUBT = 3.0  # times as long, where this relay itself seems to be cut off
-HELPERS = 3  # asked to try a target that did not answer
-MOST_HEALTH = 8  # steps of self-doubt, each makes this relay's timeout a pace's share longer
-HEARD = 8.0  # paces: whoever spoke to this relay within that is heard
-SENT = 3.0  # times log2 of the members: how often a record is passed on
-TICKS = 4  # a pace: how often the owner calls `tick`
-GONE_EVERY = 4  # paces: one of the gone is tried, so that a healed split is found by both sides
-TABLE_EVERY = 4.0  # paces between two whole tables, to all others together
-HELD_UP = 3.0  # paces without a tick: this relay was paused, and what it waited for says nothing of others
+from .wire import ACK, NACK, PING, PING_REQ, TABLE, GossipRecord, Message, from_gossip, piggyback, to_gossip
+
+TICKS_PER_PERIOD = 4
+DIRECT_TIMEOUT_PERIODS = 0.75  # from the ping on, until helpers get a ping-req
+HELPER_TIMEOUT_PERIODS = 0.4  # until a helper sends its nack, which must be back before the probe times out
+PROBE_TIMEOUT_PERIODS = 2.0  # from the ping on, until the target is suspected
+SUSPICION_TIMEOUT_PERIODS = 7.0  # until a suspected member is dead; a pause of a second must be over by then
+SELF_DOUBT_FACTOR = 3.0  # on the suspicion timeout, while this relay seems to be cut off
+PING_REQ_HELPERS = 3
+MAX_LOCAL_HEALTH = 8  # each point makes this relay's probe timeouts longer by their whole length
+CONTACT_WINDOW_PERIODS = 8.0  # a member that spoke to this relay within it counts as heard
+RETRANSMIT_FACTOR = 3.0  # times log2 of the number of members: how often a record is gossiped
+DEAD_PING_INTERVAL_PERIODS = 4  # a dead member is pinged, so that both sides notice the end of a split
+TABLE_SYNC_INTERVAL_PERIODS = 4.0  # between two whole tables, to whomever
+PAUSE_DETECTION_PERIODS = 3.0  # without a tick: this relay was paused itself
 
 
 @dataclass(slots=True)
 class Probe:
-    """A question that is out."""
+    """A ping without an answer so far. `sent_us` is on this relay's clock."""
 
     target: str
     sent_us: int
-    helpers: int = 0  # asked
+    helpers: int = 0  # that got a ping-req
     nacks: int = 0
-    for_whom: tuple[str, int] | None = None  # asked on another's behalf: its name and question
+    requested_by: tuple[str, int] | None = None  # sender and probe number of the ping-req behind it
 
 
 class Swim:
-    """One relay's view of the others."""
+    """One relay's view of the others.
 
-    def __init__(self, own: Record, peers: dict[str, str], pace_us: int, random: Random, now_us: int) -> None:
-        self.me = own
-        self.pace_us = pace_us
+    `own` is its first record, `peers` the addresses of configured members by name, `period_us` the protocol period in
+    microseconds.
+    """
+
+    def __init__(self, own: Record, peers: dict[str, str], period_us: int, random: Random, now_us: int) -> None:
+        self.own = own
+        self.period_us = period_us
         self.random = random
         self.table = Table(own.name)
-        self.kept = frozenset(peers)
-        for name, where in sorted(peers.items()):
-            self.table.members[name] = Member(Record(name, where, State.JOINING, 0, 0), now_us, now_us)
+        self.configured = frozenset(peers)
+        for name, address in sorted(peers.items()):
+            self.table.members[name] = Member(Record(name, address, State.JOINING, 0, 0), now_us, now_us)
         self.counts: Counter[str] = Counter()
-        self.news: list[tuple[str, State, State]] = []  # name, state before, state now; the owner takes them out
-        self.yielded = False  # another process holds this name, and goes on with it
-        self.health = 0  # 0: nothing speaks against this relay itself
-        self.number = 0
+        self.state_changes: list[tuple[str, State, State]] = []  # name, before, after; the owner empties it
+        self.yielded = False  # another process holds this name and keeps it
+        self.local_health = 0  # 0: nothing speaks against this relay itself
+        self.last_number = 0
         self.probes: dict[int, Probe] = {}
-        self.order: list[str] = []
-        self.sent: dict[str, int] = {}  # records to pass on, and how often they were
-        self.paces = 0
-        self.next_us = self.ticked_us = now_us
-        self.table_us = 0
+        self.probe_order: list[str] = []
+        self.gossip_counts: dict[str, int] = {}  # names whose records are still gossiped, and how often they were
+        self.periods = 0
+        self.next_probe_us = self.last_tick_us = now_us
+        self.last_table_sync_us = 0
 
     # ---- what the owner calls
 
     def tick(self, now_us: int) -> list[Message]:
-        """What is due."""
+        """Returns the messages that are due."""
         if self.yielded:
             return []
-        gap, self.ticked_us = now_us - self.ticked_us, now_us
-        if gap > HELD_UP * self.pace_us:
-            self.counts["held_up"] += 1
-            self.probes.clear()  # guards against blaming others for what this relay slept through
-            for member in self.table.members.values():
-                if member.record.state is State.SUSPECT:
-                    member.changed_us += gap
-        out = self._overdue(now_us)
-        self._ripen(now_us)
-        if now_us >= self.next_us and self.me.state is not State.LEFT:
-            self.next_us = max(self.next_us + self.pace_us, now_us + self.pace_us // 2)
-            self.paces += 1
-            self.table.forget(now_us, self.kept)
+        gap_us, self.last_tick_us = now_us - self.last_tick_us, now_us
+        if gap_us > PAUSE_DETECTION_PERIODS * self.period_us:
+            self._excuse_pause(gap_us)
+        out = self._check_probes(now_us)
+        self._expire_suspicions(now_us)
+        if now_us >= self.next_probe_us and self.own.state is not State.LEFT:
+            self.next_probe_us = max(self.next_probe_us + self.period_us, now_us + self.period_us // 2)
+            self.periods += 1
+            self.table.forget(now_us, self.configured)
             out += self._probe_next(now_us)
         return out
 
-    def heard(self, message: Message, now_us: int) -> list[Message]:
-        """What a message makes due."""
-        if self.yielded or message.sender == self.me.name:
+    def receive(self, message: Message, now_us: int) -> list[Message]:
+        """Merges a message's records. Returns the messages that it calls for."""
+        if self.yielded or message.sender == self.own.name:
             self.counts["own_name"] += not self.yielded
             return []
-        for one in message.records:
-            self._merge(heard(one), now_us, one.name == message.sender and one.boot == message.boot)
+        for record in message.records:
+            direct = record.name == message.sender and record.boot_id == message.boot_id
+            self._merge(from_gossip(record), now_us, direct)
         member = self.table.members.get(message.sender)
-        if self.yielded or member is None:
-            return []  # there is no room for it
-        if member.record.boot not in (0, message.boot):
-            # A process that has lost its past, a second one of that name, or a dead one's late word: whoever holds
-            # the name now is told what is held of it.
+        if self.yielded or member is None:  # this name was lost, or the table is full
+            return []
+        if member.record.boot_id not in (0, message.boot_id):
+            # A restarted process, a second one of that name, or a late datagram of a dead one: it gets the record
+            # that is held of its name.
             self.counts["strangers"] += 1
-            return [self._make("ack", message.sender, now_us, ask=message.number, against=True)]
-        member.heard_us = member.spoke_us = now_us
-        out: list[Message] = []
-        if message.kind == "ping":
-            out.append(self._make("ack", message.sender, now_us, ask=message.number))
-        elif message.kind == "ask" and message.about in self.table.members:
-            ping = self._make("ping", message.about, now_us)
-            self.probes[ping.number] = Probe(message.about, now_us, for_whom=(message.sender, message.ask))
-            out.append(ping)
-        elif message.kind == "ack":
-            out += self._answered(message, now_us)
-        elif message.kind == "nack" and message.ask in self.probes:
-            self.probes[message.ask].nacks += 1
-        if message.kind in ("ping", "ack") and message.digest != self.table.digest(self.me):
-            out += self._tables(message.sender, now_us)
+            records = self._gossip(message.sender, now_us, correct_receiver=True)
+            return [self._message(ACK, message.sender, records, message.number)]
+        member.last_contact_us = member.last_spoke_us = now_us
+        out = self._handle(message, now_us)
+        if message.kind in (PING, ACK) and message.digest != self.table.digest(self.own):
+            out += self._table_sync(message.sender, now_us)
         return out
 
     def leave(self, now_us: int) -> list[Message]:
-        """A planned end, told to all that are present."""
-        self.me = replace(self.me, state=State.LEFT)
-        return [self._make("table", m.record.name, now_us) for m in self.table.present()]
+        """Returns the messages that announce a planned leave to all members that are present."""
+        self.own = replace(self.own, state=State.LEFT)
+        return [self._gossip_message(TABLE, m.record.name, now_us) for m in self.table.present()]
 
     @property
     def doubts(self) -> bool:
-        """Whether this relay hears from fewer than half of the members that it should hear from, by their number: two
-        a pace, its target and whoever has it for one, at random."""
+        """Whether this relay hears from fewer than half of the members that it should hear from.
+
+        The expected number follows from two contacts a period, with its target and with whoever probes it, at random.
+        """
         present = self.table.present()
-        expected = len(present) * (1 - math.exp(-2 * HEARD / max(1, len(present))))
-        return 2 * sum(self.ticked_us - m.heard_us < HEARD * self.pace_us for m in present) < expected
+        expected = len(present) * (1 - math.exp(-2 * CONTACT_WINDOW_PERIODS / max(1, len(present))))
+        window_us = CONTACT_WINDOW_PERIODS * self.period_us
+        return 2 * sum(self.last_tick_us - m.last_contact_us < window_us for m in present) < expected
 
     # ---- probing
 
+    def _excuse_pause(self, gap_us: int) -> None:
+        """Guards against blaming others for what this relay slept through."""
+        self.counts["held_up"] += 1
+        self.probes.clear()
+        for member in self.table.members.values():
+            if member.record.state is State.SUSPECT:
+                member.state_changed_us += gap_us
+
     def _probe_next(self, now_us: int) -> list[Message]:
         out = []
-        while self.order:
-            member = self.table.members.get(self.order.pop())
+        while self.probe_order:
+            member = self.table.members.get(self.probe_order.pop())
             if member and not member.gone:
-                out.append(self._ping(member, now_us))
+                ping = self._gossip_message(PING, member.record.name, now_us)
+                self.probes[ping.number] = Probe(member.record.name, now_us)
+                out.append(ping)
                 break
-        if not self.order:
-            self.order = sorted(n for n, m in self.table.members.items() if not m.gone)
-            self.random.shuffle(self.order)
-            # Guards against a newcomer that waits for a whole round: who has never been heard comes first.
-            self.order.sort(key=lambda n: self.table.members[n].record.state is State.JOINING)
-        gone = [m for m in self.table.members.values() if m.record.state is State.DEAD]
-        if gone and self.paces % GONE_EVERY == 0:
-            member = self.random.choice(gone)
-            out.append(self._make("ping", member.record.name, now_us))  # no answer says nothing new
+        if not self.probe_order:
+            self.probe_order = sorted(n for n, m in self.table.members.items() if not m.gone)
+            self.random.shuffle(self.probe_order)
+            # Guards against a newcomer that waits for a whole round: joining members are probed first.
+            self.probe_order.sort(key=lambda n: self.table.members[n].record.state is State.JOINING)
+        dead = [m for m in self.table.members.values() if m.record.state is State.DEAD]
+        if dead and self.periods % DEAD_PING_INTERVAL_PERIODS == 0:
+            # Without a probe: that a dead member does not answer says nothing new.
+            out.append(self._gossip_message(PING, self.random.choice(dead).record.name, now_us))
         return out
 
-    def _ping(self, member: Member, now_us: int) -> Message:
-        ping = self._make("ping", member.record.name, now_us)
-        self.probes[ping.number] = Probe(member.record.name, now_us)
-        return ping
-
-    def _overdue(self, now_us: int) -> list[Message]:
+    def _check_probes(self, now_us: int) -> list[Message]:
+        """Applies the probes' timeouts: ping-req, nack, suspicion."""
         out: list[Message] = []
-        stretch = self.pace_us * (1 + self.health)
+        timeout_unit_us = self.period_us * (1 + self.local_health)
         for number, probe in list(self.probes.items()):
-            waited = now_us - probe.sent_us
-            if probe.for_whom:
-                if waited > HELP * self.pace_us:
+            waited_us = now_us - probe.sent_us
+            if probe.requested_by:
+                if waited_us > HELPER_TIMEOUT_PERIODS * self.period_us:
                     del self.probes[number]
-                    prober, ask = probe.for_whom
-                    out.append(self._make("nack", prober, now_us, ask=ask, about=probe.target))
-            elif waited > INDIRECT * stretch:
+                    prober, probe_number = probe.requested_by
+                    out.append(self._gossip_message(NACK, prober, now_us, probe_number, probe.target))
+            elif waited_us > PROBE_TIMEOUT_PERIODS * timeout_unit_us:
                 del self.probes[number]
-                self._missed(probe, now_us)
-            elif waited > DIRECT * stretch and not probe.helpers:
+                self._probe_failed(probe, now_us)
+            elif waited_us > DIRECT_TIMEOUT_PERIODS * timeout_unit_us and not probe.helpers:
                 others = [m.record.name for m in self.table.present() if m.record.name != probe.target]
-                helpers = self.random.sample(others, min(HELPERS, len(others)))
+                helpers = self.random.sample(others, min(PING_REQ_HELPERS, len(others)))
                 probe.helpers = max(1, len(helpers))
-                out += [self._make("ask", name, now_us, ask=number, about=probe.target) for name in helpers]
+                out += [self._gossip_message(PING_REQ, name, now_us, number, probe.target) for name in helpers]
         return out
 
-    def _missed(self, probe: Probe, now_us: int) -> None:
-        """Nobody reached the target. Helpers that did not even say so speak against this relay."""
+    def _probe_failed(self, probe: Probe, now_us: int) -> None:
+        """Suspects the target. Missing nacks of helpers speak against this relay itself."""
         self.counts["missed"] += 1
         member = self.table.members.get(probe.target)
-        if member and member.spoke_us > probe.sent_us:
-            return  # guards against an answered suspicion that is raised again on what came before the answer
+        if member and member.last_spoke_us > probe.sent_us:
+            return  # guards against a refuted suspicion that is raised again on older evidence
         if probe.nacks < probe.helpers:
-            self.health = min(MOST_HEALTH, self.health + 1)
+            self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
         if member and member.record.state is State.ALIVE:
-            self._merge(replace(member.record, state=State.SUSPECT, age_us=now_us - member.spoke_us), now_us)
+            self._declare(member, State.SUSPECT, now_us)
+
+    def _handle(self, message: Message, now_us: int) -> list[Message]:
+        """Returns the answer to a ping, the ping that a ping-req asks for, or the ack that a helper relays."""
+        if message.kind == PING:
+            return [self._gossip_message(ACK, message.sender, now_us, message.number)]
+        if message.kind == PING_REQ and message.target in self.table.members:
+            ping = self._gossip_message(PING, message.target, now_us)
+            requested_by = message.sender, message.probe_number
+            self.probes[ping.number] = Probe(message.target, now_us, requested_by=requested_by)
+            return [ping]
+        if message.kind == ACK:
+            return self._handle_ack(message, now_us)
+        if message.kind == NACK and message.probe_number in self.probes:
+            self.probes[message.probe_number].nacks += 1
+        return []
 
-    def _answered(self, message: Message, now_us: int) -> list[Message]:
-        probe = self.probes.get(message.ask)
-        if probe is None or probe.target not in (message.sender, message.about):
+    def _handle_ack(self, message: Message, now_us: int) -> list[Message]:
+        probe = self.probes.get(message.probe_number)
+        if probe is None or probe.target not in (message.sender, message.target):
             return []
-        del self.probes[message.ask]
-        if probe.for_whom:
-            prober, ask = probe.for_whom
-            return [self._make("ack", prober, now_us, ask=ask, about=probe.target)]
-        self.health = max(0, self.health - 1)
+        del self.probes[message.probe_number]
+        if probe.requested_by:
+            prober, probe_number = probe.requested_by
+            return [self._gossip_message(ACK, prober, now_us, probe_number, probe.target)]
+        self.local_health = max(0, self.local_health - 1)
         return []
 
     # ---- what is known
 
     def _merge(self, record: Record, now_us: int, direct: bool = False) -> None:
-        if record.name == self.me.name:
-            self._of_me(record)
+        if record.name == self.own.name:
+            self._merge_about_self(record)
             return
-        before = self.table.members.get(record.name)
-        was = before.record.state if before else State.JOINING
-        member = self.table.take(record, now_us, direct)
+        known = self.table.members.get(record.name)
+        before = known.record.state if known else State.JOINING
+        member = self.table.merge(record, now_us, direct)
         if member is None:
             return
-        self.sent[record.name] = 0
-        if member.record.state is not was:
-            self.news.append((record.name, was, member.record.state))
-
-    def _of_me(self, record: Record) -> None:
-        """Others' word of this relay: a suspicion is answered by a newer record."""
-        if record.boot == self.me.boot:
-            if record.incarnation >= self.me.incarnation and record.state > self.me.state:
+        self.gossip_counts[record.name] = 0
+        if member.record.state is not before:
+            self.state_changes.append((record.name, before, member.record.state))
+
+    def _merge_about_self(self, record: Record) -> None:
+        """Refutes what others hold against this relay, by a higher incarnation, or yields its name."""
+        if record.boot_id == self.own.boot_id:
+            if record.incarnation >= self.own.incarnation and record.state > self.own.state:
                 self.counts["refuted"] += 1
-                self.health = min(MOST_HEALTH, self.health + 1)
-                self.me = replace(self.me, incarnation=record.incarnation + 1)
-        elif record.incarnation >= self.me.incarnation:
-            if record.over == self.me.boot:  # it has seen this process's own record: both run
+                self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
+                self.own = replace(self.own, incarnation=record.incarnation + 1)
+        elif record.incarnation >= self.own.incarnation:
+            if record.superseded_boot_id == self.own.boot_id:  # it has seen this process's own record: both run
                 self.counts["name_held_twice"] += 1
-                if self.me.boot < record.boot:
+                if self.own.boot_id < record.boot_id:
                     self.yielded = True
                     return
             self.counts["name_taken_over"] += 1
-            self.me = replace(self.me, incarnation=record.incarnation + 1, over=record.boot)
+            self.own = replace(self.own, incarnation=record.incarnation + 1, superseded_boot_id=record.boot_id)
 
-    def _ripen(self, now_us: int) -> None:
-        """Suspicions that nobody answered become deaths."""
-        wait = SUSPECT * self.pace_us * (DOUBT if self.doubts else 1.0)
+    def _expire_suspicions(self, now_us: int) -> None:
+        """Declares dead whoever did not refute a suspicion in time."""
+        timeout_us = SUSPICION_TIMEOUT_PERIODS * self.period_us * (SELF_DOUBT_FACTOR if self.doubts else 1.0)
         for member in list(self.table.members.values()):
-            if member.record.state is State.SUSPECT and now_us - member.changed_us > wait:
-                self._merge(replace(member.record, state=State.DEAD, age_us=now_us - member.spoke_us), now_us)
+            if member.record.state is State.SUSPECT and now_us - member.state_changed_us > timeout_us:
+                self._declare(member, State.DEAD, now_us)
+
+    def _declare(self, member: Member, state: State, now_us: int) -> None:
+        self._merge(replace(member.record, state=state, age_us=now_us - member.last_spoke_us), now_us)
 
     # ---- messages
 
-    def _make(
-        self,
-        kind: str,
-        to: str,
-        now_us: int,
-        ask: int = 0,
-        about: str = "",
-        against: bool = False,
-        records: tuple[Told, ...] | None = None,
+    def _message(
+        self, kind: str, to: str, records: tuple[GossipRecord, ...], probe_number: int = 0, target: str = ""
     ) -> Message:
-        self.number += 1
+        self.last_number += 1
         return Message(
-            sender=self.me.name,
+            sender=self.own.name,
             to=to,
-            boot=self.me.boot,
-            number=self.number,
+            boot_id=self.own.boot_id,
+            number=self.last_number,
             kind=kind,
-            ask=ask,
-            about=about,
-            digest=self.table.digest(self.me),
-            records=self._gossip(to, now_us, against) if records is None else records,
+            probe_number=probe_number,
+            target=target,
+            digest=self.table.digest(self.own),
+            records=records,
         )
 
-    def _told(self, member: Member, now_us: int) -> Told:
-        return told(member.record, now_us - member.spoke_us)
-
-    def _gossip(self, to: str, now_us: int, against: bool) -> tuple[Told, ...]:
-        """This relay's own record, what it holds against the receiver, and what was passed on least."""
-        members, most = self.table.members, SENT * math.log2(len(self.table.members) + 2)
-        self.sent = {n: k for n, k in self.sent.items() if k < most and n in members}
-        names = sorted(self.sent, key=lambda n: (self.sent[n], n))
-        target = members.get(to)
-        if target and target.record.boot and (against or target.gone or target.record.state is State.SUSPECT):
+    def _gossip_message(self, kind: str, to: str, now_us: int, probe_number: int = 0, target: str = "") -> Message:
+        """A message with the gossip that is due piggybacked on it."""
+        return self._message(kind, to, self._gossip(to, now_us), probe_number, target)
+
+    def _to_gossip(self, member: Member, now_us: int) -> GossipRecord:
+        return to_gossip(member.record, now_us - member.last_spoke_us)
+
+    def _gossip(self, to: str, now_us: int, correct_receiver: bool = False) -> tuple[GossipRecord, ...]:
+        """This relay's own record, what it holds against the receiver, and the least gossiped ones."""
+        members, limit = self.table.members, RETRANSMIT_FACTOR * math.log2(len(self.table.members) + 2)
+        self.gossip_counts = {n: k for n, k in self.gossip_counts.items() if k < limit and n in members}
+        names = sorted(self.gossip_counts, key=lambda n: (self.gossip_counts[n], n))
+        receiver = members.get(to)
+        accused = receiver is not None and (receiver.gone or receiver.record.state is State.SUSPECT)
+        if receiver and receiver.record.boot_id and (correct_receiver or accused):
             names = [to, *(n for n in names if n != to)]
-        records = fill([told(self.me, 0), *(self._told(members[n], now_us) for n in names)])
-        for one in records[1:]:
-            self.sent[one.name] = self.sent.get(one.name, 0) + 1
+        records = piggyback([to_gossip(self.own, 0), *(self._to_gossip(members[n], now_us) for n in names)])
+        for record in records[1:]:
+            self.gossip_counts[record.name] = self.gossip_counts.get(record.name, 0) + 1
         return records
 
-    def _tables(self, to: str, now_us: int) -> Iterable[Message]:
-        """All that is known, in as many messages as it needs. At a pace: in the midst of a change most differ."""
-        if now_us - self.table_us < TABLE_EVERY * self.pace_us:
+    def _table_sync(self, to: str, now_us: int) -> list[Message]:
+        """The whole table, in as many messages as it needs. Limited in rate: amid a change most digests differ."""
+        if now_us - self.last_table_sync_us < TABLE_SYNC_INTERVAL_PERIODS * self.period_us:
             return []
-        self.table_us = now_us
+        self.last_table_sync_us = now_us
         self.counts["tables"] += 1
-        out, left = [], [self._told(m, now_us) for m in self.table.members.values() if m.record.boot]
+        left = [self._to_gossip(m, now_us) for m in self.table.members.values() if m.record.boot_id]
+        out = []
         while left:
-            part = fill([told(self.me, 0), *left])
-            left = left[len(part) - 1 :]
-            out.append(self._make("table", to, now_us, records=part))
+            records = piggyback([to_gossip(self.own, 0), *left])
+            left = left[len(records) - 1 :]
+            out.append(self._message(TABLE, to, records))
         return out
--- a/gradefront/fleet/switch.py
+++ b/gradefront/fleet/switch.py
@@ -17,7 +17,7 @@
 
 
 def fleet_file() -> Path:
-    """The fleet's file."""
+    """The path of the fleet's file: GRADEFRONT_FLEET, or the one in deploy/."""
     return Path(os.environ.get("GRADEFRONT_FLEET", FILE))
 
 
@@ -28,13 +28,15 @@
 
 
 def load(config: Config, path: Path) -> FleetConfig | None:
-    """What the fleet runs on; None where there is no file or it is off. Raises ConfigError, also where the file says
-    on and the platform doesn't let relays talk."""
-    told = read_object(path)
-    if not told or not told.get("on"):
+    """The fleet's configuration, None without a file or where it is off.
+
+    Raises ConfigError, also where the file says on and the platform doesn't let relays talk.
+    """
+    content = read_object(path)
+    if not content or not content.get("on"):
         return None
     if not allowed(config):
         raise ConfigError(f"{path.name}: {FORBIDDEN}")
     from .settings import parse
 
-    return parse(told, config.name, path)
+    return parse(content, config.name, path)
--- a/gradefront/fleet/wire.py
+++ b/gradefront/fleet/wire.py
@@ -1,9 +1,11 @@
-"""Datagrams between relays: msgpack (msgspec), sealed with a shared key that has a number, so that keys can rotate.
+"""Datagrams between relays: msgpack (msgspec), sealed with a shared key that has an id, so that keys can rotate.
 
     "GF" | version 1 | key id 1 | HMAC-SHA256, first 16 | body
 
-The body names its sender, the sender's boot id, a number that only rises within that boot, and for whom it is. What
-isn't sealed, is for another, comes twice or makes no sense is a `Refused`; nothing of it is looked at.
+The body names its sender, the sender's boot id, a number that only rises within that boot, and its receiver. A
+datagram that isn't sealed, is for another, comes twice or makes no sense raises `DatagramRejectedError`.
+
+Both structs are arrays on the wire: the order of their fields is the format, their names are not.
 """
 
 from __future__ import annotations
@@ -21,122 +23,148 @@
 
 VERSION = 1
 MAGIC = b"GF"
-HEAD = len(MAGIC) + 2
-SEAL = 16
-LARGEST = 1_200  # bytes of a datagram: passes any link unbroken
-RECORDS = 32  # records in one datagram, at most; and by their size:
-ROOM = 900  # bytes for records, of LARGEST
-NUMBERS = 42  # bytes of a record beside its name and address, at most: four numbers of 9, a state, three lengths
-WINDOW = 1_024  # numbers behind the highest within which a late datagram is still taken
-MOST_BOOTS = 512  # boots whose numbers are remembered; the longest unheard makes room
+HEADER_BYTES = len(MAGIC) + 2
+MAC_BYTES = 16
+SEALED_BYTES = HEADER_BYTES + MAC_BYTES
+MAX_DATAGRAM_BYTES = 1_200  # passes any link unfragmented
+MAX_RECORDS = 32  # in a datagram
+MAX_RECORDS_BYTES = 900  # of a datagram
+RECORD_OVERHEAD_BYTES = 42  # at most, without name and address: four numbers of 9, a state, three lengths
+REPLAY_WINDOW = 1_024  # datagram numbers below the highest that are still accepted
+MAX_TRACKED_BOOTS = 512  # in the replay guard; the least recently heard one is dropped
+
+# Kinds of message, as the wire has them.
+PING = "ping"
+ACK = "ack"
+PING_REQ = "ask"
+NACK = "nack"
+TABLE = "table"
 
 Name = Annotated[str, Meta(min_length=1, max_length=40)]
 U64 = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
 
 
-class Refused(Exception):
-    """A datagram that is not taken; the argument is the counter that it goes to."""
+class DatagramRejectedError(Exception):
+    """A datagram that is not accepted; the argument is the counter that it goes to."""
 
 
-class Told(msgspec.Struct, array_like=True, frozen=True):
+class GossipRecord(msgspec.Struct, array_like=True, frozen=True):
     """A record on the wire."""
 
     name: Name
-    where: Annotated[str, Meta(max_length=100)]
+    address: Annotated[str, Meta(max_length=100)]
     state: Annotated[int, Meta(ge=0, le=4)]
     incarnation: U64
-    boot: U64
-    over: U64
+    boot_id: U64
+    superseded_boot_id: U64
     age_us: U64
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True, kw_only=True):
-    """One datagram. `ping` asks `to` for an `ack` of the same number; `ask` asks it to ping `about` and to answer for
-    it; `nack` says that `about` has not answered yet; `table` brings records only."""
+    """One datagram.
+
+    A ping asks `to` for an ack with the ping's number as `probe_number`. A ping-req asks `to` to ping `target` and to
+    relay its ack; a nack says that `target` has not answered the helper yet. A table only carries records.
+    """
 
     sender: Name
     to: Name
-    boot: U64
+    boot_id: U64
     number: U64
-    kind: Annotated[str, Meta(pattern="^(ping|ack|ask|nack|table)$")]
-    ask: U64 = 0  # the question's number
-    about: Annotated[str, Meta(max_length=40)] = ""
+    kind: Annotated[str, Meta(pattern=f"^({PING}|{ACK}|{PING_REQ}|{NACK}|{TABLE})$")]
+    probe_number: U64 = 0
+    target: Annotated[str, Meta(max_length=40)] = ""
     digest: U64 = 0
-    records: Annotated[tuple[Told, ...], Meta(max_length=RECORDS)] = ()
+    records: Annotated[tuple[GossipRecord, ...], Meta(max_length=MAX_RECORDS)] = ()
+
+
+def to_gossip(record: Record, age_us: int) -> GossipRecord:
+    """A record's form on the wire, with its age in microseconds as of now."""
+    return GossipRecord(
+        record.name,
+        record.address,
+        int(record.state),
+        record.incarnation,
+        record.boot_id,
+        record.superseded_boot_id,
+        max(0, age_us),
+    )
 
 
-def told(record: Record, age_us: int) -> Told:
-    """A record's form on the wire."""
-    return Told(
-        record.name, record.where, int(record.state), record.incarnation, record.boot, record.over, max(0, age_us)
+def from_gossip(gossip: GossipRecord) -> Record:
+    """A record from its form on the wire."""
+    return Record(
+        gossip.name,
+        gossip.address,
+        State(gossip.state),
+        gossip.incarnation,
+        gossip.boot_id,
+        gossip.superseded_boot_id,
+        gossip.age_us,
     )
 
 
-def fill(records: Iterable[Told]) -> tuple[Told, ...]:
-    """As many of them, in their order, as one datagram has room for."""
-    taken, room = list[Told](), ROOM
-    for one in records:
-        room -= len(one.name.encode()) + len(one.where.encode()) + NUMBERS
-        if room < 0 or len(taken) == RECORDS:
+def piggyback(records: Iterable[GossipRecord]) -> tuple[GossipRecord, ...]:
+    """The first of the records, as many as one datagram can carry."""
+    carried, free_bytes = list[GossipRecord](), MAX_RECORDS_BYTES
+    for record in records:
+        free_bytes -= len(record.name.encode()) + len(record.address.encode()) + RECORD_OVERHEAD_BYTES
+        if free_bytes < 0 or len(carried) == MAX_RECORDS:
             break
-        taken.append(one)
-    return tuple(taken)
-
-
-def heard(one: Told) -> Record:
-    """A record from its form on the wire."""
-    return Record(one.name, one.where, State(one.state), one.incarnation, one.boot, one.over, one.age_us)
+        carried.append(record)
+    return tuple(carried)
 
 
 class Sealer:
-    """Seals and opens datagrams; keeps what guards against replay."""
+    """Seals and opens datagrams of the relay `own_name`. `keys` by id open them; the one of id `newest` seals."""
 
-    def __init__(self, own: str, keys: dict[int, bytes], newest: int) -> None:
-        self.own = own
+    def __init__(self, own_name: str, keys: dict[int, bytes], newest: int) -> None:
+        self.own_name = own_name
         self.keys = keys
         self.newest = newest
         self.encode = msgspec.msgpack.Encoder().encode
         self.decode = msgspec.msgpack.Decoder(Message).decode
-        self.seen: OrderedDict[tuple[str, int], tuple[int, int]] = OrderedDict()  # highest number, and a bit each
+        # By sender and boot id: the highest number, and a bit for each number of the window.
+        self.replay_windows: OrderedDict[tuple[str, int], tuple[int, int]] = OrderedDict()
 
     def seal(self, message: Message) -> bytes:
         """The datagram of a message."""
-        head, body = MAGIC + bytes((VERSION, self.newest)), self.encode(message)
-        return head + self._mac(self.newest, head + body) + body
+        header, body = MAGIC + bytes((VERSION, self.newest)), self.encode(message)
+        return header + self._mac(self.newest, header + body) + body
 
     def open(self, datagram: bytes) -> Message:
-        """The message in a datagram. Raises Refused."""
-        head, seal, body = datagram[:HEAD], datagram[HEAD : HEAD + SEAL], datagram[HEAD + SEAL :]
-        if len(datagram) <= HEAD + SEAL or len(datagram) > LARGEST or head[:2] != MAGIC:
-            raise Refused("nonsense")
-        if head[2] != VERSION:
-            raise Refused("other_version")
-        if head[3] not in self.keys or not hmac.compare_digest(seal, self._mac(head[3], head + body)):
-            raise Refused("bad_seal")
+        """The message in a datagram. Raises DatagramRejectedError."""
+        header, mac, body = datagram[:HEADER_BYTES], datagram[HEADER_BYTES:SEALED_BYTES], datagram[SEALED_BYTES:]
+        if len(datagram) <= SEALED_BYTES or len(datagram) > MAX_DATAGRAM_BYTES or header[:2] != MAGIC:
+            raise DatagramRejectedError("nonsense")
+        if header[2] != VERSION:
+            raise DatagramRejectedError("other_version")
+        if header[3] not in self.keys or not hmac.compare_digest(mac, self._mac(header[3], header + body)):
+            raise DatagramRejectedError("bad_seal")
         try:
             message = self.decode(body)
         except (msgspec.DecodeError, RecursionError):
-            raise Refused("nonsense") from None
-        if message.to != self.own:
-            raise Refused("not_for_me")
-        self._once(message)
+            raise DatagramRejectedError("nonsense") from None
+        if message.to != self.own_name:
+            raise DatagramRejectedError("not_for_me")
+        self._check_replay(message)
         return message
 
-    def _mac(self, key: int, data: bytes) -> bytes:
-        return hmac.digest(self.keys[key], data, hashlib.sha256)[:SEAL]
+    def _mac(self, key_id: int, data: bytes) -> bytes:
+        return hmac.digest(self.keys[key_id], data, hashlib.sha256)[:MAC_BYTES]
 
-    def _once(self, message: Message) -> None:
-        """Guards against replay: each number of a boot counts once, and none from far back."""
-        key = message.sender, message.boot
-        highest, bits = self.seen.get(key, (0, 0))
+    def _check_replay(self, message: Message) -> None:
+        """Guards against replay: each number of a boot counts once, and none below the window."""
+        key = message.sender, message.boot_id
+        highest, bits = self.replay_windows.get(key, (0, 0))
         ahead = message.number - highest
         if ahead > 0:
-            bits = (bits << min(ahead, WINDOW) | 1) & ((1 << WINDOW) - 1)
-        elif -ahead >= WINDOW or bits >> -ahead & 1:
-            raise Refused("replayed")
+            bits = (bits << min(ahead, REPLAY_WINDOW) | 1) & ((1 << REPLAY_WINDOW) - 1)
+        elif -ahead >= REPLAY_WINDOW or bits >> -ahead & 1:
+            raise DatagramRejectedError("replayed")
         else:
             bits |= 1 << -ahead
-        self.seen[key] = max(highest, message.number), bits
-        self.seen.move_to_end(key)
-        if len(self.seen) > MOST_BOOTS:
-            self.seen.popitem(last=False)
+        self.replay_windows[key] = max(highest, message.number), bits
+        self.replay_windows.move_to_end(key)
+        if len(self.replay_windows) > MAX_TRACKED_BOOTS:
+            self.replay_windows.popitem(last=False)
--- a/gradefront/net/fleet_port.py
+++ b/gradefront/net/fleet_port.py
@@ -13,8 +13,8 @@
 from gradefront.core.relay import RelayCore
 from gradefront.fleet.members import Record, State
 from gradefront.fleet.settings import FleetConfig
-from gradefront.fleet.swim import TICKS, Swim
-from gradefront.fleet.wire import Message, Refused, Sealer
+from gradefront.fleet.swim import TICKS_PER_PERIOD, Swim
+from gradefront.fleet.wire import DatagramRejectedError, Message, Sealer
 
 log = logging.getLogger("gradefront.fleet")
 
@@ -48,26 +48,27 @@
             SystemRandom().getrandbits(62) | 1,
         )
         peers = {name: f"{where[0]}:{where[1]}" for name, where in self.config.peers.items()}
-        self.swim = Swim(own, peers, self.config.pace_us, SystemRandom(), self.core.clock())
+        self.swim = Swim(own, peers, self.config.period_us, SystemRandom(), self.core.clock())
         log.info("fleet: %s at %s:%d, %d peers in the file", self.config.name, host.host, host.port, len(peers))
         self._tick()
 
     def _tick(self) -> None:
         if self.swim and self.transport:
-            self.core.after(self.config.pace_us // TICKS, self._tick)  # first: nothing that fails here ends the ticks
+            # First: nothing that fails here ends the ticks.
+            self.core.after(self.config.period_us // TICKS_PER_PERIOD, self._tick)
             self._send(self.swim.tick(self.core.clock()))
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
         """Guards the relay: what makes no sense is counted, and harms nobody."""
         try:
             message = self.sealer.open(datagram)
-        except Refused as error:
+        except DatagramRejectedError as error:
             self.core.counters.add(f"fleet_refused_{error}")
             self._bad(str(error), addr)
             return
         try:
             if self.swim:
-                self._send(self.swim.heard(message, self.core.clock()))
+                self._send(self.swim.receive(message, self.core.clock()))
         except Exception:
             log.exception("a peer's datagram failed")
             self.core.counters.add("exceptions")
@@ -89,9 +90,9 @@
 
     def _send(self, messages: Iterable[Message]) -> None:
         assert self.swim and self.transport
-        for name, was, state in self.swim.news:
+        for name, was, state in self.swim.state_changes:
             self._tell(name, was, state)
-        self.swim.news.clear()
+        self.swim.state_changes.clear()
         if self.swim.yielded and not self.told_yielded:
             self.told_yielded = True
             log.error(
@@ -102,7 +103,7 @@
             if member is None:
                 continue
             try:
-                self.transport.write(self.sealer.seal(message), address(member.record.where, "where"))
+                self.transport.write(self.sealer.seal(message), address(member.record.address, "where"))
             except (OSError, ValueError, ConfigError):  # a full buffer, or a peer's address is none: as if lost
                 self.core.counters.add("fleet_unsent")
 
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -17,7 +17,7 @@
 from gradefront.fleet.settings import FleetConfig
 from gradefront.fleet.settings import parse as parse_fleet
 from gradefront.fleet.switch import load
-from gradefront.fleet.wire import LARGEST, Message, Refused, Sealer, fill, told
+from gradefront.fleet.wire import MAX_DATAGRAM_BYTES, DatagramRejectedError, Message, Sealer, piggyback, to_gossip
 from gradefront.net.fleet_port import FleetPort
 from lab.stand_ins import settings
 
@@ -29,55 +29,60 @@
 
 
 @given(st.lists(RECORDS, max_size=12), st.randoms())
-def test_the_same_records_in_any_order_give_the_same_table(told_: list[Record], random: Random) -> None:
+def test_the_same_records_in_any_order_give_the_same_table(received: list[Record], random: Random) -> None:
     def held(records: list[Record]) -> dict[str, tuple[int, int, State]]:
         table = Table("me")
         for name in "abc":  # known before: an unknown name's end is no news
-            table.take(Record(name, "h:1", State.JOINING, 0, 0), 0)
+            table.merge(Record(name, "h:1", State.JOINING, 0, 0), 0)
         for record in records:
-            table.take(record, 1, direct=True)
-        return {n: (m.record.incarnation, m.record.boot, m.record.state) for n, m in table.members.items()}
+            table.merge(record, 1, direct=True)
+        return {n: (m.record.incarnation, m.record.boot_id, m.record.state) for n, m in table.members.items()}
 
-    shuffled = list(told_)
+    shuffled = list(received)
     random.shuffle(shuffled)
-    assert held(told_) == held(shuffled)
+    assert held(received) == held(shuffled)
 
 
-def test_a_forgotten_name_does_not_come_back_on_an_old_word() -> None:
+def test_a_forgotten_name_does_not_come_back_on_an_old_record() -> None:
     table = Table("me")
     alive = Record("a", "h:1", State.ALIVE, 3, 9)
-    table.take(alive, 0, direct=True)
-    table.take(Record("a", "h:1", State.DEAD, 3, 9), 1_000_000)
-    table.forget(2_000_000 + members.FORGET_US, frozenset())
+    table.merge(alive, 0, direct=True)
+    table.merge(Record("a", "h:1", State.DEAD, 3, 9), 1_000_000)
+    table.forget(2_000_000 + members.TOMBSTONE_LIFETIME_US, frozenset())
     assert "a" not in table.members
-    assert table.take(Record("a", "h:1", State.ALIVE, 3, 9, age_us=members.FRESH_US + 1), 70_000_000) is None
-    assert table.take(Record("a", "h:1", State.SUSPECT, 3, 9, age_us=members.FRESH_US + 1), 70_000_000) is None
-    assert table.refused == 2 and "a" not in table.members
-    member = table.take(alive, 70_000_000)
+    assert (
+        table.merge(Record("a", "h:1", State.ALIVE, 3, 9, age_us=members.NEWCOMER_MAX_AGE_US + 1), 70_000_000) is None
+    )
+    assert (
+        table.merge(Record("a", "h:1", State.SUSPECT, 3, 9, age_us=members.NEWCOMER_MAX_AGE_US + 1), 70_000_000)
+        is None
+    )
+    assert table.rejected == 2 and "a" not in table.members
+    member = table.merge(alive, 70_000_000)
     assert member and member.record.state is State.JOINING, "until it is heard itself"
 
 
-def test_a_full_table_makes_room_by_the_longest_gone_only() -> None:
+def test_a_full_table_evicts_the_longest_gone_only() -> None:
     table = Table("me")
-    for n in range(members.MOST_MEMBERS):
-        table.take(Record(f"m{n}", "h:1", State.ALIVE, 1, 1), n, direct=True)
-    assert table.take(Record("late", "h:1", State.ALIVE, 1, 1), 900, direct=True) is None and table.refused == 1
-    table.take(Record("m5", "h:1", State.DEAD, 1, 1), 901)
-    assert table.take(Record("late", "h:1", State.ALIVE, 1, 1), 902, direct=True)
-    assert "m5" not in table.members and len(table.members) == members.MOST_MEMBERS
+    for n in range(members.MAX_MEMBERS):
+        table.merge(Record(f"m{n}", "h:1", State.ALIVE, 1, 1), n, direct=True)
+    assert table.merge(Record("late", "h:1", State.ALIVE, 1, 1), 900, direct=True) is None and table.rejected == 1
+    table.merge(Record("m5", "h:1", State.DEAD, 1, 1), 901)
+    assert table.merge(Record("late", "h:1", State.ALIVE, 1, 1), 902, direct=True)
+    assert "m5" not in table.members and len(table.members) == members.MAX_MEMBERS
 
 
 def message(number: int = 1, to: str = "b") -> Message:
-    records = fill(
-        [told(Record(f"{n:040}", "h" * 60, State.ALIVE, 1 << 60, 1 << 60, 1 << 60), 1 << 60) for n in range(99)]
+    records = piggyback(
+        [to_gossip(Record(f"{n:040}", "h" * 60, State.ALIVE, 1 << 60, 1 << 60, 1 << 60), 1 << 60) for n in range(99)]
     )
-    return Message(sender="a", to=to, boot=1 << 60, number=number, kind="ping", digest=1 << 55, records=records)
+    return Message(sender="a", to=to, boot_id=1 << 60, number=number, kind="ping", digest=1 << 55, records=records)
 
 
-def test_a_datagram_counts_once_for_whom_it_is_and_fits_any_link() -> None:
+def test_a_datagram_counts_once_for_its_receiver_and_is_never_too_long() -> None:
     ours, theirs = Sealer("a", {1: b"k" * 32}, 1), Sealer("b", {1: b"k" * 32}, 1)
     datagram = ours.seal(message(2_000))
-    assert len(datagram) <= LARGEST and theirs.open(datagram) == message(2_000)
+    assert len(datagram) <= MAX_DATAGRAM_BYTES and theirs.open(datagram) == message(2_000)
     late = ours.seal(message(1_500))
     assert theirs.open(late).number == 1_500
     for again, why in (
@@ -90,26 +95,28 @@
         (b"GF\x02" + datagram[3:], "other_version"),
         (b"GF\x01\x07" + datagram[4:], "bad_seal"),
         (datagram[:-1], "bad_seal"),
-        (datagram + b"x" * LARGEST, "nonsense"),
+        (datagram + b"x" * MAX_DATAGRAM_BYTES, "nonsense"),
     ):
-        with pytest.raises(Refused, match=why):
+        with pytest.raises(DatagramRejectedError, match=why):
             theirs.open(again)
 
 
-def test_many_records_of_short_names_fit_any_link_too() -> None:
-    short = fill([told(Record(f"{n}", "h:1", State.ALIVE, 1 << 60, 1 << 60, 1 << 60), 1 << 60) for n in range(99)])
+def test_many_records_of_short_names_make_no_datagram_too_long_either() -> None:
+    short = piggyback(
+        [to_gossip(Record(f"{n}", "h:1", State.ALIVE, 1 << 60, 1 << 60, 1 << 60), 1 << 60) for n in range(99)]
+    )
     longest = Message(
         sender="a" * 40,
         to="b" * 40,
-        boot=1 << 60,
+        boot_id=1 << 60,
         number=1 << 60,
         kind="table",
-        ask=1 << 60,
-        about="c" * 40,
+        probe_number=1 << 60,
+        target="c" * 40,
         digest=1 << 55,
         records=short,
     )
-    assert len(Sealer("a" * 40, {1: b"k" * 32}, 1).seal(longest)) <= LARGEST
+    assert len(Sealer("a" * 40, {1: b"k" * 32}, 1).seal(longest)) <= MAX_DATAGRAM_BYTES
 
 
 class Wire:
@@ -127,7 +134,7 @@
         self.sent.append(where)
 
 
-def test_a_peer_that_tells_a_name_for_its_address_does_not_end_the_relays_ticks() -> None:
+def test_a_peer_that_gives_a_name_as_its_address_does_not_end_the_relays_ticks() -> None:
     bench, wire = Bench(), Wire()
     port = FleetPort(
         FleetConfig("n0", ("127.0.0.1", 0), {"n1": ("127.0.0.1", 9)}, {1: b"k" * 32}, 1, 200_000), bench.core
@@ -135,7 +142,7 @@
     port.transport = wire
     port.startProtocol()
     assert port.swim
-    port.swim.table.take(Record("n2", "relay-2:9", State.ALIVE, 1, 5), bench.now, direct=True)
+    port.swim.table.merge(Record("n2", "relay-2:9", State.ALIVE, 1, 5), bench.now, direct=True)
     bench.wait(3_000_000)
     assert bench.core.counters.counts["fleet_unsent"] >= 3 and wire.sent.count(("127.0.0.1", 9)) >= 3
 
@@ -144,7 +151,7 @@
 def test_nonsense_under_a_good_seal_is_refused(body: bytes) -> None:
     sealer = Sealer("b", {1: b"k" * 32}, 1)
     head = b"GF\x01\x01"
-    with pytest.raises(Refused):
+    with pytest.raises(DatagramRejectedError):
         sealer.open(head + sealer._mac(1, head + body) + body)
 
 
--- a/tests/test_fleet_world.py
+++ b/tests/test_fleet_world.py
@@ -100,16 +100,16 @@
     assert world.until_right(5) < 5
 
 
-def test_a_planned_leave_is_told_and_no_suspicion_comes_of_it() -> None:
+def test_a_planned_leave_is_announced_and_raises_no_suspicion() -> None:
     world = settled(12, 9)
-    told = len(world.history)
+    earlier = len(world.history)
     world.leave("n5")
     world.run(world.now + S)
-    news = world.history[told:]
-    assert {who for _, who, whom, _, state in news if (whom, state) == ("n5", State.LEFT)} == {
+    changes = world.history[earlier:]
+    assert {who for _, who, whom, _, state in changes if (whom, state) == ("n5", State.LEFT)} == {
         r.name for r in world.running()
     }
-    assert not any(state in (State.SUSPECT, State.DEAD) for *_, state in news)
+    assert not any(state in (State.SUSPECT, State.DEAD) for *_, state in changes)
 
 
 def test_a_strange_key_reaches_nobody_and_keys_rotate_under_load() -> None:
@@ -144,7 +144,7 @@
 def one(now_us: int = 0) -> Swim:
     swim = Swim(Record("me", "h:1", State.ALIVE, 1, 5), {}, 200_000, Random(1), now_us)
     for name in "ab":
-        swim.table.take(Record(name, "h:1", State.ALIVE, 1, 7), now_us, direct=True)
+        swim.table.merge(Record(name, "h:1", State.ALIVE, 1, 7), now_us, direct=True)
     return swim
 
 
@@ -153,20 +153,20 @@
     while not swim.probes:
         now += 50_000
         swim.tick(now)
-    swim.table.take(Record("b", "h:1", State.SUSPECT, 1, 7), now)
+    swim.table.merge(Record("b", "h:1", State.SUSPECT, 1, 7), now)
     now += 5_000_000  # paused: a question was out, and a suspicion was ripening
     swim.tick(now)
     assert {n: m.record.state for n, m in swim.table.members.items()} == {"a": State.ALIVE, "b": State.SUSPECT}
     assert swim.counts["held_up"] == 1 and not swim.counts["missed"]
 
 
-def test_an_answered_suspicion_is_not_raised_again_on_what_came_before_the_answer() -> None:
+def test_a_refuted_suspicion_is_not_raised_again_on_older_evidence() -> None:
     swim, now = one(), 0
     while not swim.probes:
         now += 50_000
         swim.tick(now)
     (probe,) = swim.probes.values()
-    swim.table.take(Record(probe.target, "h:1", State.ALIVE, 2, 7), now + 100_000)  # it refuted another's suspicion
+    swim.table.merge(Record(probe.target, "h:1", State.ALIVE, 2, 7), now + 100_000)  # it refuted another's suspicion
     for _ in range(12):
         now += 50_000
         swim.tick(now)
