--- a/gradefront/admin/server.py
+++ b/gradefront/admin/server.py
@@ -64,7 +64,7 @@
         self.answered = True
         self.timeout.cancel()
         for line in lines:
-            self.say(line.encode())
+            self.write_line(line.encode())
         self.finish(self.server.closing)
 
     def connectionLost(self, reason: Any = None) -> None:
--- a/gradefront/net/backend_connection.py
+++ b/gradefront/net/backend_connection.py
@@ -1,11 +1,11 @@
-"""Upstream connections to backends: one connection for each attempt, which becomes the connection's when it
-stands."""
+"""Connections to backends: one for each attempt. A successful attempt's connection serves the client."""
 
 from __future__ import annotations
 
 import logging
 import re
 from collections.abc import Callable
+from enum import Enum
 from typing import Any
 
 from twisted.internet.protocol import ClientFactory
@@ -22,7 +22,15 @@
 
 log = logging.getLogger("gradefront.upstream")
 
-SERVED = re.compile(rb"UP [!-~][ -~]*")  # the answer that makes a connection stand: with a receipt, for the client
+ESTABLISHED_RESPONSE = re.compile(rb"UP [!-~][ -~]*")
+
+
+class RequestStage(Enum):
+    """How far the request line has come."""
+
+    UNWRITTEN = "unwritten"
+    BUFFERED = "buffered"  # the transport has it
+    SENT = "sent"  # the kernel has all of it
 
 
 class BackendProtocol(Lines):
@@ -30,24 +38,24 @@
 
     def __init__(self, upstream: LineBackendConnection) -> None:
         self.upstream = upstream
-        self.stage = 0  # 1: the first line is with the transport, 2: it has left
+        self.stage = RequestStage.UNWRITTEN
 
     def connectionMade(self) -> None:
-        """Send the first line, and learn from the transport when its last byte has left."""
+        """Send the request line, and learn from the transport when its last byte has left."""
         transport = self.wire
         self.send_at_once()
-        transport.before_send = self._may_leave
+        transport.before_send = self._may_send
         transport.registerProducer(self, False)
-        # At once, not when the loop comes round: until then the client may leave, or the backend be told to drain.
+        # At once, not when the loop comes round: until then the client may leave, or the backend start to drain.
         transport.flush()
 
-    def _may_leave(self) -> bool:
-        """Asked before each piece of the first line leaves: a short write may leave the rest for later, and what
+    def _may_send(self) -> bool:
+        """Asked before each piece of the request line leaves: a short write may leave the rest for later, and what
         forbids the first piece forbids the last. Until the last has left, the backend has no request."""
         attempt = self.upstream.attempt
-        why = attempt.send_veto()
-        if why:
-            attempt.end(why)
+        veto = attempt.send_veto()
+        if veto:
+            attempt.end(veto)
             self.abort()
             return False
         attempt.advance(AttemptPhase.WRITING)
@@ -56,37 +64,37 @@
     def resumeProducing(self) -> None:
         """Called as a pull producer: first to write, then when all that was written has left."""
         transport = self.wire
-        if self.stage == 0:
-            self.stage = 1
-            self.say(self.upstream.first.with_time(self.upstream.attempt.remaining_us()))
-        elif self.stage == 1:
-            self.stage = 2
+        if self.stage is RequestStage.UNWRITTEN:
+            self.stage = RequestStage.BUFFERED
+            self.write_line(self.upstream.request_line.with_time(self.upstream.attempt.remaining_us()))
+        elif self.stage is RequestStage.BUFFERED:
+            self.stage = RequestStage.SENT
             transport.before_send = None
             transport.unregisterProducer()
             self.upstream.attempt.advance(AttemptPhase.SENT)
 
     def stopProducing(self) -> None:
-        """The transport is gone; `connectionLost` tells the rest."""
+        """The transport is gone; `connectionLost` does the rest."""
 
     def lineReceived(self, line: bytes) -> None:
-        """Guards the relay: an exception ends this connection only."""
+        """Handle a line. Guards the relay: an exception ends this connection only."""
         try:
-            self.upstream.heard(line)
+            self.upstream.on_line(line)
         except Exception:
-            log.exception("a push box's line failed")
+            log.exception("a backend's line failed")
             self.abort()
 
-    def lineLengthExceeded(self, line: bytes) -> None:
-        """An overlong line ends this connection; whoever stands on it is told to come again."""
+    def lineLengthExceeded(self, line: bytes) -> None:  # noqa: ARG002 - Twisted's signature
+        """End this connection for an overlong line; an established one migrates."""
         self.upstream.bad("sent an overlong line")
         attempt = self.upstream.attempt
         attempt.core.migrate(attempt.connection)
         self.abort()
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Tell the upstream connection, after what the backend sent of an unfinished line."""
+        """Report the end, with what the backend sent of an unfinished line."""
         super().connectionLost(reason)
-        self.upstream.lost(ending(reason), self.unfinished())
+        self.upstream.on_connection_lost(ending(reason), self.unfinished())
 
 
 class LineBackendConnection(ClientFactory):
@@ -94,97 +102,97 @@
 
     noisy = False
 
-    def __init__(self, attempt: Attempt, first: FirstLine, closing: ConnectionCloser) -> None:
+    def __init__(self, attempt: Attempt, request_line: FirstLine, closing: ConnectionCloser) -> None:
         self.closing = closing
         self.attempt = attempt
-        self.first = first
+        self.request_line = request_line
         self.line: BackendProtocol | None = None
         self.connector: Any = None
         self.to_client: Callable[[bytes], None] | None = None
-        self.cause = Cause.BROKEN
+        self.cause = Cause.BROKEN  # of the attempt's end, if the connection ends in order now
         self.gone = False
-        self.reports = attempt.connection.settings.load_report_source is LoadReportSource.ATTEMPT_RESULTS
+        self.reads_load_report = attempt.connection.settings.load_report_source is LoadReportSource.ATTEMPT_RESULTS
 
-    # ---- as Twisted's factory
+    # ---- Twisted's factory
 
-    def buildProtocol(self, addr: object) -> BackendProtocol:
-        """The connection stands."""
+    def buildProtocol(self, addr: object) -> BackendProtocol:  # noqa: ARG002 - Twisted's signature
+        """The connection to the backend is open."""
         self.line = BackendProtocol(self)
         return self.line
 
-    def clientConnectionFailed(self, connector: object, reason: object) -> None:
-        """Refused, or never came up."""
+    def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: ARG002 - Twisted's signature
+        """The backend refused, or the connection was given up before it was open."""
         self.gone = True
         self.attempt.end(Cause.BROKEN)
 
-    # ---- what the backend says
+    # ---- from the backend
 
-    def heard(self, line: bytes) -> None:
-        """A whole line from the backend."""
+    def on_line(self, line: bytes) -> None:
+        """Handle a complete line from the backend."""
         attempt = self.attempt
         if attempt.is_over:
             return
-        word = line.partition(b" ")[0]
-        if word in (b"BYE", b"ERR", b"BUSY") and self.reports:
+        verb = line.partition(b" ")[0]
+        if verb in (b"BYE", b"ERR", b"BUSY") and self.reads_load_report:
             attempt.report = read_report(line)
         if attempt.phase < AttemptPhase.UP:
-            self._answered(line, word)
+            self._on_response(line, verb)
             return
         if line.startswith(b"LOAD "):
             try:
                 attempt.on_load_report(float(line[5:]))
             except ValueError:
-                self.bad("told a load that is no number")
+                self.bad("sent a load that is no number")
         else:
             attempt.on_message_received()
             if line == b"MOVE":
                 self.cause = Cause.SENT_AWAY
-            elif word == b"BYE":
+            elif verb == b"BYE":
                 self.cause = Cause.SERVED
         if self.to_client:
             self.to_client(line + b"\r\n")
 
-    def _answered(self, line: bytes, word: bytes) -> None:
-        """The backend's answer to the first line."""
+    def _on_response(self, line: bytes, verb: bytes) -> None:
+        """Handle the response to the request line."""
         attempt = self.attempt
-        if word == b"BUSY":
+        if verb == b"BUSY":
             attempt.end(Cause.FULL)
-        elif attempt.phase < AttemptPhase.SENT:  # it has not left whole, and has not run
-            self.bad("answered before it was asked")
+        elif attempt.phase < AttemptPhase.SENT:  # the request has not left completely, and was not executed
+            self.bad("responded before the request was sent")
             attempt.end(Cause.BROKEN)
-        elif SERVED.fullmatch(line):
+        elif ESTABLISHED_RESPONSE.fullmatch(line):
             attempt.succeed(line)
-        elif word == b"MOVE":
+        elif verb == b"MOVE":
             attempt.end(Cause.SENT_AWAY)
         else:
-            if word != b"ERR":
-                self.bad("gave no answer of the protocol")
+            if verb != b"ERR":
+                self.bad("sent no response of the protocol")
             attempt.end(Cause.ERROR)
 
     def bad(self, what: str) -> None:
-        """The backend sent what none sends."""
+        """Count what no backend sends."""
         core = self.attempt.core
-        core.counters.bad("bad_answers", f"push box {self.attempt.backend} {what}", core.clock())
+        core.counters.bad("bad_answers", f"backend {self.attempt.backend} {what}", core.clock())
 
-    def lost(self, how: ConnectionEnd, rest: bytes) -> None:
-        """The connection to the backend ended."""
+    def on_connection_lost(self, how: ConnectionEnd, unfinished: bytes) -> None:
+        """The connection to the backend ended, after `unfinished` of a line."""
         self.gone = True
-        if rest and self.to_client and not self.attempt.is_over:
-            self.to_client(rest)
+        if unfinished and self.to_client and not self.attempt.is_over:
+            self.to_client(unfinished)
         self.attempt.end(self.cause if how is ConnectionEnd.ORDERLY else Cause.BROKEN, how)
 
-    # ---- what the client's side says
+    # ---- from the client
 
-    def pass_on(self, line: bytes) -> None:
-        """A whole line from the client."""
+    def forward_line(self, line: bytes) -> None:
+        """Forward a complete line from the client."""
         if self.line and self.line.transport and not self.gone:
             self.attempt.on_message_sent()
             self.line.wire.write(line + b"\r\n")
 
-    def pass_rest(self, rest: bytes) -> None:
-        """What the client sent of an unfinished line before it ended."""
+    def forward_unfinished(self, unfinished: bytes) -> None:
+        """Forward what the client sent of an unfinished line before it ended."""
         if self.line and self.line.transport and not self.gone:
-            self.line.wire.write(rest)
+            self.line.wire.write(unfinished)
 
     def close(self, how: ConnectionEnd) -> None:
         """End this connection, in the way given."""
@@ -194,8 +202,8 @@
                 self.gone = True
                 self.connector.disconnect()
         elif self.line.transport and not self.gone:
-            # An attempt that is given up must leave nothing that could still arrive: another one may follow, and
-            # what is written, here or in the kernel, goes on its way until the connection is reset.
+            # A cancelled attempt must leave nothing that could still arrive: a retry may follow, and what is written,
+            # here or in the kernel, goes on its way until the connection is reset.
             if how is ConnectionEnd.BROKEN or self.attempt.phase < AttemptPhase.UP:
                 self.line.abort()
             else:
@@ -204,7 +212,7 @@
 
 
 class LineBackendConnector:
-    """Reaches backends over the platform's lines."""
+    """Reaches backends over the platform's lines. `address` gives a listed backend's host and port."""
 
     def __init__(
         self, reactor: Reactor, address: Callable[[str], tuple[str, int] | None], closing: ConnectionCloser
@@ -214,12 +222,12 @@
         self.address = address
 
     def connect(self, attempt: Attempt, request_line: object) -> BackendConnection:
-        """Connect and send the client's first line."""
+        """Connect and send the client's request line. The outcome goes to `attempt`."""
         assert isinstance(request_line, FirstLine)
         upstream = LineBackendConnection(attempt, request_line, self.closing)
-        where = self.address(attempt.backend)
-        if where is None:  # not in the endpoint list any more: nothing was sent
+        address = self.address(attempt.backend)
+        if address is None:  # not in the endpoint list any more: nothing was sent
             attempt.end(Cause.BROKEN)
         else:
-            upstream.connector = self.reactor.connectTCP(*where, upstream, timeout=None)
+            upstream.connector = self.reactor.connectTCP(*address, upstream, timeout=None)
         return upstream
--- a/gradefront/net/base.py
+++ b/gradefront/net/base.py
@@ -19,12 +19,12 @@
 
 @implementer(IHalfCloseableProtocol)
 class Lines(LineReceiver):
-    """Lines that end with CRLF and are at most 4 KiB long."""
+    """A protocol of lines that end with CRLF and are at most 4 KiB long."""
 
     MAX_LENGTH = MAX_LINE
     delimiter = b"\r\n"
     closer: ConnectionCloser | None = None  # from `finish` on
-    discarded = 0  # bytes that came after that
+    discarded = 0  # bytes received since then
     aborted = False
 
     @property
@@ -37,18 +37,18 @@
         with suppress(OSError):
             self.wire.setTcpNoDelay(True)
 
-    def say(self, line: bytes) -> None:
-        """Send a line."""
+    def write_line(self, line: bytes) -> None:
+        """Write a line, given without its end."""
         self.wire.write(line + b"\r\n")
 
     def finish(self, closer: ConnectionCloser, how: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
-        """End once all that was said has left. Nothing that comes from here on counts."""
+        """End once all that was written has left. What is received from here on is discarded."""
         if self.closer is None and not self.aborted:
             self.closer = closer
             closer.begin(self, how)
 
     def dataReceived(self, data: bytes) -> None:
-        """Bytes. Those after the end are thrown away, so that they can't turn it into a reset; so many at most."""
+        """Bytes. After the end up to MAX_DISCARDED are read and discarded: unread they would turn it into a reset."""
         if self.closer is None:
             cast(Any, super()).dataReceived(data)
             return
@@ -57,7 +57,7 @@
             self.closer.on_overrun(self)
 
     def abort(self) -> None:
-        """End at once, by a reset. Nothing more is read: what still lies there stays."""
+        """End at once, by a reset. Nothing more is read."""
         self.aborted = True
         self.wire.abortConnection()
 
@@ -69,8 +69,8 @@
             self.peer_ended()
 
     def peer_ended(self) -> None:
-        """The peer has shut its sending side before this one was to end: that is the end of both sides, unless a
-        protocol has something to say to a peer that may still read."""
+        """The peer has shut its sending side first: by default that ends both sides. A protocol with a last line for
+        a peer that may still read overrides this."""
         cast(Any, self.wire).connectionLost(cast(Any, Failure)(ConnectionDone()))
 
     def writeConnectionLost(self) -> None:
@@ -78,34 +78,33 @@
         if self.closer:
             self.closer.on_sent(self)
 
-    def connectionLost(self, reason: Any = None) -> None:
+    def connectionLost(self, reason: Any = None) -> None:  # noqa: ARG002 - Twisted's signature
         """The connection is no more."""
         if self.closer:
             self.closer.over(self)
 
     def catch_up(self) -> bool:
-        """Take what lies unread on this connection. Whether the other end has ended its side, be it heard of or not:
-        the loop may be busy with what came up beside it."""
+        """Read what lies unread. Whether the peer has ended its side, also where the reactor has not seen it yet."""
         return self.closer is not None or self.aborted or bool(self.wire.catch_up())
 
     def unfinished(self) -> bytes:
-        """What has come of a line that has no end yet."""
+        """Remove and return what has come of a line that has no end yet."""
         return cast(bytes, cast(Any, self).clearLineBuffer())
 
     def take_bytes(self, data: bytes) -> None:
-        """Take what another process, or this one, read of the connection before."""
+        """Handle what was read of the connection before, in this process or in another."""
         if data:
             cast(Any, self).dataReceived(data)
 
     def read_bytes(self) -> None:
-        """From here on bytes, not lines."""
+        """From here on receive bytes, not lines."""
         cast(Any, self).setRawMode()
 
     def read_lines(self, rest: bytes) -> None:
-        """From here on lines again, beginning with `rest`."""
+        """From here on receive lines again, beginning with `rest`."""
         cast(Any, self).setLineMode(rest)
 
 
 def ending(reason: Any) -> ConnectionEnd:
-    """How the other side ended its connection."""
+    """How the other side ended its connection, by Twisted's reason."""
     return ConnectionEnd.ORDERLY if reason.check(ConnectionDone) else ConnectionEnd.BROKEN
--- a/gradefront/net/client_protocol.py
+++ b/gradefront/net/client_protocol.py
@@ -1,7 +1,7 @@
-"""The platform's front: clients' connections, one connection each.
+"""Clients' connections on the platform's lines: the protocol of one connection, and its factory.
 
-A connection stands at the door until its first line has made a connection. Whoever stays there, or says what no
-device says, is sent away soon and cheaply: such clients come by hundreds, and come back at once.
+Clients that make no request, or send what no client sends, come by hundreds and reconnect at once: they are
+rejected early and cheaply.
 """
 
 from __future__ import annotations
@@ -20,45 +20,46 @@
 from .backend_connection import LineBackendConnection
 from .base import Lines, ending
 from .closing import DESCRIPTOR_SHARE, ConnectionCloser
-from .lines import BadLine, read_first, read_id
+from .descriptor_budget import DescriptorBudget
+from .lines import InvalidLineError, read_first, read_id
+from .seen_ids import SeenIds
 
 log = logging.getLogger("gradefront.front")
 
-DOOR_US = 2_200_000  # from connecting: an error or the end is owed within 3 s to whoever has made no connection
-MOST_PINGS = 32  # on one connection; a front asks a few times until the relay is ready
-SPARE_SOCKETS = 48  # kept back from connections: the list, health checks, listening, the platform's own
-ROOM_PART = 8  # of the descriptors, one part in so many is kept free of the door for connections that come
-FRESH_US = 250_000  # a connection so new is not ended for want of room: its line may be on its way
-IDS_KEPT = 4_096  # ids remembered: each connection has a new one, so that a second use is somebody else's
+PRE_REQUEST_TIMEOUT_US = 2_200_000  # from connecting; a client that has made no request is owed an answer within 3 s
+MAX_PINGS = 32  # on one connection, before its request
+MIN_PRE_REQUEST_AGE_US = (
+    250_000  # a younger connection is not closed for its descriptor: its request may be under way
+)
 
 
 class ClientProtocol(Lines):
-    """The lines to and from one client."""
+    """The lines to and from one client. To the core it is the connection's client side (`ports.ClientConnection`)."""
 
     def __init__(self, front: ClientProtocolFactory) -> None:
         self.front = front
         self.connection: Connection | None = None
-        self.upstream: LineBackendConnection | None = None
+        self.upstream: LineBackendConnection | None = None  # from when the connection is established
         self.pings = 0
-        self.id = b""  # of the connection that it made
+        self.id = b""  # the connection id in its request
         self.closing = False
 
-    # ---- as Twisted's protocol
+    # ---- Twisted's protocol
 
     def connectionMade(self) -> None:
-        """A device connected."""
+        """The client connected."""
         self.send_at_once()
         self.arrived_us = self.front.core.clock()
-        self.timeout = self.front.core.after(DOOR_US, self._mute)
+        self.timeout = self.front.core.after(PRE_REQUEST_TIMEOUT_US, self._on_pre_request_timeout)
         self.front.on_connected(self)
 
-    def _mute(self) -> None:
+    def _on_pre_request_timeout(self) -> None:
         """Guards the descriptors: silence, half a line, dripping bytes, endless `PING` get no more time."""
         self.front.core.counters.add("mute")
-        self._last(b"ERR")
+        self._finish_with(b"ERR")
 
     def lineReceived(self, line: bytes) -> None:
-        """Guards the relay: an exception ends this connection only."""
+        """Handle a line. Guards the relay: an exception ends this connection only."""
         try:
             self._line(line)
         except Exception:
@@ -70,119 +71,119 @@
         if self.closing:
             return
         if self.upstream:
-            self.upstream.pass_on(line)
+            self.upstream.forward_line(line)
         elif self.connection:
-            self.front.bad("a line before its visit stood")  # a device waits for its answer first
+            self.front.bad("a line before its connection was established")  # a client waits for its answer first
             self.front.core.reject_unestablished(self.connection)
-        elif line == b"PING" and self.pings < MOST_PINGS:
+        elif line == b"PING" and self.pings < MAX_PINGS:
             self.pings += 1
-            self.say(b"PONG" if self.front.core.lifecycle.accepts_clients else b"ERR")
+            self.write_line(b"PONG" if self.front.core.lifecycle.accepts_clients else b"ERR")
         else:
-            self._first(line)
+            self._on_request_line(line)
 
-    def _first(self, line: bytes) -> None:
+    def _on_request_line(self, line: bytes) -> None:
         front = self.front
         try:
-            call, backend = read_first(line, front.config)
+            request, backend = read_first(line, front.config)
             self.id = read_id(line)
             front.new_id(self.id)
-        except BadLine as error:
+        except InvalidLineError as error:
             if error.request_class in front.core.request_classes.names:  # it was in force before
                 front.core.counters.add_of_class("errored_total", error.request_class)
             front.bad(str(error))
-            self._last(b"ERR")
+            self._finish_with(b"ERR")
             return
-        if front.descriptors_held() + 1 > front.config.sockets - SPARE_SOCKETS:
+        if front.descriptors_held() + 1 > front.budget.for_requests:
             # Guards against running out of descriptors: a connection holds one more, to its backend.
             front.core.counters.add("no_sockets")
-            front.core.count_answer("deferred_total", call.request_class)
-            self._last(b"BUSY")
+            front.core.count_answer("deferred_total", request.request_class)
+            self._finish_with(b"BUSY")
             return
         self.timeout.cancel()
         front.pre_request.pop(self, None)
         if backend:
-            self.connection = front.core.adopt_connection(call, self, front.connector, backend)
+            self.connection = front.core.adopt_connection(request, self, front.connector, backend)
         else:
-            self.connection = front.core.accept(call, self, front.connector)
+            self.connection = front.core.accept(request, self, front.connector)
 
-    def lineLengthExceeded(self, line: bytes) -> None:
-        """An overlong line ends this connection."""
+    def lineLengthExceeded(self, line: bytes) -> None:  # noqa: ARG002 - Twisted's signature
+        """End this connection for an overlong line."""
         if not self.closing:
             self.front.bad("an overlong line")
             self.fail_protocol()
 
     def fail_protocol(self) -> None:
-        """End a connection on which nothing more can be understood: whoever waits for an answer gets it."""
+        """End a connection on which nothing more can be understood, with a final answer if one is owed."""
         if self.connection and self.upstream:
             self.front.core.migrate(self.connection)
         elif self.connection:
             self.front.core.reject_unestablished(self.connection)
-        self._last(b"ERR")
+        self._finish_with(b"ERR")
 
     def peer_ended(self) -> None:
-        """The client has shut its sending side, and may read on: nothing more is forwarded for it, but a final answer
-        harms in neither reading."""
-        rest = self.unfinished()
-        if self.upstream and rest:
-            self.upstream.pass_rest(rest)
-        stood = self.upstream is not None
+        """The client has shut its sending side and may still read: nothing more is forwarded for it, but a final
+        answer harms in neither reading."""
+        unfinished = self.unfinished()
+        if self.upstream and unfinished:
+            self.upstream.forward_unfinished(unfinished)
+        was_established = self.upstream is not None
         if self.connection:
             self.front.core.on_client_closed(self.connection, ConnectionEnd.ORDERLY)
-        if self.connection and not stood:
-            self._last(b"ERR")
+        if self.connection and not was_established:
+            self._finish_with(b"ERR")
         self._close()
         self.front.closing.on_peer_ended(self)
 
     def connectionLost(self, reason: Any = None) -> None:
-        """The device ended its side, or this relay did."""
+        """The client or this relay ended the connection."""
         super().connectionLost(reason)
         self.front.open_connections -= 1
         self.front.pre_request.pop(self, None)
         self.timeout.cancel()
-        rest = self.unfinished()
-        if self.upstream and rest and not self.closing:
-            self.upstream.pass_rest(rest)
+        unfinished = self.unfinished()
+        if self.upstream and unfinished and not self.closing:
+            self.upstream.forward_unfinished(unfinished)
         self.closing = True
         if self.connection:
             self.front.core.on_client_closed(self.connection, ending(reason))
 
-    # ---- as the core's client side
+    # ---- the core's client side
 
     def establish(self, upstream: BackendConnection, response_line: object) -> None:
-        """Pass the backend's own line on, then all lines."""
+        """Forward the backend's response line, then all lines both ways."""
         assert isinstance(upstream, LineBackendConnection) and isinstance(response_line, bytes)
-        self.say(response_line)
+        self.write_line(response_line)
         if not self.closing:
-            self.join(upstream)
+            self.start_forwarding(upstream)
 
-    def join(self, upstream: LineBackendConnection) -> None:
-        """Pass all lines on, both ways, each side held back by the other's pace."""
+    def start_forwarding(self, upstream: LineBackendConnection) -> None:
+        """Forward all lines both ways, each side held back by the other's pace."""
         assert upstream.line
-        ours, theirs = self.wire, upstream.line.wire
+        client_transport, backend_transport = self.wire, upstream.line.wire
         self.upstream = upstream
-        upstream.to_client = ours.write
-        ours.registerProducer(theirs, True)
-        theirs.registerProducer(ours, True)
+        upstream.to_client = client_transport.write
+        client_transport.registerProducer(backend_transport, True)
+        backend_transport.registerProducer(client_transport, True)
 
     def reject(self, pause_us: int) -> None:
-        """`BUSY`, with the pause if one is advised."""
-        self._last(b"BUSY %d" % -(-pause_us // 1000) if pause_us > 0 else b"BUSY")
+        """Final answer `BUSY`, with the pause in ms if one is advised (0: none)."""
+        self._finish_with(b"BUSY %d" % -(-pause_us // 1000) if pause_us > 0 else b"BUSY")
 
     def fail(self) -> None:
-        """A line that promises nothing."""
-        self._last(b"ERR")
+        """Final answer `ERR`, which promises nothing."""
+        self._finish_with(b"ERR")
 
     def migrate(self) -> None:
-        """`MOVE`, which always stands between whole lines here: only whole lines are passed on."""
-        self._last(b"MOVE")
+        """Final line `MOVE`. Only complete lines are forwarded, so it never cuts one."""
+        self._finish_with(b"MOVE")
 
     def close(self, how: ConnectionEnd) -> None:
         """End as the backend did."""
         self._close(how)  # broken or not, its `UP` or its last line may still lie in the transport's buffer
 
-    def _last(self, line: bytes) -> None:
+    def _finish_with(self, line: bytes) -> None:
         if not self.closing:
-            self.say(line)
+            self.write_line(line)
             self._close()
 
     def _close(self, how: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
@@ -195,48 +196,52 @@
         self.finish(self.front.closing, how)
 
     def has_disconnected(self) -> bool:
-        """Whether the device has ended its side, even where that lies unread. What it sent before that is taken."""
+        """Whether the client has ended its side, even where that lies unread. What it sent before is handled."""
         return self.catch_up()
 
     def free_descriptor(self) -> None:
-        """Others need the descriptor more."""
+        """Reject this client, since others need its descriptor more."""
         self.front.core.counters.add("ended_for_room")
-        self._last(b"BUSY")
+        self._finish_with(b"BUSY")
 
     def reject_for_descriptors(self) -> None:
-        """No descriptor is left for this client: what it has asked already is answered, and it ends at once."""
+        """Reject this client for want of descriptors, after a request that it has sent already is answered."""
         self.front.core.counters.add("no_sockets")
         self.catch_up()
-        self._last(b"BUSY")
+        self._finish_with(b"BUSY")
 
 
 class ClientProtocolFactory(ServerFactory):
-    """Takes in clients' connections on the platform's protocol."""
+    """Accepts clients' connections and keeps their descriptors within the budget.
+
+    `connector` reaches backends for these clients; `upstreams` holds connections to backends that are being closed.
+    """
 
     noisy = False
 
     def __init__(
-        self, config: Config, core: RelayCore, caller: BackendConnector, upstreams: ConnectionCloser | None = None
+        self, config: Config, core: RelayCore, connector: BackendConnector, upstreams: ConnectionCloser | None = None
     ) -> None:
         self.config = config
         self.core = core
-        self.connector = caller
+        self.connector = connector
         self.open_connections = 0
-        self.pre_request: dict[
-            ClientProtocol, None
-        ] = {}  # connections that have made no connection yet, the oldest first
-        self.ids: dict[bytes, None] = {}  # of connections that made a connection, the oldest first
+        self.pre_request: dict[ClientProtocol, None] = {}  # connections without a request, the oldest first
+        self.seen_ids = SeenIds()
         self.closing = ConnectionCloser(core, config.sockets // DESCRIPTOR_SHARE)
-        # Connections to backends that are being ended.
         self.upstreams = upstreams or ConnectionCloser(core, config.sockets // DESCRIPTOR_SHARE)
 
-    def buildProtocol(self, addr: object) -> ClientProtocol:
-        """A client connects. Whoever is accepted is answered, also where there is no room."""
+    @property
+    def budget(self) -> DescriptorBudget:
+        """Limits on descriptors, by the configuration in force."""
+        return DescriptorBudget(self.config.sockets)
+
+    def buildProtocol(self, addr: object) -> ClientProtocol:  # noqa: ARG002 - Twisted's signature
+        """A client connects. Every accepted one gets an answer, even for want of descriptors."""
         return ClientProtocol(self)
 
     def accept_failed(self, error: OSError) -> None:
-        """No connection could be accepted for want of something. Where that is descriptors of this process, what is
-        needed least is given up."""
+        """No connection could be accepted. For want of this process's descriptors, free the one needed least."""
         self.core.counters.bad("accept_errors", f"no connection could be accepted: {error}", self.core.clock())
         if (
             error.errno != errno.EMFILE
@@ -248,40 +253,36 @@
         next(iter(self.pre_request)).free_descriptor()
 
     def end_rest(self) -> None:
-        """The relay ends: whoever stands at the door still is told to come again."""
-        for line in list(self.pre_request):
-            line.free_descriptor()
+        """The relay exits: reject the connections without a request."""
+        for client in list(self.pre_request):
+            client.free_descriptor()
 
     def descriptors_held(self) -> int:
-        """Descriptors held for devices: one a connection, and one more to the backend of each connection, which is
-        held for a moment longer than the connection."""
+        """Descriptors held for clients: one a client, and one more for each connection to its backend, which is held
+        a little longer than the connection."""
         return self.open_connections + len(self.core.connections) + len(self.upstreams)
 
-    def on_connected(self, line: ClientProtocol) -> None:
-        """A connection came to the door. Where descriptors run short, who stood there longest goes."""
+    def on_connected(self, client: ClientProtocol) -> None:
+        """A client connected. Where descriptors run short, close connections that need theirs least."""
         self.open_connections += 1
-        self.pre_request[line] = None
-        room = self.config.sockets - SPARE_SOCKETS - self.config.sockets // ROOM_PART
-        while self.descriptors_held() > room and (self.closing.free_descriptor() or self.upstreams.free_descriptor()):
-            pass  # who has had its answer needs its descriptor least
-        if self.descriptors_held() > room:
+        self.pre_request[client] = None
+        budget = self.budget
+        while self.descriptors_held() > budget.before_request and (
+            self.closing.free_descriptor() or self.upstreams.free_descriptor()
+        ):
+            pass  # these have had their final answers
+        if self.descriptors_held() > budget.before_request:
             oldest = next(iter(self.pre_request))
-            if line.arrived_us - oldest.arrived_us > FRESH_US:
+            if client.arrived_us - oldest.arrived_us > MIN_PRE_REQUEST_AGE_US:
                 oldest.free_descriptor()
-        # Guards the last descriptors, which what stands needs. The pages let a new connection be shut unread then;
-        # here its request, if it has come, is answered all the same.
-        if self.descriptors_held() > self.config.sockets - SPARE_SOCKETS // 2:
-            line.reject_for_descriptors()
-
-    def new_id(self, connection: bytes) -> None:
-        """Take note of an id, or raise. Guards an open connection, and the backend that counts by ids, against a
-        client that names another's id: at the backend its end would be the other's."""
-        if connection in self.ids:
-            raise BadLine("an id that was used before")
-        if len(self.ids) >= IDS_KEPT:
-            del self.ids[next(iter(self.ids))]
-        self.ids[connection] = None
+        # The protocol page lets a new connection be shut unread then; here its request, if it has come, is answered.
+        if self.descriptors_held() > budget.for_connections:
+            client.reject_for_descriptors()
+
+    def new_id(self, connection_id: bytes) -> None:
+        """Record a connection's id. Raises InvalidLineError for one that was used before."""
+        self.seen_ids.add(connection_id)
 
     def bad(self, what: str) -> None:
-        """Count what no device sends."""
+        """Count what no client sends."""
         self.core.counters.bad("bad_lines", f"bad client: {what}", self.core.clock())
--- a/gradefront/net/endpoint_list.py
+++ b/gradefront/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list, read from discovery's form."""
+"""The endpoint list, read from discovery's documents. The names of their form end here."""
 
 from __future__ import annotations
 
@@ -12,115 +12,136 @@
 from gradefront.core.start_times import NOTICE_US, Hearing, Start, start_time
 
 STATES = {"SERVING": BackendState.READY, "DRAINING": BackendState.DRAINING, "DELETED": BackendState.GONE}
+MAX_PORT = 65_535
 
 
-class Place(NamedTuple):
-    """One backend: what the module is told of it, and where it listens, which only the wire needs."""
+class ListedBackend(NamedTuple):
+    """One backend: what the core is given, and what only this package needs."""
 
-    entry: Endpoint
-    where: tuple[str, int]
+    endpoint: Endpoint
+    address: tuple[str, int]  # host and port; a gone backend has none
     start: Start
 
 
+class _Members(NamedTuple):
+    """The members of a document."""
+
+    listed: list[ListedBackend]
+    errors: list[str]
+
+
 class EndpointList:
-    """The backends by id: what the core is told of, and the addresses that only the wire needs."""
+    """The backends by id. `stepped` says whether the wall clock has been stepped since the start."""
 
     def __init__(self, config: Config, core: RelayCore, stepped: Callable[[], bool] = lambda: False) -> None:
         self.config = config
         self.core = core
-        self.stepped = stepped  # whether the wall clock has been stepped since the start
+        self.stepped = stepped
         self.revision = 0
-        self.places: dict[str, Place] = {}
-        self.last_heartbeat_us: int | None = None  # when discovery was last heard; None: not since the start
+        self.backends: dict[str, ListedBackend] = {}
+        self.last_heartbeat_us: int | None = None  # of discovery; None: none since the start
 
     def on_heartbeat(self) -> None:
-        """Discovery is there, and has nothing else to tell."""
+        """Discovery is alive, whether or not it sent an update."""
         self.last_heartbeat_us = self.core.clock()
 
-    def _hearing(self) -> Hearing:
-        """How far the times of day in a list that comes now can be believed."""
-        now = self.core.clock()
-        since_us = now - self.last_heartbeat_us if self.last_heartbeat_us is not None else 0
-        oldest_us = max(self.core.settings.warm_up_us, since_us + NOTICE_US)
-        # What differs from a list that this relay had, be it from before its start, happened of late.
-        return Hearing(now, self.stepped(), bool(self.places), oldest_us)
-
     def address(self, backend: str) -> tuple[str, int] | None:
-        """Where a backend listens."""
-        place = self.places.get(backend)
-        return place.where if place else None
-
-    def apply(self, told: dict[str, Any], whole: bool | None = None) -> None:
-        """Take one object of discovery's form: all of it is read first, then it counts at once. Raises ValueError,
-        and changes nothing, where it makes no sense."""
-        full = bool(told.get("complete")) if whole is None else whole
-        members = told.get("members")
+        """A listed backend's host and port, else None."""
+        listed = self.backends.get(backend)
+        return listed.address if listed else None
+
+    def apply(self, document: dict[str, Any], complete: bool | None = None) -> None:
+        """Apply one document of discovery. `complete` is given for one stored before the start.
+
+        Raises ValueError, and changes nothing, where the document as a whole makes no sense. An invalid member is
+        counted and left out; in a complete list, a backend known before keeps its last valid entry.
+        """
+        is_complete = bool(document.get("complete")) if complete is None else complete
+        members = document.get("members")
         if not isinstance(members, list | None):
             raise ValueError("members: not a list")
-        revision = _whole(told.get("revision") or self.revision, "revision")
-        places = {} if full else dict(self.places)
-        hearing = self._hearing()
-        entries, bad = [], list[str]()
-        for member in members or ():
+        revision = _natural(document.get("revision") or self.revision, "revision")
+        listed, errors = self._read_members(members or [], is_complete)
+        self._count_errors(errors)
+        self.backends, self.revision = self._merged(listed, is_complete), revision
+        if complete is None:
+            self.on_heartbeat()
+        self.core.on_endpoint_list(EndpointListUpdate(tuple(backend.endpoint for backend in listed), is_complete))
+
+    def _read_members(self, members: list[Any], is_complete: bool) -> _Members:
+        """Read the valid members, and describe what is wrong with the others."""
+        clock_trust = self._clock_trust()
+        listed, errors = list[ListedBackend](), list[str]()
+        for member in members:
             try:
-                place = self._place(member, hearing)
+                listed.append(self._read_member(member, clock_trust))
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-                bad.append(repr(error))
-                known = self.places.get(str(member.get("id"))) if isinstance(member, dict) else None
-                if known is None or not full:
-                    continue
-                place = known  # guards against losing one that serves, for a slip in its line
-            entry = place.entry
-            entries.append(entry)
-            if entry.state is BackendState.GONE:
-                places.pop(entry.backend, None)
+                errors.append(repr(error))
+                last_valid = self.backends.get(str(member.get("id"))) if isinstance(member, dict) else None
+                if last_valid is not None and is_complete:
+                    listed.append(last_valid)  # guards against losing a serving backend by an error in its line
+        return _Members(listed, errors)
+
+    def _count_errors(self, errors: list[str]) -> None:
+        if errors:
+            what = f"a line of the endpoint list makes no sense: {errors[0]}"
+            self.core.counters.bad("bad_list_lines", what, self.core.clock(), len(errors))
+
+    def _merged(self, listed: list[ListedBackend], is_complete: bool) -> dict[str, ListedBackend]:
+        """The backends after these entries: in place of all before, or on top of them."""
+        backends = {} if is_complete else dict(self.backends)
+        for backend in listed:
+            if backend.endpoint.state is BackendState.GONE:
+                backends.pop(backend.endpoint.backend, None)
             else:
-                places[entry.backend] = place
-        if bad:
-            self.core.counters.bad(
-                "bad_list_lines", f"a line of the box list makes no sense: {bad[0]}", self.core.clock(), len(bad)
-            )  # left out, the others stand
-        self.places, self.revision = places, revision
-        if whole is None:  # it comes from discovery now, not from before the start
-            self.on_heartbeat()
-        self.core.on_endpoint_list(EndpointListUpdate(tuple(entries), full))
+                backends[backend.endpoint.backend] = backend
+        return backends
 
-    def _place(self, member: Any, hearing: Hearing) -> Place:
-        """One line of the list. Raises where it makes no sense."""
-        config = self.config
+    def _clock_trust(self) -> Hearing:
+        """How far the times of day in a document that is applied now can be trusted."""
+        now_us = self.core.clock()
+        since_us = now_us - self.last_heartbeat_us if self.last_heartbeat_us is not None else 0
+        oldest_us = max(self.core.settings.warm_up_us, since_us + NOTICE_US)
+        # What differs from a list that this relay had, be it from before its start, happened of late.
+        return Hearing(now_us, self.stepped(), bool(self.backends), oldest_us)
+
+    def _read_member(self, member: Any, clock_trust: Hearing) -> ListedBackend:
+        """Read one member. Raises KeyError, TypeError, ValueError, AttributeError or OverflowError."""
         state = STATES.get(member["phase"], BackendState.UNKNOWN)
-        where = "", 0
-        if state is not BackendState.GONE:
-            host, _, port = member["host_port"].rpartition(":")
-            where = host.strip("[]"), _whole(int(port), "host_port")
-            if not host or not 0 < where[1] < 65536:
-                raise ValueError("host_port")
+        address = ("", 0) if state is BackendState.GONE else _read_address(member["host_port"])
         weight = float(member.get("size") or 1.0)
         if not math.isfinite(weight):
             raise ValueError("size")
         backend = str(member["id"])
-        known = self.places.get(backend)
-        start = start_time(int(member.get("up_since_ms") or 0) * 1000, known.start if known else None, hearing)
-        return Place(
-            Endpoint(
-                backend,
-                state,
-                _number(config.zones, member.get("locality")),
-                int(member.get("cell") or 0),
-                _number(config.models, member.get("flavor")),
-                weight,
-                start.at_us,
-            ),
-            where,
-            start,
+        before = self.backends.get(backend)
+        up_since_us = int(member.get("up_since_ms") or 0) * 1000
+        start = start_time(up_since_us, before.start if before else None, clock_trust)
+        endpoint = Endpoint(
+            backend,
+            state,
+            _index(self.config.zones, member.get("locality")),
+            int(member.get("cell") or 0),
+            _index(self.config.models, member.get("flavor")),
+            weight,
+            start.at_us,
         )
+        return ListedBackend(endpoint, address, start)
+
+
+def _read_address(host_port: Any) -> tuple[str, int]:
+    host, _, port_text = host_port.rpartition(":")
+    port = _natural(int(port_text), "host_port")
+    if not host or not 0 < port <= MAX_PORT:
+        raise ValueError("host_port")
+    return host.strip("[]"), port
 
 
-def _number(names: tuple[str, ...], name: object) -> int:
+def _index(names: tuple[str, ...], name: object) -> int:
+    """The place of a name, 0 where it is unknown."""
     return names.index(str(name)) if name in names else 0
 
 
-def _whole(value: object, what: str) -> int:
+def _natural(value: object, what: str) -> int:
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         raise ValueError(f"{what}: {value!r} is no whole number")
     return value
--- a/gradefront/net/endpoint_watch.py
+++ b/gradefront/net/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch on the endpoint list, over HTTP."""
+"""The watch on the endpoint list: calls to discovery, one after the other."""
 
 from __future__ import annotations
 
@@ -11,180 +11,113 @@
 from gradefront.core.relay import RelayCore
 from gradefront.core.timer_wheel import Timer
 
-from .base import Lines
 from .endpoint_list import EndpointList
+from .endpoint_watch_protocol import EndpointWatchProtocol
 from .objects import Objects
 from .reactor import Reactor
 
 log = logging.getLogger("gradefront.watch")
 
-ANSWER_US = 3_500_000  # discovery fails a call that waited 3 s by itself
-SILENCE_US = 3_000_000  # an empty line comes every 2 s; told news stands after 6 s, so ask again well before
-LOOK_AGAIN_US = 20_000  # for a loop that was held up to read what lies there
-LEAST_GRACE_US = 150_000  # of the told time after a drain, where it is shorter or not told
-
-
-class EndpointWatchProtocol(Lines):
-    """One watch: an HTTP answer in chunks, with one JSON object a line."""
-
-    def __init__(self, call: EndpointWatchCall) -> None:
-        self.call = call
-        self.state = "status"
-        self.chunked = False
-        self.missing = 0  # bytes of the present chunk still to come
-
-    def connectionMade(self) -> None:
-        """Ask for the changes since the revision known."""
-        endpoint_list, (host, port) = self.call.watch.endpoint_list, self.call.where
-        transport = self.wire
-        transport.setTcpNoDelay(True)
-        transport.write(
-            f"GET /discovery/hosts?stream=1&index={endpoint_list.revision} HTTP/1.1\r\n"
-            f"Host: {host}:{port}\r\nAccept: application/json\r\n\r\n".encode()
-        )
-
-    def lineReceived(self, line: bytes) -> None:
-        """Status, headers, and the lines round chunks."""
-        try:
-            self._line(line)
-        except (ValueError, IndexError) as error:
-            self.call.over(f"not the answer of a box list: {error!r}")
-
-    def _line(self, line: bytes) -> None:
-        if self.state == "status":
-            status = line.split(b" ")[1]
-            if status != b"200":
-                self.call.over(f"status {status.decode('ascii', 'replace')}")
-            self.state = "headers"
-        elif self.state == "headers":
-            name, _, value = line.partition(b":")
-            if name.strip().lower() == b"transfer-encoding" and b"chunked" in value.lower():
-                self.chunked = True
-            if not line:
-                self.state = "size" if self.chunked else "raw"
-                if not self.chunked:
-                    self.read_bytes()
-        elif self.state == "size":
-            self.missing = int(line.partition(b";")[0], 16)
-            if self.missing == 0:
-                self.call.over("discovery ended the watch")
-            else:
-                self.state = "chunk"
-                self.read_bytes()
-        elif self.state == "chunk end":
-            self.state = "size"
-
-    def rawDataReceived(self, data: bytes) -> None:
-        """Bytes of a chunk, or of an answer that has none."""
-        if self.state == "raw":
-            self.call.take(data)
-            return
-        part, rest = data[: self.missing], data[self.missing :]
-        self.missing -= len(part)
-        self.call.take(part)
-        if self.missing == 0:
-            self.state = "chunk end"
-            self.read_lines(rest)
-
-    def lineLengthExceeded(self, line: bytes) -> None:
-        """An overlong line ends this watch."""
-        self.call.over("an overlong line")
-
-    def connectionLost(self, reason: Any = None) -> None:
-        """Discovery ended the watch."""
-        super().connectionLost(reason)
-        self.call.over("the connection ended")
+RESPONSE_TIMEOUT_US = 3_500_000  # discovery fails a call that waited 3 s by itself
+HEARTBEAT_TIMEOUT_US = 3_000_000  # an empty line comes every 2 s; an update is in force after 6 s, received or not
+RECHECK_DELAY_US = 20_000  # for a loop that was held up to read what has come
+MIN_DRAIN_GRACE_US = 150_000  # where the settings' time after a drain is shorter, or 0
 
 
 class EndpointWatchCall(ClientFactory):
-    """One call for a watch. It ends once, with one word to the core unless a newer call took its place."""
+    """One call for a watch. It ends once, and then reports to the watch unless it was closed from there."""
 
     noisy = False
 
     def __init__(self, watch: EndpointWatch) -> None:
         self.watch = watch
-        self.where = watch.where
-        self.news = False
+        self.address = watch.address
+        self.has_update = False
         self.objects = Objects()
-        self.looked = False  # once more after the time was over
+        self.was_rechecked = False  # since the last heartbeat
         self.line: EndpointWatchProtocol | None = None
         self.ended = False
         self.connector: Any = None
-        self.timeout_us = watch.retry_us if watch.pushed else ANSWER_US
-        self.silence: Timer = self._wait(self.timeout_us)
+        self.timeout_us = watch.retry_us if watch.pushed else RESPONSE_TIMEOUT_US
+        self.timeout: Timer = self._start_timeout(self.timeout_us)
 
-    def buildProtocol(self, addr: object) -> EndpointWatchProtocol:
-        """The connection stands."""
+    @property
+    def revision(self) -> int:
+        """The revision of the list in force."""
+        return self.watch.endpoint_list.revision
+
+    def buildProtocol(self, addr: object) -> EndpointWatchProtocol:  # noqa: ARG002 - Twisted's signature
+        """The connection is open."""
         self.line = EndpointWatchProtocol(self)
         return self.line
 
-    def clientConnectionFailed(self, connector: object, reason: object) -> None:
-        """Refused."""
-        self.over("discovery refused the connection")
+    def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: ARG002 - Twisted's signature
+        """Discovery refused."""
+        self.fail("discovery refused the connection")
 
-    def alive(self) -> None:
-        """A whole object or an empty line came. Bytes that are neither are no sign of life, or a watch that drips
-        would stand for ever."""
+    def on_heartbeat(self) -> None:
+        """A complete object or an empty line came. Other bytes are no heartbeat, or a watch that drips would stay
+        open for ever."""
         if self.ended:
             return
         self.watch.endpoint_list.on_heartbeat()
-        self.silence.cancel()
-        self.looked = False
-        self.timeout_us = SILENCE_US
-        self.silence = self._wait(self.timeout_us)
-
-    def _wait(self, timeout_us: int) -> Timer:
-        return self.watch.core.after(timeout_us, partial(self._silent, self.watch.core.clock() + timeout_us))
-
-    def _silent(self, due_us: int) -> None:
-        """Guards against a watch cut off without a word: news told meanwhile would stand unheard."""
-        if self.watch.core.clock() - due_us > self.timeout_us // 2 and not self.looked:
-            # This relay was held up, and may not have read yet what came: one more look, and no more than that.
-            self.looked = True
-            self.silence = self._wait(LOOK_AGAIN_US)
+        self.timeout.cancel()
+        self.was_rechecked = False
+        self.timeout_us = HEARTBEAT_TIMEOUT_US
+        self.timeout = self._start_timeout(self.timeout_us)
+
+    def _start_timeout(self, delay_us: int) -> Timer:
+        return self.watch.core.after(delay_us, partial(self._on_timeout, self.watch.core.clock() + delay_us))
+
+    def _on_timeout(self, due_us: int) -> None:
+        """Guards against a watch that was cut off silently: updates meanwhile would be missed."""
+        if self.watch.core.clock() - due_us > self.timeout_us // 2 and not self.was_rechecked:
+            # This relay was held up, and may not have read yet what came: one more check, and no more than that.
+            self.was_rechecked = True
+            self.timeout = self._start_timeout(RECHECK_DELAY_US)
         else:
-            self.over("no sign of life")
+            self.fail("no heartbeat")
 
-    def take(self, data: bytes) -> None:
-        """Bytes of the list. Guards the relay: what makes no sense ends this call only, and changes nothing."""
+    def on_data(self, data: bytes) -> None:
+        """Handle bytes of the list. Guards the relay: what makes no sense ends this call only, and changes
+        nothing."""
         if self.ended:
             return
         try:
-            found, alive = self.objects.feed(data)
-            for told in found:
+            documents, is_heartbeat = self.objects.feed(data)
+            for document in documents:
                 if not self.ended:
-                    self._heard(told)
+                    self._on_document(document)
         except ValueError as error:
-            self.over(f"not JSON, or no list: {error}")
+            self.fail(f"not JSON, or no list: {error}")
             return
-        if alive:
-            self.alive()
-
-    def _heard(self, told: dict[str, Any]) -> None:
-        """One object."""
-        self.watch.endpoint_list.apply(told)
-        if not self.news:
-            self.news = True
+        if is_heartbeat:
+            self.on_heartbeat()
+
+    def _on_document(self, document: dict[str, Any]) -> None:
+        self.watch.endpoint_list.apply(document)
+        if not self.has_update:
+            self.has_update = True
             self.watch.failures = 0
             log.info(
-                "box list from %s:%d: revision %s, %s, %d lines",
-                *self.where,
-                told.get("revision"),
-                "whole" if told.get("complete") else "changes",
-                len(told.get("members") or ()),
+                "endpoint list from %s:%d: revision %s, %s, %d lines",
+                *self.address,
+                document.get("revision"),
+                "complete" if document.get("complete") else "changes",
+                len(document.get("members") or ()),
             )
         self.watch.core.lifecycle.on_fresh_endpoint_list()
 
-    def over(self, why: str) -> None:
-        """End this call and tell the core."""
+    def fail(self, why: str) -> None:
+        """End this call and report it to the watch, once."""
         if not self.ended:
             self.close()
-            self.watch.lost(why)
+            self.watch.on_call_failed(why)
 
     def close(self) -> None:
-        """End this call without a word."""
+        """End this call without a report."""
         self.ended = True
-        self.silence.cancel()
+        self.timeout.cancel()
         if self.line and self.line.transport:
             self.line.abort()
         elif self.connector is not None:
@@ -192,20 +125,23 @@
 
 
 class EndpointWatch:
-    """The core's port to discovery. Where lists are asked for, the module says when to call, as every call costs a
-    service that all relays share. Where they are pushed, an agent on this machine has them, answers at no cost, and
-    what it has counts as told, watch or not: so this port itself keeps a watch open from the start on."""
+    """The core's port to discovery (`ports.EndpointWatcher`). `address` is discovery's host and port.
+
+    Where lists are polled, the decision module says when to call, as each call costs a service that all relays share.
+    Where they are pushed, an agent on this machine has them and answers at no cost, and its list is in force whether
+    received or not: so this port itself keeps a watch open from the start on.
+    """
 
     def __init__(
-        self, reactor: Reactor, core: RelayCore, endpoint_list: EndpointList, where: tuple[str, int]
+        self, reactor: Reactor, core: RelayCore, endpoint_list: EndpointList, address: tuple[str, int]
     ) -> None:
         self.reactor = reactor
         self.core = core
         self.endpoint_list = endpoint_list
-        self.where = where
+        self.address = address
         self.call: EndpointWatchCall | None = None
         self.called_us = 0  # when the last call began
-        self.failures = 0  # calls in a row that brought nothing
+        self.failures = 0  # calls in a row without an update
 
     @property
     def pushed(self) -> bool:
@@ -214,11 +150,11 @@
 
     @property
     def retry_us(self) -> int:
-        """Shortest time between the starts of two calls to the agent, and its time for an answer: a third of what
-        settings allow after a drain is told."""
-        return max(self.core.settings.drain_grace_us, LEAST_GRACE_US) // 3
+        """Shortest time between the starts of two calls to the agent, and its response timeout: a third of what the
+        settings allow after a drain is announced."""
+        return max(self.core.settings.drain_grace_us, MIN_DRAIN_GRACE_US) // 3
 
-    def lost(self, why: str) -> None:
+    def on_call_failed(self, why: str) -> None:
         """A call failed, or the watch ended."""
         if not self.pushed:
             self.core.on_endpoint_list_lost(why)
@@ -227,35 +163,35 @@
         if not self.failures:  # one line for an outage, not one for each call
             log.warning("the agent's watch is lost: %s; calling again", why)
         self.failures += 1
-        # At once, but at a pace: an agent that refuses, or ends each call, is asked on until it is back.
+        # At once, but at a pace: an agent that refuses, or ends each call, is called until it is back.
         self.core.after(max(0, self.called_us + self.retry_us - self.core.clock()), self.watch)
 
     def watch(self) -> None:
-        """Ask for a watch, unless one is on: a retry that was set for a watch that has since been replaced
-        must not cost the new one its place in discovery's queue."""
+        """Start a watch unless one is open: a retry that was set for a watch that has since been replaced must not
+        cost the new one its place in discovery's queue."""
         if self.call is None or self.call.ended:
-            self._call()
+            self._start_call()
 
     def read_pending(self) -> None:
-        """Take what lies unread on the watch: a drain that was told a moment ago counts for what is sent now."""
+        """Read what lies unread on the watch: a drain announced a moment ago counts for what is sent now."""
         call = self.call
         if call and not call.ended and call.line and call.line.connected:
             call.line.catch_up()
 
-    def go_to(self, where: tuple[str, int]) -> None:
-        """Discovery is elsewhere now. The old watch ends here and now: nothing late from it counts, and its
-        end is no news. The numbers of its revisions mean nothing at the new address, so all is asked for."""
-        self.where = where
+    def go_to(self, address: tuple[str, int]) -> None:
+        """Discovery has moved. The old watch ends now: nothing late from it counts, and its end is not reported.
+        Revisions mean nothing at the new address, so the complete list is requested."""
+        self.address = address
         self.endpoint_list.revision = 0
         self.close()
-        self._call()
+        self._start_call()
 
     def close(self) -> None:
-        """The relay ends."""
+        """End the watch."""
         if self.call:
             self.call.close()
 
-    def _call(self) -> None:
+    def _start_call(self) -> None:
         self.called_us = self.core.clock()
         self.call = EndpointWatchCall(self)
-        self.call.connector = self.reactor.connectTCP(*self.where, self.call, timeout=None)
+        self.call.connector = self.reactor.connectTCP(*self.address, self.call, timeout=None)
--- a/gradefront/net/fleet_port.py
+++ b/gradefront/net/fleet_port.py
@@ -1,4 +1,4 @@
-"""The fleet's datagrams on a UDP socket: a thin shell round `fleet.swim`."""
+"""The fleet's datagrams on a UDP socket; `fleet.swim` decides what they say."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 log = logging.getLogger("gradefront.fleet")
 
-TELL_US = 1_000_000  # between two log lines about datagrams that were refused
-MOST_NEWS = 20  # log lines of members' states a second; the rest is counted
+LOG_INTERVAL_US = 1_000_000  # of the limits on log lines
+MAX_STATE_LOGS = 20  # log lines of members' states an interval; the rest is only counted
 
 
 class FleetPort(DatagramProtocol):
-    """One relay's socket among its peers."""
+    """One relay's socket for the fleet's datagrams."""
 
     noisy = False
 
@@ -31,8 +31,8 @@
         self.config = config
         self.core = core
         self.sealer = Sealer(config.name, config.keys, config.newest)
-        self.told_us = self.news_us = self.news = 0
-        self.told_yielded = False
+        self.rejection_logged_us = self.state_logs_since_us = self.state_logs = 0
+        self.yield_logged = False
         self.swim: Swim | None = None
         self.transport: Any
 
@@ -58,12 +58,12 @@
             self._send(self.swim.tick(self.core.clock()))
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
-        """Guards the relay: what makes no sense is counted, and harms nobody."""
+        """Handle a datagram. Guards the relay: one that makes no sense is counted, and changes nothing."""
         try:
             message = self.sealer.open(datagram)
         except Refused as error:
             self.core.counters.add(f"fleet_refused_{error}")
-            self._bad(str(error), addr)
+            self._log_rejected(str(error), addr)
             return
         try:
             if self.swim:
@@ -73,15 +73,15 @@
             self.core.counters.add("exceptions")
 
     def connectionRefused(self) -> None:
-        """A peer's port is closed; its probes will tell."""
+        """A peer's port is closed; its health checks will show that."""
 
     def leave(self) -> None:
-        """A planned end: tell the peers."""
+        """A planned exit: notify the peers."""
         if self.swim and self.transport:
             self._send(self.swim.leave(self.core.clock()))
 
     def levels(self) -> dict[str, int]:
-        """How many members are in each state, and whether this relay doubts itself."""
+        """Gauges: members in each state, and whether this relay doubts itself."""
         if not self.swim:
             return {}
         states = [m.record.state for m in self.swim.table.members.values()]
@@ -90,10 +90,10 @@
     def _send(self, messages: Iterable[Message]) -> None:
         assert self.swim and self.transport
         for name, was, state in self.swim.news:
-            self._tell(name, was, state)
+            self._log_state(name, was, state)
         self.swim.news.clear()
-        if self.swim.yielded and not self.told_yielded:
-            self.told_yielded = True
+        if self.swim.yielded and not self.yield_logged:
+            self.yield_logged = True
             log.error(
                 "fleet: another process holds the name %s and goes on with it; this one stays out", self.config.name
             )
@@ -106,17 +106,17 @@
             except (OSError, ValueError, ConfigError):  # a full buffer, or a peer's address is none: as if lost
                 self.core.counters.add("fleet_unsent")
 
-    def _tell(self, name: str, was: State, state: State) -> None:
+    def _log_state(self, name: str, was: State, state: State) -> None:
         self.core.counters.add(f"fleet_news_{state.name.lower()}")
         now = self.core.clock()
-        if now - self.news_us >= TELL_US:
-            self.news_us, self.news = now, 0
-        self.news += 1
-        if self.news <= MOST_NEWS:  # a split of a large fleet would be a flood
+        if now - self.state_logs_since_us >= LOG_INTERVAL_US:
+            self.state_logs_since_us, self.state_logs = now, 0
+        self.state_logs += 1
+        if self.state_logs <= MAX_STATE_LOGS:  # a split of a large fleet would be a flood
             log.info("fleet: %s is %s, was %s", name, state.name.lower(), was.name.lower())
 
-    def _bad(self, what: str, addr: tuple[str, int]) -> None:
+    def _log_rejected(self, what: str, addr: tuple[str, int]) -> None:
         now = self.core.clock()
-        if now - self.told_us >= TELL_US:
-            log.warning("fleet: a datagram from %s:%d was refused: %s", *addr, what)
-            self.told_us = now
+        if now - self.rejection_logged_us >= LOG_INTERVAL_US:
+            log.warning("fleet: a datagram from %s:%d was rejected: %s", *addr, what)
+            self.rejection_logged_us = now
--- a/gradefront/net/health_checks.py
+++ b/gradefront/net/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks backends for their load, on one connection a backend that is kept while it is of use."""
+"""Health checks of backends: their load, each on a connection that is reused, and whether they take connections."""
 
 from __future__ import annotations
 
@@ -12,108 +12,109 @@
 from gradefront.core.timer_wheel import Timer
 
 from .base import Lines
+from .connect_check import ConnectCheck
 from .lines import read_report
 from .reactor import Reactor
 
-PATIENCE_US = 200_000  # an answer later than this says more about the backend than its figures
-KEEP_US = 12_000_000  # an unused connection is closed
+RESPONSE_TIMEOUT_US = 200_000
+IDLE_TIMEOUT_US = 12_000_000
 
 
 class HealthCheckProtocol(Lines):
-    """The lines of one connection that asks."""
+    """The lines of one health check connection."""
 
     def __init__(self, owner: HealthCheckConnection) -> None:
         self.owner = owner
 
     def connectionMade(self) -> None:
-        """Ask at once: it was opened for that."""
+        """Send the health check for which the connection was opened."""
         self.wire.setTcpNoDelay(True)
-        self.say(b"STATS")
+        self.write_line(b"STATS")
 
     def lineReceived(self, line: bytes) -> None:
-        """An answer."""
-        self.owner.answered(line)
+        """A response."""
+        self.owner.on_response(line)
 
-    def lineLengthExceeded(self, line: bytes) -> None:
-        """An overlong line ends this connection."""
+    def lineLengthExceeded(self, line: bytes) -> None:  # noqa: ARG002 - Twisted's signature
+        """End this connection for an overlong line."""
         self.abort()
 
     def connectionLost(self, reason: Any = None) -> None:
-        """The backend ended it, or it was dropped here."""
+        """The backend or this relay ended the connection."""
         super().connectionLost(reason)
-        self.owner.lost(self)
+        self.owner.on_connection_lost(self)
 
 
 class HealthCheckConnection(ClientFactory):
-    """Health checks one backend: at most one health check is out."""
+    """Health checks one backend, one check at a time."""
 
     noisy = False
 
-    def __init__(self, prober: BackendHealthChecker, backend: str, where: tuple[str, int]) -> None:
-        self.checker = prober
+    def __init__(self, checker: BackendHealthChecker, backend: str, address: tuple[str, int]) -> None:
+        self.checker = checker
         self.backend = backend
-        self.where = where
+        self.address = address
         self.line: HealthCheckProtocol | None = None
         self.connector: Any = None
-        self.asked_us = 0  # when the question went out that has no answer yet; 0: none
-        self.used_us = 0
-        self.reused = False
-        self.timeout = self.idle = prober.core.after(KEEP_US, self._idle)
+        self.pending_since_us = 0  # when the check began that has no response yet; 0: none
+        self.last_used_us = 0
+        self.reused = False  # whether the pending check went out on an open connection
+        self.timeout: Timer = checker.core.after(IDLE_TIMEOUT_US, self._close_if_idle)
 
     def check(self) -> None:
-        """Ask, on the connection that stands or on a new one."""
-        if self.asked_us:
-            return  # guards against a second question: the answer to the first serves both
+        """Check on the open connection, or on a new one."""
+        if self.pending_since_us:
+            return  # the response to the pending check serves both
         core = self.checker.core
-        self.asked_us = self.used_us = core.clock()
-        self.timeout = core.after(PATIENCE_US, self._late)
+        self.pending_since_us = self.last_used_us = core.clock()
+        self.timeout = core.after(RESPONSE_TIMEOUT_US, self._on_timeout)
         self.reused = self.line is not None
         if self.line:
-            self.line.say(b"STATS")
+            self.line.write_line(b"STATS")
         else:
             self._connect()
 
     def _connect(self) -> None:
-        self.connector = self.checker.reactor.connectTCP(*self.where, self, timeout=None)
+        self.connector = self.checker.reactor.connectTCP(*self.address, self, timeout=None)
 
-    def buildProtocol(self, addr: object) -> HealthCheckProtocol:
-        """The connection stands."""
+    def buildProtocol(self, addr: object) -> HealthCheckProtocol:  # noqa: ARG002 - Twisted's signature
+        """The connection is open."""
         self.line = HealthCheckProtocol(self)
         return self.line
 
-    def clientConnectionFailed(self, connector: object, reason: object) -> None:
-        """Refused."""
-        self._done(AttemptResult.CONNECT_FAILED, None)
+    def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: ARG002 - Twisted's signature
+        """The backend refused."""
+        self._finish(AttemptResult.CONNECT_FAILED, None)
 
-    def answered(self, line: bytes) -> None:
-        """`PONG` with the figures; any other line is no success."""
-        if not self.asked_us:  # nobody asked: the next answer on this connection could be that of an earlier question
-            self.drop()
+    def on_response(self, line: bytes) -> None:
+        """`PONG` with the load report is a success, any other line is an error."""
+        if not self.pending_since_us:
+            self.drop()  # a line unasked: the next response here could be that of an earlier check
             return
-        good = line.partition(b" ")[0] == b"PONG"
-        self._done(AttemptResult.OK if good else AttemptResult.ERROR, read_report(line) if good else None)
+        ok = line.partition(b" ")[0] == b"PONG"
+        self._finish(AttemptResult.OK if ok else AttemptResult.ERROR, read_report(line) if ok else None)
 
-    def lost(self, line: HealthCheckProtocol) -> None:
+    def on_connection_lost(self, line: HealthCheckProtocol) -> None:
         """The connection ended."""
         if self.line is line:
             self.line = None
-            if self.asked_us and self.reused:
-                self.reused = False  # an idle connection that the backend closed says nothing: ask anew
+            if self.pending_since_us and self.reused:
+                self.reused = False  # backends close idle connections: that is no outcome, so check on a new one
                 self._connect()
             else:
-                self._done(AttemptResult.RESET, None)
+                self._finish(AttemptResult.RESET, None)
 
-    def _late(self) -> None:
-        if self.asked_us:
-            self._done(AttemptResult.TIMEOUT if self.line else AttemptResult.CONNECT_FAILED, None)
-            self.drop()  # an answer that comes later must not be taken for the next one's
+    def _on_timeout(self) -> None:
+        if self.pending_since_us:
+            self._finish(AttemptResult.TIMEOUT if self.line else AttemptResult.CONNECT_FAILED, None)
+            self.drop()  # a late response must not be taken for the next one's
 
-    def _done(self, result: AttemptResult, report: LoadReport | None) -> None:
-        if self.asked_us:
+    def _finish(self, result: AttemptResult, report: LoadReport | None) -> None:
+        if self.pending_since_us:
             core = self.checker.core
-            took, self.asked_us = core.clock() - self.asked_us, 0
+            took_us, self.pending_since_us = core.clock() - self.pending_since_us, 0
             self.timeout.cancel()
-            core.on_load_report(self.backend, result, took, report)
+            core.on_load_report(self.backend, result, took_us, report)
 
     def drop(self) -> None:
         """Close the connection."""
@@ -123,47 +124,16 @@
         elif self.connector is not None:
             self.connector.disconnect()
 
-    def _idle(self) -> None:
-        now = self.checker.core.clock()
-        if self.line and not self.asked_us and now - self.used_us > KEEP_US:
+    def _close_if_idle(self) -> None:
+        now_us = self.checker.core.clock()
+        if self.line and not self.pending_since_us and now_us - self.last_used_us > IDLE_TIMEOUT_US:
             self.drop()
         if self.checker.connections.get(self.backend) is self:
-            self.checker.core.after(KEEP_US, self._idle)
-
-
-class ConnectCheck(ClientFactory):
-    """One new connection to a backend, to see whether its machine is there; closed as soon as that is known."""
-
-    noisy = False
-
-    def __init__(self, core: RelayCore, backend: str) -> None:
-        self.core = core
-        self.backend = backend
-        self.connector: Any = None
-        self.timeout: Timer | None = None
-
-    def buildProtocol(self, addr: object) -> None:
-        """It came up. Twisted closes a connection without a protocol."""
-        self._told(True)
-
-    def clientConnectionFailed(self, connector: object, reason: object) -> None:
-        """Refused: a process that died resets what stood there, so that its connections end by themselves."""
-        self._told(True)
-
-    def late(self) -> None:
-        """It never came up in time."""
-        self._told(False)
-        self.connector.disconnect()
-
-    def _told(self, opened: bool) -> None:
-        if self.timeout:
-            self.timeout.cancel()
-            self.timeout = None
-            self.core.liveness.on_connect_checked(self.backend, opened)
+            self.checker.core.after(IDLE_TIMEOUT_US, self._close_if_idle)
 
 
 class BackendHealthChecker:
-    """Health checks all backends."""
+    """Health checks all backends. `address` gives a listed backend's host and port."""
 
     def __init__(self, reactor: Reactor, core: RelayCore, address: Callable[[str], tuple[str, int] | None]) -> None:
         self.reactor = reactor
@@ -172,25 +142,25 @@
         self.connections: dict[str, HealthCheckConnection] = {}
 
     def check_connect(self, backend: str, timeout_us: int) -> None:
-        """See whether a backend still takes connections."""
-        where = self.address(backend)
-        if where is None:  # gone from the list: its connections move by themselves
+        """Check whether a backend takes a connection within the timeout; the outcome goes to `core.liveness`."""
+        address = self.address(backend)
+        if address is None:  # not in the endpoint list any more: its connections migrate by themselves
             return
-        check_connect = ConnectCheck(self.core, backend)
-        check_connect.timeout = self.core.after(timeout_us, check_connect.late)
-        check_connect.connector = self.reactor.connectTCP(*where, check_connect, timeout=None)
+        connect_check = ConnectCheck(self.core, backend)
+        connect_check.timeout = self.core.after(timeout_us, connect_check.on_timeout)
+        connect_check.connector = self.reactor.connectTCP(*address, connect_check, timeout=None)
 
     def check(self, backend: str) -> None:
-        """Ask one backend for its load."""
-        where = self.address(backend)
-        known = self.connections.get(backend)
-        if known and known.where != where:
+        """Check a backend's load; the outcome goes to `core.on_load_report`."""
+        address = self.address(backend)
+        connection = self.connections.get(backend)
+        if connection and connection.address != address:
             del self.connections[backend]
-            known.drop()
-            known = None
-        if where is None:
+            connection.drop()
+            connection = None
+        if address is None:
             self.core.on_load_report(backend, AttemptResult.CONNECT_FAILED, 0, None)
             return
-        if known is None:
-            known = self.connections[backend] = HealthCheckConnection(self, backend, where)
-        known.check()
+        if connection is None:
+            connection = self.connections[backend] = HealthCheckConnection(self, backend, address)
+        connection.check()
--- a/gradefront/net/lines.py
+++ b/gradefront/net/lines.py
@@ -1,4 +1,7 @@
-"""The platform's lines: what a client's first line asks, and the load report in a backend's answer."""
+"""The platform's lines: the request in a client's first line, and the load report in a backend's response.
+
+The wire's names end here.
+"""
 
 from __future__ import annotations
 
@@ -9,12 +12,14 @@
 from gradefront.config import CLASS_NAME, Config
 from gradefront.core.connect_request import ConnectRequest
 
-MAX_LINE = 4096
-MOST_MS = 4_294_967  # the longest time that a line tells: what fits into 32 bits of microseconds
+MAX_LINE = 4096  # bytes, without the line's end
+MAX_TIMEOUT_MS = 4_294_967  # its microseconds fit into 32 bits
 
-# What usual devices send. Guards backends against all else: a line that no device sent voids what they do.
-FIRST = re.compile(rb"OPEN ([0-9a-f]{16}) ([0-9a-f]{16}) ([!-~]+)")
-FORMS = {
+# What clients send. Guards backends against all else: a line that no client sends voids what they do.
+REQUEST_LINE = re.compile(rb"OPEN ([0-9a-f]{16}) ([0-9a-f]{16}) ([!-~]+)")
+CONNECTION_ID = slice(5, 21)  # its place in a request line
+FIELD_NAME = re.compile(r"[A-Za-z][A-Za-z0-9_]{0,31}")
+FIELD_VALUES = {
     name: re.compile(form)
     for name, form in {
         "c": CLASS_NAME.pattern,
@@ -26,73 +31,82 @@
         "again": "1",
     }.items()
 }
-FURTHER = re.compile(r"[A-Za-z0-9._:-]{1,64}")  # the further figures that a deployment may have
-NAME = re.compile(r"[A-Za-z][A-Za-z0-9_]{0,31}")
+OTHER_FIELD_VALUE = re.compile(r"[A-Za-z0-9._:-]{1,64}")  # a deployment may have further fields
 
 
-class BadLine(Exception):
-    """A first line that no client sends."""
+class InvalidLineError(Exception):
+    """A first line that no client sends. `request_class`: the class that it names and that is not in force, or ""."""
 
     def __init__(self, why: str, request_class: str = "") -> None:
         super().__init__(why)
-        self.request_class = request_class  # the class that it names and that is not in force
+        self.request_class = request_class
 
 
 @dataclass(slots=True, frozen=True)
 class FirstLine:
-    """A client's first line, kept so that it goes on unchanged but for the remaining time."""
+    """A client's request line, forwarded unchanged but for the remaining time."""
 
     head: bytes  # up to and including `d=`, or the whole line where it has none
     tail: bytes
     has_time: bool
 
-    def with_time(self, left_us: int) -> bytes:
-        """The line for a backend, told how long this relay will wait."""
+    def with_time(self, remaining_us: int) -> bytes:
+        """The line for a backend, with the time for which this relay will wait."""
         if not self.has_time:
             return self.head
-        return self.head + str(max(1, left_us // 1000)).encode() + self.tail
+        return self.head + str(max(1, remaining_us // 1000)).encode() + self.tail
 
 
 def read_first(line: bytes, config: Config) -> tuple[ConnectRequest, str]:
-    """The call that an `OPEN` line makes, and the backend that it stood at before the run, if any."""
-    first = FIRST.fullmatch(line)
-    if not first:
-        raise BadLine("not an OPEN line")
-    named: dict[str, str] = {}
-    for pair in first[3].decode("ascii").split(","):
-        name, equals, value = pair.partition("=")
-        if not equals or name in named or not NAME.fullmatch(name):
-            raise BadLine("names and values that don't pair")
-        if not FORMS.get(name, FURTHER).fullmatch(value):
-            raise BadLine(f"{name}={value[:80]}")
-        named[name] = value
-    needed = ("c", "d", "g") if config.settings.sticky_groups else ("c", "d")
-    if missing := [name for name in needed if name not in named]:
-        raise BadLine(f"no {missing[0]}")
-    request_class = config.class_numbers.get(named["c"])
+    """Read an `OPEN` line: the request, and the backend that served the client before the relay's start, or "".
+
+    Raises InvalidLineError.
+    """
+    match = REQUEST_LINE.fullmatch(line)
+    if not match:
+        raise InvalidLineError("not an OPEN line")
+    fields = _read_fields(match[3].decode("ascii"))
+    required = ("c", "d", "g") if config.settings.sticky_groups else ("c", "d")
+    if missing := [name for name in required if name not in fields]:
+        raise InvalidLineError(f"no {missing[0]}")
+    request_class = config.class_numbers.get(fields["c"])
     if request_class is None:
-        raise BadLine(f"class {named['c']!r}", named["c"])
-    if int(named["d"]) > MOST_MS:
-        raise BadLine(f"d={named['d']}")
-    tenant = config.tenants.index(named["t"]) if named.get("t") in config.tenants else 0
-    call = ConnectRequest(
-        int(named["d"]) * 1000,
+        raise InvalidLineError(f"class {fields['c']!r}", fields["c"])
+    timeout_ms = int(fields["d"])
+    if timeout_ms > MAX_TIMEOUT_MS:
+        raise InvalidLineError(f"d={fields['d']}")
+    tenant = config.tenants.index(fields["t"]) if fields.get("t") in config.tenants else 0
+    request = ConnectRequest(
+        timeout_ms * 1000,
         _split(line),
         request_class,
         tenant,
-        first[2].decode("ascii"),
-        named.get("g", ""),
-        float(named.get("h", 0)),
-        "again" in named,
-        "r" in named,
+        match[2].decode("ascii"),
+        fields.get("g", ""),
+        float(fields.get("h", 0)),
+        "again" in fields,
+        "r" in fields,
         read_id(line).decode("ascii"),
     )
-    return call, named.get("at", "")
+    return request, fields.get("at", "")
+
+
+def _read_fields(text: str) -> dict[str, str]:
+    """The fields of a request line by name. Raises InvalidLineError."""
+    fields: dict[str, str] = {}
+    for pair in text.split(","):
+        name, equals, value = pair.partition("=")
+        if not equals or name in fields or not FIELD_NAME.fullmatch(name):
+            raise InvalidLineError("names and values that don't pair")
+        if not FIELD_VALUES.get(name, OTHER_FIELD_VALUE).fullmatch(value):
+            raise InvalidLineError(f"{name}={value[:80]}")
+        fields[name] = value
+    return fields
 
 
 def read_id(line: bytes) -> bytes:
-    """The id in a first line that `read_first` has taken."""
-    return line[5:21]
+    """The connection id in a line that `read_first` has read."""
+    return line[CONNECTION_ID]
 
 
 def _split(line: bytes) -> FirstLine:
@@ -101,14 +115,14 @@
     for name in (b"d=", b",d="):
         at = start if name == b"d=" and line.startswith(name, start) else line.find(b",d=", start)
         if at >= 0 and line.startswith(name, at):
-            begin = at + len(name)
-            end = line.find(b",", begin)
-            return FirstLine(line[:begin], line[end:] if end >= 0 else b"", True)
+            value_at = at + len(name)
+            end = line.find(b",", value_at)
+            return FirstLine(line[:value_at], line[end:] if end >= 0 else b"", True)
     return FirstLine(line, b"", False)
 
 
 def read_report(line: bytes) -> LoadReport | None:
-    """The load report after an answer's first word, by the names that the settings give its figures."""
+    """The load report after a response's verb, or None where it has no figure."""
     values: dict[str, float] = {}
     for pair in line.partition(b" ")[2].split(b","):
         name, equals, value = pair.strip().partition(b"=")
@@ -116,7 +130,7 @@
             try:
                 values[name.decode("ascii", "replace")] = float(value)
             except ValueError:
-                continue  # a figure that is no number says nothing; the others may
+                continue  # the other figures may be numbers
     if not values:
         return None
     return LoadReport(values.get("x0"), values.get("util", values.get("cpu_share")))
--- a/gradefront/net/reactor.py
+++ b/gradefront/net/reactor.py
@@ -12,45 +12,45 @@
 
 from .transport import Connector, ListeningPort, ServerConnection
 
-STEP_US = 500_000  # us: a wall clock that has moved so far against the monotonic one was stepped; slewing is slower
+STEP_US = 500_000  # a wall clock that moved so far against the monotonic one was stepped; slewing is slower
 
 
 class DelayedCall(Protocol):
     """A call that is due later."""
 
     def cancel(self) -> None:
-        """Drop it."""
+        """Cancel it."""
 
 
 class Reactor(Protocol):
     """Twisted's reactor, as far as it is used here."""
 
     def callLater(self, delay: float, call: Callable[..., object], *args: Any) -> Any:
-        """Call later."""
+        """Call after `delay` seconds."""
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float | None = None) -> Any:
-        """Connect."""
+        """Connect; a timeout in seconds."""
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Any:
-        """Listen."""
+        """Listen for connections."""
 
     def adoptStreamPort(self, fileDescriptor: int, addressFamily: int, factory: Any) -> Any:
         """Listen on a descriptor that listens already; it is duplicated, and never shut down."""
 
     def adoptStreamConnection(self, fileDescriptor: int, addressFamily: int, factory: Any) -> Any:
-        """Take up a connection that stands; its descriptor is duplicated."""
+        """Serve an open connection; its descriptor is duplicated."""
 
     def addReader(self, reader: Any) -> None:
         """Have `reader.doRead` called when its descriptor is ready."""
 
     def removeReader(self, reader: Any) -> None:
-        """No more."""
+        """Undo `addReader`."""
 
     def listenUDP(self, port: int, protocol: Any, interface: str = "", maxPacketSize: int = 8192) -> Any:
         """Listen for datagrams."""
 
     def callFromThread(self, call: Callable[..., object], *args: Any) -> Any:
-        """Call soon, from a signal handler or a thread, waking the loop."""
+        """Call in the loop, from a signal handler or a thread."""
 
     def run(self, installSignalHandlers: bool = True) -> None:
         """Run until stopped."""
@@ -60,26 +60,31 @@
 
 
 class RelayReactor(EPollReactor):
-    """Twisted's reactor on the monotonic clock, with connections and listeners that bear errors which pass.
+    """Twisted's reactor on the monotonic clock, with connections and listeners that tolerate transient errors.
 
     Twisted counts delays by `time.time`: after a step of the wall clock back by an hour no timer would run for an
     hour, after a step forward all would run at once.
     """
 
     def seconds(self) -> float:
-        """The time by which delays are counted."""
+        """The monotonic time in seconds, by which delays are counted."""
         return time.monotonic()
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> ListeningPort:
-        """Listen."""
+        """Listen for connections."""
         listener = ListeningPort(port, factory, backlog, interface, self)
         listener.startListening()
         return listener
 
     def connectTCP(
-        self, host: str, port: int, factory: Any, timeout: float | None = None, bindAddress: Any = None
+        self,
+        host: str,
+        port: int,
+        factory: Any,
+        timeout: float | None = None,
+        bindAddress: Any = None,  # noqa: N803 - Twisted's signature
     ) -> Any:
-        """Connect."""
+        """Connect; a timeout in seconds."""
         connector = cast(Any, Connector)(host, port, factory, timeout, bindAddress, self)
         connector.connect()
         return connector
@@ -92,7 +97,7 @@
         return listener
 
     def adoptStreamConnection(self, fileDescriptor: int, addressFamily: int, factory: Any) -> ServerConnection:
-        """Take up a connection that stands."""
+        """Serve an open connection."""
         server = cast(Any, ServerConnection)
         connection: ServerConnection = server._fromConnectedSocket(fileDescriptor, addressFamily, factory, self)
         return connection
@@ -105,6 +110,7 @@
         self.start = self._wall_offset_us()
 
     def __call__(self) -> int:
+        """The time now."""
         return self.start + time.monotonic_ns() // 1000
 
     @staticmethod
@@ -112,44 +118,44 @@
         return time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
     def stepped(self) -> bool:
-        """Whether the wall clock stands elsewhere now than at the start: then others' times of day tell nothing."""
+        """Whether the wall clock was stepped since the start: then others' times of day can't be trusted."""
         return abs(self._wall_offset_us() - self.start) > STEP_US
 
 
 class Driver:
-    """Gives the core a turn when something is ready and when its wheel is due."""
+    """Runs the core when something is ready and when its timer wheel is due."""
 
     def __init__(self, reactor: Reactor, clock: Callable[[], int]) -> None:
         self.reactor = reactor
         self.clock = clock
         self.core: RelayCore | None = None
-        self.woken = False
-        self.armed: Any = None
-        self.armed_us = 0
+        self.is_woken = False
+        self.scheduled: Any = None
+        self.scheduled_us = 0
 
     def wake(self) -> None:
-        """Take a turn once all that is ready now has been gathered."""
-        if not self.woken:
-            self.woken = True
-            self.reactor.callLater(0, self._turn)
+        """Run the core once all that is ready now has been gathered."""
+        if not self.is_woken:
+            self.is_woken = True
+            self.reactor.callLater(0, self._run_core)
 
-    def _turn(self) -> None:
-        self.woken = False
+    def _run_core(self) -> None:
+        self.is_woken = False
         if self.core is None:
             return
         try:
             self.core.run_turn()
         finally:  # guards all timers against an error that the core did not catch
-            self._arm(self.core)
+            self._schedule(self.core)
 
-    def _arm(self, core: RelayCore) -> None:
-        """Have the next turn come when the wheel is due."""
+    def _schedule(self, core: RelayCore) -> None:
+        """Run the core when its timer wheel is due."""
         due = core.timers.next_due()
-        if due is None or self.woken:
+        if due is None or self.is_woken:
             return
-        if self.armed is not None and self.armed.active():
-            if self.armed_us == due:
+        if self.scheduled is not None and self.scheduled.active():
+            if self.scheduled_us == due:
                 return
-            self.armed.cancel()
-        self.armed_us = due
-        self.armed = self.reactor.callLater(max(0, due - self.clock()) / 1e6, self._turn)
+            self.scheduled.cancel()
+        self.scheduled_us = due
+        self.scheduled = self.reactor.callLater(max(0, due - self.clock()) / 1e6, self._run_core)
--- a/gradefront/net/transport.py
+++ b/gradefront/net/transport.py
@@ -1,7 +1,7 @@
 """TCP connections and listeners on Twisted's transports, for system calls that fail for a moment.
 
-Twisted takes every failed `recv` for the end of the connection, and answers a lack of descriptors by accepting and
-closing whatever waits, unread. Here a call that can succeed a moment later is repeated, and nothing is closed for it.
+Twisted treats every failed `recv` as the end of the connection, and a lack of descriptors by accepting and closing
+whatever waits, unread. Here a call that can succeed a moment later is repeated, and nothing is closed for it.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 log = logging.getLogger("gradefront.transport")
 
-MAX_READS = 16  # reads of 64 KiB at most in one `catch_up`: bounds the time that a peer that sends without end takes
-MAX_ACCEPTS = 64  # connections accepted in one turn: bounds the time for which others wait
-ACCEPT_PAUSE_S = 0.01  # s: rest after accept has failed for want of a resource; far below any client's timeout
+MAX_READS = 16  # of 64 KiB at most, in one `catch_up`: a peer may send without end
+MAX_ACCEPTS = 64  # in one turn of the loop
+ACCEPT_PAUSE_S = 0.01  # after accept has failed for want of a resource
 
 #: recv(2) and send(2) may fail so on a sound connection; the same call may succeed a moment later.
 TRANSIENT_ERRORS = frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
@@ -39,13 +39,13 @@
 
 
 class ConnectionMixin:
-    """A connection of Twisted's whose reads and writes bear errors that pass."""
+    """Twisted's connection, with reads and writes that tolerate transient errors."""
 
     before_send: Callable[[], bool] | None = None  # asked before each piece leaves; False: nothing more may leave
-    found_broken = False  # an error that `catch_up` has taken from the socket, and that the reactor is yet to see
+    found_broken = False  # the socket gave `catch_up` an error that the reactor has not seen yet
 
     def read_once(self) -> ReadResult:
-        """Read what is there, 64 KiB at most, and give it to the protocol."""
+        """Read what is there, 64 KiB at most, and pass it to the protocol."""
         connection: Any = self
         try:
             data = connection.socket.recv(connection.bufferSize)
@@ -70,7 +70,7 @@
 
     def catch_up(self) -> bool:
         """Read now what lies unread, MAX_READS reads at most. Whether the peer has ended its sending side, or the
-        connection is no more; the reactor hears of it in its own time."""
+        connection is no more; the reactor finds that itself later."""
         connection: Any = self
         for _ in range(MAX_READS):
             if connection.disconnected or connection._aborting or self.found_broken:
@@ -81,7 +81,7 @@
         return False
 
     def writeSomeData(self, data: bytes) -> int | Exception:
-        """Send a piece. The number of bytes taken, 0 where none was for a moment, or the error that ends it."""
+        """Send a piece. Gives the number of bytes taken, 0 after a transient error, or the error that ends it."""
         connection: Any = self
         if self.before_send is not None and not self.before_send():
             return 0
@@ -92,12 +92,12 @@
 
     @property
     def unsent(self) -> bool:
-        """Whether something written has not been handed to the kernel yet."""
+        """Whether something written is not with the kernel yet."""
         connection: Any = self
         return bool(len(connection.dataBuffer) > connection.offset or connection._tempDataLen)
 
     def flush(self) -> bool:
-        """Hand what was written to the kernel now, as far as it takes it. Whether nothing is left."""
+        """Pass what was written to the kernel now, as far as it takes it. Whether nothing is left."""
         connection: Any = self
         if connection.connected and not connection._aborting:
             ended = connection.doWrite()
@@ -111,8 +111,8 @@
             connection.connectionLost(cast(Any, Failure)(why))
 
     def connectionLost(self, reason: Any) -> None:
-        """The connection is no more. Twisted would end the transport that was a producer for this one as well; here
-        the core ends it, in order, when its protocol hears of this end."""
+        """The connection is no more. Twisted would also end the transport that is a producer for this one; here the
+        core ends it, in order, after its protocol's `connectionLost`."""
         connection: Any = self
         connection.producer = None
         cast(Any, super()).connectionLost(reason)
@@ -135,7 +135,7 @@
 
 class ListeningPort(tcp.Port):
     """A listener that no failure of accept ends, and that closes no connection for want of descriptors. Its factory
-    may have `accept_failed`, which is told of such a want and may make room."""
+    may have `accept_failed`, which is called with the OSError and may free a descriptor."""
 
     transport = ServerConnection
 
@@ -144,7 +144,7 @@
         self.accept_waiting(MAX_ACCEPTS)
 
     def accept_waiting(self, most: int) -> None:
-        """Accept so many of the connections that wait."""
+        """Accept at most so many of the connections that wait."""
         for _ in range(most):
             try:
                 accepted, address = self.socket.accept()
@@ -170,14 +170,14 @@
             self.sessionno += 1
             protocol.makeConnection(transport)
         except Exception:
-            log.exception("an accepted connection could not be taken up")
+            log.exception("an accepted connection could not be set up")
             if transport is None:
                 accepted.close()
             else:
                 transport.abortConnection()
 
     def _pause(self, error: OSError) -> None:
-        """Accept nothing for a moment, so that the loop does not spin on what it can't take."""
+        """Accept nothing for ACCEPT_PAUSE_S, so that the loop does not spin on what it can't accept."""
         failed = getattr(self.factory, "accept_failed", None)
         if failed:
             failed(error)
--- a/gradefront/serve.py
+++ b/gradefront/serve.py
@@ -96,7 +96,7 @@
         if at_once:
             core.lifecycle.await_endpoint_list()
         try:
-            self.endpoint_list.apply(config.known, whole=True)
+            self.endpoint_list.apply(config.known, complete=True)
         except ValueError as error:
             raise ConfigError(f"known: {error}") from None
         upstreams = ConnectionCloser(core, config.sockets // DESCRIPTOR_SHARE)
--- a/gradefront/state/handover.py
+++ b/gradefront/state/handover.py
@@ -19,9 +19,9 @@
 from gradefront.core.connect_request import ConnectRequest
 from gradefront.core.connection import Connection, ConnectionState
 from gradefront.core.relay import RelayCore
-from gradefront.net.backend_connection import BackendProtocol, LineBackendConnection
+from gradefront.net.backend_connection import BackendProtocol, LineBackendConnection, RequestStage
 from gradefront.net.client_protocol import ClientProtocol, ClientProtocolFactory
-from gradefront.net.lines import BadLine, FirstLine
+from gradefront.net.lines import FirstLine, InvalidLineError
 from gradefront.net.reactor import Reactor
 
 from .form import LONGEST, BadForm, ConnectionSnapshot, read, stored_rules, write
@@ -60,7 +60,7 @@
 
     def connectionMade(self) -> None:
         """Nothing to send."""
-        self.stage = 2
+        self.stage = RequestStage.SENT
 
 
 def release(transport: Any) -> None:
@@ -309,9 +309,9 @@
         for fd, line in zip(fds, (client, upstream.line), strict=True):
             os.set_blocking(fd, False)
             self.reactor.adoptStreamConnection(fd, socket.AF_INET, _Joined(line))
-        with suppress(BadLine):  # an id known here already is no reason to end it
+        with suppress(InvalidLineError):  # an id known here already is no reason to end it
             self.front.new_id(client.id)
-        client.join(upstream)
+        client.start_forwarding(upstream)
         core.counters.add("taken_over")
         if not same:
             core.migrate(connection)
--- a/lab/conform/quic.py
+++ b/lab/conform/quic.py
@@ -280,7 +280,7 @@
     with tempfile.TemporaryDirectory() as folder:
         async with program(Path(folder), discovery, settings(aim_ms=150, deadline_ms=1200), file) as relay:
             await asyncio.wait_for(discovery.asked.wait(), HEAR_S)
-            await relay.line("box list from")
+            await relay.line("endpoint list from")
             place.relay = relay
             place.front = ("127.0.0.1", relay.ports[1])
             try:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -180,12 +180,12 @@
     member = {"id": "b", "host_port": "127.0.0.1:1", "phase": "SERVING", "up_since_ms": 0}
     backends.apply({"revision": 1, "complete": True, "members": [member]})
     backends.apply({"revision": 2, "complete": False, "members": [{**member, "up_since_ms": bench.now // 1000}]})
-    assert backends.places["b"].entry.started_us == bench.now // 1000 * 1000
+    assert backends.backends["b"].endpoint.started_us == bench.now // 1000 * 1000
     steps.append(step_us)
     bench.wait(NOTICE_US)
     told = (bench.now + step_us) // 1000  # another start, told by a clock that is an hour off
     backends.apply({"revision": 3, "complete": False, "members": [{**member, "up_since_ms": max(1, told)}]})
-    assert backends.places["b"].entry.started_us == bench.now
+    assert backends.backends["b"].endpoint.started_us == bench.now
 
 
 def test_a_long_outage_of_discovery_makes_old_starts_news() -> None:
@@ -197,4 +197,4 @@
     bench.now += 40_000_000
     started = NOW_US + 5_000_000
     backends.apply({"revision": 2, "complete": False, "members": [{**member, "up_since_ms": started // 1000}]})
-    assert backends.places["b"].entry.started_us == started
+    assert backends.backends["b"].endpoint.started_us == started
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -77,7 +77,7 @@
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
                 for junk in (b"", b"GF", b"GF\x01\x01" + bytes(80), b"\xff" * 2_000):
                     stranger.sendto(junk, where)
-            await relays["n0"].line("a datagram from 127.0.0.1:.* was refused")
+            await relays["n0"].line("a datagram from 127.0.0.1:.* was rejected")
             assert await relays["n0"].stop() == 0
             await soon(relays["n1"].line("fleet: n0 is left"))
 
--- a/tests/test_moments_list.py
+++ b/tests/test_moments_list.py
@@ -189,7 +189,7 @@
     loop = pair(tmp_path)
     old = watch(loop)
     old.send(chunk(line(loop.known)))
-    loop.until(lambda: loop.relay.endpoint_watch.call and loop.relay.endpoint_watch.call.news)
+    loop.until(lambda: loop.relay.endpoint_watch.call and loop.relay.endpoint_watch.call.has_update)
     call = loop.relay.endpoint_watch.call
     assert call and call.line
     loop.order.held.add(call.line.wire.fileno())
@@ -226,7 +226,7 @@
     first = watch(loop)
     first.send(chunk(line(loop.known)))
     call = loop.relay.endpoint_watch.call
-    loop.until(lambda: call and call.news)
+    loop.until(lambda: call and call.has_update)
     client = loop.client()
     attempts = hold_connects(loop)
     loop.open(client)
--- a/tests/test_moments_send.py
+++ b/tests/test_moments_send.py
@@ -60,7 +60,7 @@
     loop = Loop(tmp_path, backends, told)
     for member in loop.known["members"]:
         member["cell"] = 1
-    loop.relay.endpoint_list.apply(loop.known, whole=True)
+    loop.relay.endpoint_list.apply(loop.known, complete=True)
     client = loop.client()
     loop.open(client, d=4000)
     number, peer = first_at(loop, backends)
@@ -284,7 +284,7 @@
     probe = backend.accept()
     loop.until(lambda: probe.read() == b"STATS\r\n")
     probe.line("PONG x0=0.25")
-    loop.until(lambda: not prober.connections["box-0"].asked_us)
+    loop.until(lambda: not prober.connections["box-0"].pending_since_us)
     loop.order.held.add(prober.connections["box-0"].line.wire.fileno())
     probe.close(reset=True)
     prober.check("box-0")
@@ -294,7 +294,7 @@
     again = backend.accept()
     loop.until(lambda: again.read() == b"STATS\r\n")
     again.line("PONG x0=0.5")
-    loop.until(lambda: not prober.connections["box-0"].asked_us)
+    loop.until(lambda: not prober.connections["box-0"].pending_since_us)
     assert not loop.core.counters.counts["probes_failed"]
 
 
@@ -363,7 +363,7 @@
         peer.send([b"x" * 5000, b"WHAT r-1\r\n"][n % 2])
         loop.until(lambda: loop.wait(4_000) or client.read() and client.ended)  # noqa: B023
     assert loop.core.counters.counts["bad_answers"] == 306
-    told = [r.getMessage() for r in caplog.records if "push box" in r.getMessage()]
+    told = [r.getMessage() for r in caplog.records if "backend box-0" in r.getMessage()]
     assert 1 <= len(told) <= 2 + loop.core.clock() // 1_000_000 - 1_800_000_000, told
 
 
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -18,7 +18,7 @@
 from gradefront.net.endpoint_list import EndpointList
 from gradefront.net.endpoint_watch import EndpointWatch
 from gradefront.net.health_checks import BackendHealthChecker
-from gradefront.net.lines import BadLine, read_first, read_id, read_report
+from gradefront.net.lines import InvalidLineError, read_first, read_id, read_report
 from lab.stand_ins import settings
 
 from .helper import SETTINGS, Bench
@@ -99,7 +99,7 @@
     ],
 )
 def test_a_line_that_no_device_sends_goes_nowhere(line: bytes) -> None:
-    with pytest.raises(BadLine):
+    with pytest.raises(InvalidLineError):
         read_first(line, CONFIG)
 
 
@@ -109,7 +109,7 @@
     fields = [f"d={d}", "c=visit-checkin", f"xd={noise or 'y'}", "g=dddddddddddddddd"]
     listed = ",".join(fields if first else fields[::-1])
     line = HEAD + listed.encode()
-    with suppress(BadLine):  # figures that are not ASCII
+    with suppress(InvalidLineError):  # figures that are not ASCII
         call, _ = read_first(line, CONFIG)
         assert call.timeout_us == d * 1000
         wanted = ",".join(f"d={max(1, left)}" if f == f"d={d}" else f for f in listed.split(","))
@@ -118,7 +118,7 @@
 
 @given(st.binary(max_size=200), st.sampled_from([b"", HEAD, USUAL + b","]))
 def test_no_line_breaks_the_reader(noise: bytes, head: bytes) -> None:
-    with suppress(BadLine):
+    with suppress(InvalidLineError):
         call, _ = read_first(head + noise, CONFIG)
         assert call.timeout_us >= 0
     report = read_report(noise)
@@ -151,7 +151,7 @@
     assert backends.address("s-1") == ("127.0.0.1", 3000) and backends.address("s-9") is None
     assert backends.revision == 4 and bench.core.counters.counts["bad_list_lines"] == 5
     backends.apply({"revision": 5, "complete": False, "members": [{"id": "s-1", "phase": "DELETED"}]})
-    assert backends.address("s-1") is None and not bench.core.is_ready("s-1") and not backends.places
+    assert backends.address("s-1") is None and not bench.core.is_ready("s-1") and not backends.backends
 
 
 @pytest.mark.parametrize("text", ["", "x", "x:", ":1", "h:70000", "h:p"])
@@ -188,13 +188,13 @@
     assert old
     watch.go_to(("127.0.0.1", 2))
     watch.watch()  # a retry that the module had set for the old watch
-    old.take(b'{"revision": 9, "complete": true, "members": []}')
-    old.over("the connection ended")
+    old.on_data(b'{"revision": 9, "complete": true, "members": []}')
+    old.fail("the connection ended")
     bench.wait(1_000_000)
     assert dials.dialled == [1, 2] and watch.endpoint_list.revision == 0
     assert not any(isinstance(e, EndpointListError) for e in bench.events) and bench.core.is_ready("box-1")
     assert watch.call and not watch.call.ended
-    watch.call.over("the connection ended")
+    watch.call.fail("the connection ended")
     watch.watch()
     assert dials.dialled == [1, 2, 2] and bench.core.counters.counts["list_errors"] == 1
 
@@ -205,14 +205,14 @@
     watch.watch()
     bench.wait(250_000)  # silent since the call: the agent had a third of the told time, twice
     assert len(dials.dialled) == 3 and watch.call
-    watch.call.alive()  # a watch that is open owes an empty line every 2 s
+    watch.call.on_heartbeat()  # a watch that is open owes an empty line every 2 s
     bench.wait(2_900_000)
     assert len(dials.dialled) == 3
-    watch.call.over("the connection ended")
+    watch.call.fail("the connection ended")
     bench.wait(10_000)
     assert len(dials.dialled) == 4, "at once: what the agent has counts as told, watch or not"
     for _ in range(5):
-        watch.call.over("refused")
+        watch.call.fail("refused")
         bench.wait(104_000)
     assert len(dials.dialled) == 9, "an agent that refuses is called again at a pace, a third of the told time"
     bench.now += 500_000  # this relay is held up, and has not read what came meanwhile
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -55,10 +55,10 @@
         super().__init__()
         self.passed: list[bytes] = []
 
-    def pass_on(self, line: bytes) -> None:
+    def forward_line(self, line: bytes) -> None:
         self.passed.append(line)
 
-    def pass_rest(self, rest: bytes) -> None:
+    def forward_unfinished(self, rest: bytes) -> None:
         self.passed.append(rest)
 
 
@@ -104,7 +104,7 @@
         BackendHealthChecker(cast(Any, None), bench.core, lambda _: None), "box-1", ("127.0.0.1", 1)
     )
     line = cast(Any, HealthCheckProtocol(prober))
-    prober.line, prober.asked_us = line, bench.now
+    prober.line, prober.pending_since_us = line, bench.now
     line.makeConnection(Piped())
     for part in parts:
         line.dataReceived(part)
@@ -121,7 +121,7 @@
     line.makeConnection(Piped())
     for part in parts:
         line.dataReceived(part)
-    return endpoint_list.revision, endpoint_list.places, sorted(bench.core.backends)
+    return endpoint_list.revision, endpoint_list.backends, sorted(bench.core.backends)
 
 
 WHOLE: dict[Callable[[list[bytes]], object], bytes] = {
--- a/tests/test_pre_request.py
+++ b/tests/test_pre_request.py
@@ -12,7 +12,8 @@
 
 from balancer.actions import StartAttempt
 from balancer.events import AttemptEnded, AttemptResult
-from gradefront.net.client_protocol import SPARE_SOCKETS, ClientProtocol, ClientProtocolFactory
+from gradefront.net.client_protocol import ClientProtocol, ClientProtocolFactory
+from gradefront.net.descriptor_budget import RESERVED_DESCRIPTORS
 
 from .helper import Bench
 from .test_net_parts import CONFIG
@@ -152,7 +153,7 @@
         for mute in [m for m in mutes if m.wire.ended]:
             mutes.remove(mute)
             mute.leave()
-        assert door.front.descriptors_held() <= sockets - SPARE_SOCKETS // 2
+        assert door.front.descriptors_held() <= sockets - RESERVED_DESCRIPTORS // 2
     assert all(u.wire.said == b"" for u in usual), "none was turned away"
     assert len(door.bench.attempts) == len(usual) == 40
     assert door.bench.core.counters.counts["ended_for_room"] > 0
--- a/tests/test_quic_recovery.py
+++ b/tests/test_quic_recovery.py
@@ -124,7 +124,7 @@
             file["listen"] = {"visit-checkin": f"127.0.0.1:{place.front[1]}"}
             discovery.asked.clear()
             async with program(tmp_path, discovery, settings(), file) as relay:
-                await relay.line("box list from")
+                await relay.line("endpoint list from")
                 answered = await asyncio.gather(*(p.ask() for p in phones))
                 assert all(answered), "the first packet after the restart"
                 assert all(await asyncio.gather(*(p.ask() for p in phones)))
@@ -212,7 +212,7 @@
                 other = tmp_path / "other"
                 other.mkdir()
                 async with program(other, discovery, settings(), file) as second:
-                    await second.line("box list from")
+                    await second.line("endpoint list from")
                     place.front = ("127.0.0.1", first.ports[1])
                     phones = [await phone(place) for _ in range(30)]
                     for n in range(6):  # the network sends their packets now here, now there
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -242,7 +242,7 @@
             for watch in discovery.watches:
                 watch.transport.abort()
             await relay.line("lost")
-            await relay.line("box list from")
+            await relay.line("endpoint list from")
             for _ in range(6):
                 device = await here.device()
                 device.open()
