--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -91,7 +91,7 @@
 def test_where_it_is_off_nothing_of_it_is_imported(tmp_path: Path) -> None:
     code = (
         "import sys, gradefront.serve; print(sorted(m for m in sys.modules if m.startswith('gradefront.fleet.') "
-        "or m in ('msgspec', 'gradefront.net.fleetport')))"
+        "or m in ('msgspec', 'gradefront.net.fleet_port')))"
     )
 
     async def play() -> bytes:
