--- a/gradefront/startup.py
+++ b/gradefront/startup.py
@@ -61,7 +61,7 @@
 def apply_known_endpoints(config: Config, endpoint_list: EndpointList) -> None:
     """Begin with the endpoint list that the configuration gives. Raises ConfigError."""
     try:
-        endpoint_list.apply(config.known, whole=True)
+        endpoint_list.apply(config.known, complete=True)
     except ValueError as error:
         raise ConfigError(f"known: {error}") from None
 
