--- a/gradefront/listening.py
+++ b/gradefront/listening.py
@@ -11,7 +11,7 @@
 from .config import Config, ConfigError
 from .net.client_protocol import ClientProtocolFactory
 from .net.reactor import Reactor
-from .state.handover import HandoverReceiver
+from .state.handover_receiver import HandoverReceiver
 
 log = logging.getLogger("gradefront")
 
--- a/gradefront/shutdown.py
+++ b/gradefront/shutdown.py
@@ -10,7 +10,8 @@
 from .net.client_protocol import ClientProtocolFactory
 from .net.endpoint_watch import EndpointWatch
 from .net.reactor import Reactor
-from .state.handover import HandoverSender, call_next
+from .state.handover_sender import HandoverSender
+from .state.handover_sockets import connect_to_newest
 
 if TYPE_CHECKING:
     from .net.fleet_port import FleetPort
@@ -53,7 +54,7 @@
             return
         self.listener.stop()  # what waits in the listener's queue belongs to the new process
         receiver = self.listener.handover_receiver
-        call = call_next(receiver) if receiver else None
+        call = connect_to_newest(receiver.path) if receiver else None
         self.listener.close_handover()
         if call:
             log.info("connections go to the process that takes over")
--- a/gradefront/state/__init__.py
+++ b/gradefront/state/__init__.py
@@ -1,1 +1,1 @@
-"""What one process of a relay leaves the next."""
+"""The handover of established connections from one process of a relay to the next."""
--- a/gradefront/state/form.py
+++ b/gradefront/state/form.py
@@ -1,10 +1,15 @@
-"""The form in which a standing connection is described to the next process: versioned, bounded, checked. No I/O."""
+"""The stored form in which a connection is described to the next process: versioned, bounded, checked. No I/O.
+
+Stored names and bytes are fixed: processes of different versions hand over to each other. The code's own names are
+mapped to them here only.
+"""
 
 from __future__ import annotations
 
 import base64
 import json
 import math
+from collections.abc import Iterator
 from dataclasses import dataclass
 from typing import Any
 
@@ -12,33 +17,10 @@
 from gradefront.net.lines import MAX_LINE
 
 VERSION = 1
-LONGEST = 24_576  # bytes of one description: two unfinished lines and the rest fit many times over
-OLDEST_US = 60_000_000  # times further back than this make no sense: silence is noticed long before
-
-
-class BadForm(Exception):
-    """A description that makes no sense; its text names the field."""
+MAX_FORM_BYTES = 24_576  # two unfinished lines and the rest fit many times over
+MAX_TIME_DIFFERENCE_US = 60_000_000  # from now; silence is noticed long before
 
-
-@dataclass(frozen=True)
-class ConnectionSnapshot:
-    """One standing connection, but for its two sockets. Times are Unix time in microseconds."""
-
-    id: str  # of the client's connection
-    request_class: str
-    class_rules: dict[str, Any]  # under which it came, as `ruled` gives them
-    idempotency_key: str
-    sticky_group: str
-    tenant: int
-    backend: str
-    load: float  # us of work a second, as last told; 0: not told
-    last_received_us: int
-    awaiting_reply_us: tuple[int, ...]  # messages that await a reply
-    from_carer: bytes  # the client's, of a line that has no end yet; a field of the form, so the name stays
-    from_box: bytes
-
-
-#: The field of `Left` that each stored name stands for.
+#: The field of `ConnectionSnapshot` that each stored name stands for.
 STORED_NAMES = {
     "id": "id",
     "klass": "request_class",
@@ -53,10 +35,38 @@
     "from_carer": "from_carer",
     "from_box": "from_box",
 }
+STORED_TEXTS = ("id", "klass", "key", "group", "box")
+STORED_BYTES = ("from_carer", "from_box")  # in base64
+
+
+class FormError(Exception):
+    """A description that makes no sense. `field` is the stored name, "" where it is the whole description."""
+
+    def __init__(self, text: str, field: str = "") -> None:
+        super().__init__(text)
+        self.field = field
+
+
+@dataclass(frozen=True)
+class ConnectionSnapshot:
+    """One established connection, but for its two sockets. Times are Unix time in microseconds."""
+
+    id: str  # of the client's connection
+    request_class: str
+    class_rules: dict[str, Any]  # those in force when it came, as `stored_rules` gives them
+    idempotency_key: str
+    sticky_group: str
+    tenant: int
+    backend: str
+    load: float  # us of work a second, as last reported; 0: not reported
+    last_received_us: int
+    awaiting_reply_us: tuple[int, ...]  # when each message was sent that awaits a reply
+    from_carer: bytes  # what the client has sent of a line without an end; a field of the form, so the name stays
+    from_box: bytes  # the same of the backend
 
 
 def stored_rules(rules: RequestClass) -> dict[str, Any]:
-    """A class's rules under the stored names, which no renaming in the code may change."""
+    """A class's rules under the stored names."""
     return {
         "aim_us": rules.latency_objective_us,
         "deadline_us": rules.deadline_us,
@@ -68,52 +78,65 @@
     }
 
 
-def write(left: ConnectionSnapshot) -> bytes:
-    """The description of one connection, under the stored names."""
-    told = {
-        "id": left.id,
-        "klass": left.request_class,
-        "rules": left.class_rules,
-        "key": left.idempotency_key,
-        "group": left.sticky_group,
-        "tenant": left.tenant,
-        "box": left.backend,
-        "load": left.load,
-        "heard_us": left.last_received_us,
-        "asked_us": left.awaiting_reply_us,
-        "from_carer": base64.b64encode(left.from_carer).decode(),
-        "from_box": base64.b64encode(left.from_box).decode(),
-        "version": VERSION,
-    }
-    return json.dumps(told, separators=(",", ":")).encode()
+def write(snapshot: ConnectionSnapshot) -> bytes:
+    """The description of one connection."""
+    stored: dict[str, Any] = {name: getattr(snapshot, field) for name, field in STORED_NAMES.items()}
+    for name in STORED_BYTES:
+        stored[name] = base64.b64encode(stored[name]).decode()
+    stored["version"] = VERSION
+    return json.dumps(stored, separators=(",", ":")).encode()
 
 
 def read(data: bytes, now_us: int) -> ConnectionSnapshot:
-    """The connection described, or BadForm. Guards against a process of another version, and against half a
-    message."""
+    """The connection described.
+
+    Raises FormError. Prevents that a description by another version, or half of one, is taken for a connection.
+    """
     try:
-        told = json.loads(data)
-        version = told.pop("version")
-        if version != VERSION:
-            raise BadForm(f"version {version!r}, not {VERSION}")
-        for name in ("from_carer", "from_box"):
-            told[name] = base64.b64decode(told[name], validate=True)
-            if len(told[name]) > MAX_LINE:
-                raise BadForm(f"{name}: {len(told[name])} bytes")
-        told["asked_us"] = tuple(told["asked_us"])
-        if unknown := told.keys() - STORED_NAMES.keys():
-            raise BadForm(f"unknown fields: {', '.join(sorted(unknown))}")
-        left = ConnectionSnapshot(**{STORED_NAMES[name]: value for name, value in told.items()})
+        snapshot = _decode(json.loads(data))
     except (ValueError, TypeError, KeyError, AttributeError) as error:
-        raise BadForm(f"not of the form: {error!r}") from None
-    for name in ("id", "klass", "key", "group", "box"):
-        if not isinstance(getattr(left, STORED_NAMES[name]), str):
-            raise BadForm(f"{name}: not text")
-    if not isinstance(left.class_rules, dict) or not isinstance(left.tenant, int):
-        raise BadForm("rules, tenant: not of the form")
-    if not isinstance(left.load, (int, float)) or not (math.isfinite(left.load) and left.load >= 0):
-        raise BadForm(f"load: {left.load!r}")
-    for at in (left.last_received_us, *left.awaiting_reply_us):
-        if not isinstance(at, int) or not now_us - OLDEST_US <= at <= now_us + OLDEST_US:
-            raise BadForm(f"a time that makes no sense: {at!r}")
-    return left
+        raise FormError(f"not of the form: {error!r}") from None
+    _check_types(snapshot)
+    for name, time_us in _times(snapshot):
+        if (
+            not isinstance(time_us, int)
+            or not now_us - MAX_TIME_DIFFERENCE_US <= time_us <= now_us + MAX_TIME_DIFFERENCE_US
+        ):
+            raise FormError(f"a time that makes no sense: {time_us!r}", name)
+    return snapshot
+
+
+def _decode(stored: Any) -> ConnectionSnapshot:
+    """Raises FormError, and ValueError, TypeError, KeyError or AttributeError where it is no description at all."""
+    version = stored.pop("version")
+    if version != VERSION:
+        raise FormError(f"version {version!r}, not {VERSION}", "version")
+    for name in STORED_BYTES:
+        stored[name] = base64.b64decode(stored[name], validate=True)
+        if len(stored[name]) > MAX_LINE:
+            raise FormError(f"{name}: {len(stored[name])} bytes", name)
+    stored["asked_us"] = tuple(stored["asked_us"])
+    if unknown := stored.keys() - STORED_NAMES.keys():
+        names = ", ".join(sorted(unknown))
+        raise FormError(f"unknown fields: {names}", names)
+    return ConnectionSnapshot(**{STORED_NAMES[name]: value for name, value in stored.items()})
+
+
+def _check_types(snapshot: ConnectionSnapshot) -> None:
+    for name in STORED_TEXTS:
+        if not isinstance(getattr(snapshot, STORED_NAMES[name]), str):
+            raise FormError(f"{name}: not text", name)
+    if not isinstance(snapshot.class_rules, dict):
+        raise FormError("rules, tenant: not of the form", "rules")
+    if not isinstance(snapshot.tenant, int):
+        raise FormError("rules, tenant: not of the form", "tenant")
+    load = snapshot.load
+    if not isinstance(load, (int, float)) or not (math.isfinite(load) and load >= 0):
+        raise FormError(f"load: {load!r}", "load")
+
+
+def _times(snapshot: ConnectionSnapshot) -> Iterator[tuple[str, object]]:
+    """Each time with its stored name."""
+    yield "heard_us", snapshot.last_received_us
+    for time_us in snapshot.awaiting_reply_us:
+        yield "asked_us", time_us
--- /dev/null
+++ b/gradefront/state/handover_receiver.py
@@ -0,0 +1,237 @@
+"""The receiving side of a handover: the newest process takes over the connections of those before it."""
+
+from __future__ import annotations
+
+import logging
+import os
+import socket
+from contextlib import suppress
+from pathlib import Path
+
+from gradefront.core.adopted import take_over
+from gradefront.core.connect_request import ConnectRequest
+from gradefront.core.connection import Attempt, Connection
+from gradefront.core.relay import RelayCore
+from gradefront.net.backend_connection import BackendProtocol, LineBackendConnection
+from gradefront.net.client_protocol import ClientProtocol, ClientProtocolFactory
+from gradefront.net.lines import BadLine, FirstLine
+from gradefront.net.reactor import Reactor
+
+from .form import MAX_FORM_BYTES, ConnectionSnapshot, FormError, read, stored_rules
+from .handover_sockets import (
+    MAX_SENDERS,
+    SOCKET_NAME,
+    SingleProtocolFactory,
+    is_same_user,
+    listen_as_newest,
+)
+
+log = logging.getLogger("gradefront.handover")
+
+MAX_MESSAGES = 16  # read from one sender in one go
+SOCKETS_PER_CONNECTION = 2  # the client's and the backend's
+SENT_FIRST_LINE = 2  # stage of a backend protocol
+
+
+class AdoptedClient(ClientProtocol):
+    """A client's connection that was handed over: its request is behind it."""
+
+    def connectionMade(self) -> None:
+        """Count the connection; it has no deadline for a request."""
+        self.arrived_us = self.front.core.clock()
+        self.timeout = self.front.core.after(0, lambda: None)
+        self.front.open_connections += 1
+
+
+class AdoptedBackend(BackendProtocol):
+    """A backend's connection that was handed over."""
+
+    def connectionMade(self) -> None:
+        """Send nothing: the first line was sent by the process before."""
+        self.stage = SENT_FIRST_LINE
+
+
+class _SenderConnection:
+    """The connection from one process that hands over, as the reactor reads it."""
+
+    def __init__(self, receiver: HandoverReceiver, call: socket.socket) -> None:
+        self.receiver = receiver
+        self.call = call
+
+    def fileno(self) -> int:
+        """The descriptor to poll."""
+        return self.call.fileno()
+
+    def logPrefix(self) -> str:
+        """The name in Twisted's logs."""
+        return "handover"
+
+    def doRead(self) -> None:
+        """Read some messages, each complete and with its sockets."""
+        for _ in range(MAX_MESSAGES):
+            try:
+                data, fds, flags, _ = socket.recv_fds(self.call, MAX_FORM_BYTES, SOCKETS_PER_CONNECTION)
+            except BlockingIOError:
+                return
+            except OSError as error:
+                log.warning("the process before broke off: %s", error)
+                data, fds, flags = b"", [], 0
+            if not data and not fds:
+                self.receiver.on_sender_done(self)
+                return
+            try:
+                self.receiver.adopt(data, fds, bool(flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC)))
+            except Exception:  # a fault stops at this one connection
+                log.exception("a connection that was handed over failed")
+                self.receiver.core.counters.add("exceptions")
+            finally:
+                for fd in fds:  # the reactor has duplicates
+                    os.close(fd)
+
+    def connectionLost(self, reason: object) -> None:  # noqa: ARG002 - Twisted's signature
+        """The reactor found the socket broken."""
+        self.receiver.on_sender_done(self)
+
+
+class HandoverReceiver:
+    """Takes over the connections of processes before this one, which call at the Unix socket in `folder`."""
+
+    def __init__(self, core: RelayCore, front: ClientProtocolFactory, reactor: Reactor, folder: Path) -> None:
+        self.core = core
+        self.front = front
+        self.reactor = reactor
+        self.path = folder / SOCKET_NAME
+        self.senders: list[_SenderConnection] = []
+        self.listener: socket.socket | None = None
+        self.inode = 0
+
+    def open(self) -> None:
+        """Hold the name from now on. A folder in which that fails is no reason not to serve."""
+        try:
+            self.listener, self.inode = listen_as_newest(self.path)
+        except OSError as error:
+            log.warning("no handover in %s: %s", self.path.parent, error)
+            return
+        self.reactor.addReader(self)
+
+    def close(self) -> None:
+        """Take nothing more over; free the name if it is still this process's."""
+        if self.listener:
+            was_newest = self.is_newest()
+            self.reactor.removeReader(self)
+            self.listener.close()
+            self.listener = None
+            if was_newest:
+                with suppress(OSError):  # a name without a listener does no harm: senders are refused
+                    self.path.unlink(missing_ok=True)
+        for sender in list(self.senders):
+            self.on_sender_done(sender)
+
+    def is_newest(self) -> bool:
+        """Whether no newer process holds the name; True also where that can't be known.
+
+        Prevents that requests in the listener's queue are left to a process that does not exist.
+        """
+        if self.listener is None:
+            return True
+        with suppress(OSError):
+            return self.path.stat().st_ino == self.inode
+        return True
+
+    def fileno(self) -> int:
+        """The descriptor to poll."""
+        return self.listener.fileno() if self.listener else -1
+
+    def logPrefix(self) -> str:
+        """The name in Twisted's logs."""
+        return "handover"
+
+    def doRead(self) -> None:
+        """Accept a sender, if it runs under the same user."""
+        assert self.listener
+        try:
+            call, _ = self.listener.accept()
+        except OSError:
+            return
+        if not is_same_user(call) or len(self.senders) >= MAX_SENDERS:
+            call.close()
+            return
+        call.setblocking(False)
+        sender = _SenderConnection(self, call)
+        self.senders.append(sender)
+        self.reactor.addReader(sender)
+
+    def connectionLost(self, reason: object) -> None:  # noqa: ARG002 - Twisted's signature
+        """The reactor found the socket broken."""
+        self.close()
+
+    def on_sender_done(self, sender: _SenderConnection) -> None:
+        """A process has handed over all that it could."""
+        if sender in self.senders:
+            self.senders.remove(sender)
+            self.reactor.removeReader(sender)
+            sender.call.close()
+            log.info("%d connections were handed over so far", self.core.counters.counts["taken_over"])
+
+    def adopt(self, data: bytes, fds: list[int], truncated: bool) -> None:
+        """Take one connection over.
+
+        Where its description makes no sense its sockets are closed; where its class has other rules here, it is told
+        to move.
+        """
+        core = self.core
+        try:
+            if truncated or len(fds) != SOCKETS_PER_CONNECTION:
+                raise FormError(f"{len(fds)} sockets{', cut short' if truncated else ''}")
+            snapshot = read(data, core.clock())
+        except FormError as error:
+            log.warning("a connection can't be taken over: %s", error)
+            core.counters.add("taken_over_badly")
+            return
+        class_numbers = self.front.config.class_numbers
+        known = class_numbers.get(snapshot.request_class)
+        has_same_rules = known is not None and stored_rules(core.settings.classes[known]) == snapshot.class_rules
+        request_class = known if known is not None else next(iter(class_numbers.values()))
+        client = AdoptedClient(self.front)
+        client.id = snapshot.id.encode()
+        connection, attempt = self._establish(snapshot, request_class, client)
+        client.connection = connection
+        upstream = LineBackendConnection(attempt, FirstLine(b"", b"", False), self.front.upstreams)
+        upstream.line = AdoptedBackend(upstream)
+        attempt.upstream, attempt.load = upstream, snapshot.load
+        for fd, protocol in zip(fds, (client, upstream.line), strict=True):
+            os.set_blocking(fd, False)
+            self.reactor.adoptStreamConnection(fd, socket.AF_INET, SingleProtocolFactory(protocol))
+        with suppress(BadLine):  # an id known here already is no reason to end it
+            self.front.new_id(client.id)
+        client.join(upstream)
+        core.counters.add("taken_over")
+        if not has_same_rules:
+            core.migrate(connection)
+            return
+        client.take_bytes(snapshot.from_carer)
+        upstream.line.take_bytes(snapshot.from_box)
+
+    def _establish(
+        self, snapshot: ConnectionSnapshot, request_class: int, client: AdoptedClient
+    ) -> tuple[Connection, Attempt]:
+        """Have the core count the connection as established."""
+        request = ConnectRequest(
+            0,
+            None,
+            request_class,
+            snapshot.tenant,
+            snapshot.idempotency_key,
+            snapshot.sticky_group,
+            snapshot.load,
+            True,
+        )
+        return take_over(
+            self.core,
+            request,
+            client,
+            self.front.connector,
+            snapshot.backend,
+            snapshot.last_received_us,
+            snapshot.awaiting_reply_us,
+        )
--- a/tests/test_stored_form.py
+++ b/tests/test_stored_form.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gradefront.config import parse
-from gradefront.state.form import BadForm, read, stored_rules, write
+from gradefront.state.form import FormError, read, stored_rules, write
 from tests.helper import CLASS
 
 # As version 0.2.0 wrote it.
@@ -64,5 +64,5 @@
 def test_a_description_without_a_field_or_with_another_one_is_refused(name: str) -> None:
     stored = json.loads(VERSION_1)
     stored[f"{name}_2"] = stored.pop(name)
-    with pytest.raises(BadForm):
+    with pytest.raises(FormError):
         read(json.dumps(stored).encode(), NOW_US)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,8 +20,8 @@
 from gradefront.config import ConfigError, parse
 from gradefront.core.lifecycle_state import LifecycleState
 from gradefront.listening import inherited_listener
-from gradefront.state.form import BadForm, ConnectionSnapshot, read, write
-from gradefront.state.handover import NAME
+from gradefront.state.form import ConnectionSnapshot, FormError, read, write
+from gradefront.state.handover_sockets import SOCKET_NAME
 from lab.stand_ins import Discovery, LineDevice, Program, StandInBackend, program, settings, soon
 
 from .helper import Bench
@@ -117,10 +117,10 @@
         ("rules", []),
         ("x", 1),
     ):
-        with pytest.raises(BadForm):
+        with pytest.raises(FormError):
             read(json.dumps({**good, name: value}).encode(), 2_000_000)
     for cut in range(0, len(write(LEFT)) - 1, 7):
-        with pytest.raises(BadForm):
+        with pytest.raises(FormError):
             read(write(LEFT)[:cut], 2_000_000)
 
 
@@ -223,7 +223,7 @@
 
 def test_standing_visits_go_to_the_next_process_and_nobody_moves(tmp_path: Path) -> None:
     async def play() -> None:
-        (tmp_path / NAME).write_text("left by somebody")
+        (tmp_path / SOCKET_NAME).write_text("left by somebody")
         async with Handing(tmp_path) as here:
             old = await here.start("old")
             devices = [await here.standing(old) for _ in range(30)]
@@ -275,7 +275,7 @@
             device = await LineDevice.connect(alone.ports[0])
             device.open(d=4000)
             assert [await device.line(), await device.line()] == ["UP r-1", "MOVE"]
-            assert await alone.stop() == 0 and not (tmp_path / NAME).exists()
+            assert await alone.stop() == 0 and not (tmp_path / SOCKET_NAME).exists()
 
     asyncio.run(play())
 
@@ -285,9 +285,9 @@
         async with Handing(tmp_path) as here:
             old = await here.start("old")
             device = await here.standing(old)
-            (tmp_path / NAME).unlink()
+            (tmp_path / SOCKET_NAME).unlink()
             with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as stranger:
-                stranger.bind(str(tmp_path / NAME))
+                stranger.bind(str(tmp_path / SOCKET_NAME))
                 stranger.listen()
                 old.process.send_signal(signal.SIGTERM)
                 call = await asyncio.to_thread(stranger.accept)
@@ -303,9 +303,9 @@
         async with Handing(tmp_path) as here:
             old = await here.start("old")
             devices = [await here.standing(old) for _ in range(40)]
-            (tmp_path / NAME).unlink()
+            (tmp_path / SOCKET_NAME).unlink()
             with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as stranger:
-                stranger.bind(str(tmp_path / NAME))
+                stranger.bind(str(tmp_path / SOCKET_NAME))
                 stranger.listen()
                 old.process.send_signal(signal.SIGTERM)
 
@@ -331,11 +331,11 @@
         async with Handing(tmp_path) as here:
             new = await here.start("new")
             with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as call, socket.socket() as other:
-                call.connect(str(tmp_path / NAME))
+                call.connect(str(tmp_path / SOCKET_NAME))
                 socket.send_fds(call, [b"{}"], [other.fileno()] * 2)
                 socket.send_fds(call, [write(LEFT)], [other.fileno()])
                 call.send(b"\0" * 60_000)
-            await new.line("visits were handed over so far")
+            await new.line("connections were handed over so far")
             counts = await new.counters()
             assert counts["taken_over_badly"] == 3 and counts["visits_now"] == 0
             await here.standing(new)
