--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -68,11 +68,11 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self._watch = partial(self._do, WatchEndpointList())
+        self._watch = partial(self.context.emit, WatchEndpointList())
         self.handlers = {
             SettingsChanged: self._retune,
             Request: self._request,
-            TimerFired: lambda e: self.timers.pop(e.timer_id, int)(),
+            TimerFired: self.timers.on_fired,
             ConnectionEstablished: self._established,
             AttemptEnded: self._outcome,
             HealthCheckResult: self._probed,
@@ -87,19 +87,19 @@
     # ---- the endpoint list
 
     def _list(self, update: EndpointListUpdate) -> None:
-        self.new_until = self.new_until or self.now + NEW_US
+        self.new_until = self.new_until or self.context.now_us + NEW_US
         known, self.backends = self.backends, {} if update.is_complete else self.backends
         for entry in update.entries:
             backend = known.get(entry.backend)
             if backend is None or backend.entry.started_us < entry.started_us:  # new, or a new process
-                backend = Backend(entry, chance=self.random.random() if entry.started_us else 0.0)
+                backend = Backend(entry, chance=self.context.random.random() if entry.started_us else 0.0)
             backend.entry = entry
             self.backends[entry.backend] = backend
             if entry.state is BackendState.DRAINING and not backend.left:
                 backend.left = (
                     True  # guards against a cut: what stands there is told before the backend leaves
                 )
-                self._log(
+                self.context.log(
                     "drain", f"{entry.backend} drains; {len(backend.open)} connections are told to move"
                 )
                 self._move_soon(list(backend.open), DRAIN_SPREAD_US)
@@ -107,49 +107,54 @@
             if entry.state is BackendState.GONE:
                 del self.backends[entry.backend]
         self.ring_stale = True
-        if self.s.polls_endpoint_list:
+        if self.context.settings.polls_endpoint_list:
             if not self.watching:  # start jitter: all nodes at once would drown the list service
-                self._after(self.random.uniform(0, self.s.poll_within_us / 4), self._watch)
+                self.timers.start(
+                    self.context.random.uniform(0, self.context.settings.poll_within_us / 4), self._watch
+                )
             self.watching, self.list_errors = True, 0
 
     def _list_error(self, _: EndpointListError) -> None:
-        self._log("list", "list call failed or watch lost; asking again")
-        self._after(self._jitter(LIST_BASE_US, self.s.poll_within_us / 4, self.list_errors), self._watch)
+        self.context.log("list", "list call failed or watch lost; asking again")
+        self.timers.start(
+            self._jitter(LIST_BASE_US, self.context.settings.poll_within_us / 4, self.list_errors),
+            self._watch,
+        )
         self.list_errors += 1
 
     # ---- life of a request
 
     def _request(self, request: Request) -> None:
         self._learn_work(request.load_hint)
-        request_class = self.s.classes[request.request_class]
+        request_class = self.context.settings.classes[request.request_class]
         pending = PendingRequest(
             request,
             request_class,
-            self.now + min(request.expires_us, request_class.deadline_us),
-            self.s.max_attempts,
+            self.context.now_us + min(request.expires_us, request_class.deadline_us),
+            self.context.settings.max_attempts,
         )
         self.pending_requests[request.request_id] = pending
         self._consider(pending)
 
     def _consider(self, pending: PendingRequest) -> None:
         """Sample candidates; health check those whose figures are old; place when the answers are in."""
-        good, bad = self.good.add(self.now, 0), self.bad.add(self.now, 0)
-        held_back = self.random.random() < (good + bad - THROTTLE * good) / (good + bad + 1)
+        good, bad = self.good.add(self.context.now_us, 0), self.bad.add(self.context.now_us, 0)
+        held_back = self.context.random.random() < (good + bad - THROTTLE * good) / (good + bad + 1)
         if held_back and not self._in_turn():  # a turn is within what a backend in slow start bears
-            self.bad.add(self.now, 1)  # guards against drowning what all backends depend on: hold back
-            self._log("hold", "placements held back: errors, time-outs or full servers abound")
+            self.bad.add(
+                self.context.now_us, 1
+            )  # guards against drowning what all backends depend on: hold back
+            self.context.log("hold", "placements held back: errors, time-outs or full servers abound")
             self._again(pending, NotSentReason.THROTTLED)
             return
         pending.turn += 1
         pending.candidates, pending.missing = self._sample(pending), {}
-        if (
-            self.s.may_check_health
-            and self.s.load_report_source is not LoadReportSource.NONE
-            and len(self.backends) > 1
-        ):
+        settings = self.context.settings
+        reported = settings.load_report_source is not LoadReportSource.NONE
+        if settings.may_check_health and reported and len(self.backends) > 1:
             for name in pending.candidates:
                 backend = self.backends[name]
-                if backend.load is None or self.now - backend.load_at > FRESH_US:
+                if backend.load is None or self.context.now_us - backend.load_at > FRESH_US:
                     pending.missing[name] = None
                     backend.waiters.append(pending.request.request_id)
                     self._probe(backend)
@@ -157,16 +162,14 @@
             self._place(pending)
         else:  # the timer is the fallback for health checks that stay unanswered
             wait = min(
-                pending.request_class.latency_objective_us * PROBE_PART, (pending.deadline - self.now) / 2
+                pending.request_class.latency_objective_us * PROBE_PART,
+                (pending.deadline - self.context.now_us) / 2,
             )
-            self._after(wait, partial(self._resume, pending, pending.turn, self._place))
+            self.timers.start(wait, partial(self._resume, pending, pending.turn, self._place))
 
     def _resume(self, pending: PendingRequest, turn: int, then: Callable[[PendingRequest], None]) -> None:
-        if (
-            self.pending_requests.get(pending.request.request_id) is pending
-            and pending.turn == turn
-            and not pending.out
-        ):
+        known = self.pending_requests.get(pending.request.request_id)
+        if known is pending and pending.turn == turn and not pending.out:
             then(pending)
 
     def _sample(self, pending: PendingRequest) -> list[str]:
@@ -174,10 +177,10 @@
         if self.ring_stale:
             self._build_ring()
         found, suspect = dict[str, None](), dict[str, None]()
-        draw = pending.request.sticky_group if self.s.sticky_groups else ""
-        most = CANDIDATES + self.s.sticky_groups  # a group's home and two others
+        draw = pending.request.sticky_group if self.context.settings.sticky_groups else ""
+        most = CANDIDATES + self.context.settings.sticky_groups  # a group's home and two others
         points = (
-            crc32(f"{pending.rounds}/{n}/{draw}".encode()) if draw else self.random.getrandbits(32)
+            crc32(f"{pending.rounds}/{n}/{draw}".encode()) if draw else self.context.random.getrandbits(32)
             for n in range(4 * most if self.ring else 0)
         )
         drawn = [self.ring[bisect_left(self.ring, (point, "")) % len(self.ring)][1] for point in points]
@@ -188,7 +191,7 @@
                 and self._usable(self.backends[name], pending)
                 and self._cold_allows(self.backends[name], pending)
             ):
-                (suspect if self.now < self.backends[name].suspect_until else found)[name] = None
+                (suspect if self.context.now_us < self.backends[name].suspect_until else found)[name] = None
         among = list(found or suspect)  # suspects rather than none: all may be suspect after a cut
         far = [n for n in among if self._far(self.backends[n])]
         near = [n for n in among if n not in far]
@@ -207,8 +210,8 @@
             if weight <= 0 or not self._cold_allows(backend, pending):
                 continue
             fit += 1
-            draw = pending.request.sticky_group if self.s.sticky_groups else ""
-            u = (crc32(f"{draw}|{name}".encode()) + 0.5) / 2**32 if draw else self.random.random()
+            draw = pending.request.sticky_group if self.context.settings.sticky_groups else ""
+            u = (crc32(f"{draw}|{name}".encode()) + 0.5) / 2**32 if draw else self.context.random.random()
             score = weight / -math.log(max(u, 1e-12))
             if score > best_score:
                 best, best_score = name, score
@@ -216,20 +219,24 @@
         # Guards against herding: what all nodes may send before it shows must fit into the spare capacity.
         # What comes back to a node that has just started is load that the backends bore a moment ago, and a
         # crowd that waits must not count itself again and again.
-        back = self.now < self.new_until and pending.request.is_reconnect
-        asked = self.asked.add(self.now, not (back and pending.rounds))
+        back = self.context.now_us < self.new_until and pending.request.is_reconnect
+        asked = self.asked.add(self.context.now_us, not (back and pending.rounds))
         blind = (RETURN if back else 1.0) * asked * BLIND_US / MEMORY_US * self._part() / self._full()
-        left = len(self.backends) - self.count_unavailable(self.now)  # these alone share what all nodes send
+        left = len(self.backends) - self.count_unavailable(
+            self.context.now_us
+        )  # these alone share what all nodes send
         blind *= len(self.backends) / max(1, left)
         blind *= (
-            len(pending.candidates) / max(1, fit) * (self.s.load_report_source is not LoadReportSource.NONE)
+            len(pending.candidates)
+            / max(1, fit)
+            * (self.context.settings.load_report_source is not LoadReportSource.NONE)
         )  # few meet all
         if best and self._coldness(self.backends[best]) < 1:  # what all may send it is dealt out
             blind = self._cold_blind(self.backends[best])
-        crowded = best and self.random.random() * blind > LIMIT - self._load(self.backends[best])
+        crowded = best and self.context.random.random() * blind > LIMIT - self._load(self.backends[best])
         if not best or crowded:
             if pending.candidates:  # a look that probed nobody costs nobody
-                self.bad.add(self.now, FULL_SAY)
+                self.bad.add(self.context.now_us, FULL_SAY)
             self._again(pending, self._why_not_placed(pending))
             return
         backend, cost = self.backends[best], self._cost(pending)
@@ -237,14 +244,15 @@
         pending.tried.append(best)
         backend.own += cost / self._full()
         timeout = min(
-            pending.deadline - self.now, int(pending.request_class.latency_objective_us * SETUP_AIMS)
+            pending.deadline - self.context.now_us,
+            int(pending.request_class.latency_objective_us * SETUP_AIMS),
         )
-        self._do(
+        self.context.emit(
             StartAttempt(pending.request.request_id, best, max(1, timeout), self._slow_start_room(backend))
         )
         self._use_turn(backend, cost)
         backend.coming.add(pending.request.request_id)
-        pending.ran.append((backend.entry, self.now))
+        pending.ran.append((backend.entry, self.context.now_us))
 
     def _why_not_placed(self, pending: PendingRequest) -> NotSentReason:
         """Why none of the backends was taken."""
@@ -272,17 +280,17 @@
         spent = (
             pending.rounds >= ATTEMPTS or len(pending.tried) >= pending.most
         )  # a look that sent nothing is no attempt
-        late = self.now + wait + 2 * self.s.timer_resolution_us >= until
+        late = self.context.now_us + wait + 2 * self.context.settings.timer_resolution_us >= until
         # A look that sent nothing may wait for a turn at a backend in slow start in place of its delay.
         turn = self._next_turn(until - TURN_SPARE_US) if why is not NotSentReason.ATTEMPT_FAILED else None
-        if turn and (spent or late or turn.start_us < self.now + wait):
+        if turn and (spent or late or turn.start_us < self.context.now_us + wait):
             turn.reserved = True
-            wait, spent, late = turn.start_us - self.now, False, False
+            wait, spent, late = turn.start_us - self.context.now_us, False, False
         if spent or late:
             self._answer(pending)
         else:
             pending.turn += 1
-            self._after(wait, partial(self._resume, pending, pending.turn, self._consider))
+            self.timers.start(wait, partial(self._resume, pending, pending.turn, self._consider))
 
     def _answer(self, pending: PendingRequest) -> None:
         """The one final answer: a rejection where it is harmless to try again, else a failure."""
@@ -290,12 +298,16 @@
         repeat = pending.request_class.idempotency
         shared = repeat is Idempotency.KEYED and pending.request_class.key_scope is KeyScope.ALL
         harmless = not pending.ran or repeat is Idempotency.IDEMPOTENT or shared
-        pause = int(self.random.uniform(0, self.s.max_retry_after_us)) if self.s.retry_after else 0
+        pause = (
+            int(self.context.random.uniform(0, self.context.settings.max_retry_after_us))
+            if self.context.settings.retry_after
+            else 0
+        )
         name = pending.request.request_id
-        self._do(Reject(name, pause, pending.held) if harmless else Fail(name, pending.held))
+        self.context.emit(Reject(name, pause, pending.held) if harmless else Fail(name, pending.held))
 
     def _established(self, event: ConnectionEstablished) -> None:
-        self.good.add(self.now, 1)
+        self.good.add(self.context.now_us, 1)
         if event.request_id in self.pending_requests:
             self._stand(self.pending_requests.pop(event.request_id).request, event.backend)
         if event.backend in self.backends:
@@ -318,13 +330,13 @@
             if outcome.result is AttemptResult.RESET and backend:
                 self._suspect(backend)
                 # An overloaded backend drops connections, then looks well loaded while its messages are late.
-                backend.shed_until = self.now + SHED_US
+                backend.shed_until = self.context.now_us + SHED_US
                 self._look_at(backend)
             return
         if backend and outcome.result in UNRESPONSIVE:
             self._suspect(backend)
         if backend and outcome.result is AttemptResult.OVERLOADED:
-            backend.load, backend.load_at, backend.own = 1.0, self.now, 0.0
+            backend.load, backend.load_at, backend.own = 1.0, self.context.now_us, 0.0
         if backend and outcome.result is AttemptResult.ERROR:
             backend.errors += 1
             if backend.errors >= ERRORS:
@@ -334,7 +346,7 @@
             or outcome.result is AttemptResult.ERROR
             and (not backend or backend.errors >= ERRORS)
         ):  # one may be the request's own doing
-            self.bad.add(self.now, 1)
+            self.bad.add(self.context.now_us, 1)
         pending = self.pending_requests.get(outcome.request_id)
         if pending is None or outcome.is_final:
             self.pending_requests.pop(outcome.request_id, None)
@@ -348,7 +360,7 @@
             and pending.request_class.idempotency is not Idempotency.IDEMPOTENT
             and (
                 pending.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
-                or self.now >= pending.ran[0][1] + pending.request_class.dedup_window_us
+                or self.context.now_us >= pending.ran[0][1] + pending.request_class.dedup_window_us
             )
         )
         over = once or outcome.result in (
@@ -373,10 +385,10 @@
         # Guards against a slow backend whose messages tell nothing: any report above the limit moves some.
         # Where no message is ever late (another layer answers them), reports are the only sign.
         alone = not self.late_told and self.mean_load < CALM
-        limit = MOVE_AT if self.now < backend.shed_until or alone else MOVE_TOLD
-        high = not silent and (backend.load or 0.0) > limit and self.now >= backend.hold_until
+        limit = MOVE_AT if self.context.now_us < backend.shed_until or alone else MOVE_TOLD
+        high = not silent and (backend.load or 0.0) > limit and self.context.now_us >= backend.hold_until
         if -1 in waiters or high:
-            backend.hold_until = max(backend.hold_until, self.now + MOVE_HOLD_US)
+            backend.hold_until = max(backend.hold_until, self.context.now_us + MOVE_HOLD_US)
             self._move_some(backend, None if silent else backend.load)
         for pending in [self.pending_requests[n] for n in waiters if n in self.pending_requests]:
             if event.backend in pending.missing:
--- a/balancer/capacity.py
+++ b/balancer/capacity.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from .records import Decaying
+from .decaying import Decaying
 
 MEMORY_US = 5_000_000  # us: what lies further back tells of other traffic
 ALL_KINDS_SAY = 2.0  # loads: as much as all kinds together weigh beside what was reported of one
--- /dev/null
+++ b/balancer/context.py
@@ -0,0 +1,41 @@
+"""What the parts of one balancer share: settings, clock, random numbers, actions of the present event."""
+
+from __future__ import annotations
+
+from random import Random
+
+from .actions import Action, WriteLog
+from .settings import Settings
+
+LOG_INTERVAL_US = 5_000_000  # between two log lines of one kind
+
+
+class Context:
+    """The state shared by the parts of one balancer.
+
+    Attributes: `settings` in force now; `random`, from which all parts draw in the order of their decisions;
+    `now_us`, the clock time of the event being handled; `actions`, what is to be done about that event.
+    """
+
+    __slots__ = ("_logged_at_us", "actions", "now_us", "random", "settings")
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        self.settings = settings
+        self.random = Random(seed)
+        self.now_us = 0
+        self.actions: list[Action] = []
+        self._logged_at_us: dict[str, int] = {}
+
+    def begin(self, now_us: int) -> None:
+        """Start on an event that came at `now_us`, with no action yet."""
+        self.now_us, self.actions = now_us, []
+
+    def emit(self, action: Action) -> None:
+        """Add an action to those of the present event."""
+        self.actions.append(action)
+
+    def log(self, kind: str, text: str) -> None:
+        """Emit a log line, unless one of this kind was emitted less than `LOG_INTERVAL_US` ago."""
+        if self.now_us - self._logged_at_us.get(kind, -LOG_INTERVAL_US) >= LOG_INTERVAL_US:
+            self._logged_at_us[kind] = self.now_us
+            self.emit(WriteLog(text))
--- a/balancer/known.py
+++ b/balancer/known.py
@@ -23,36 +23,44 @@
     """How backends are judged."""
 
     def _probe(self, backend: Backend) -> None:
-        if self.s.may_check_health and not backend.probing:
+        if self.context.settings.may_check_health and not backend.probing:
             backend.probing = True
-            self._do(CheckHealth(backend.entry.backend))
+            self.context.emit(CheckHealth(backend.entry.backend))
 
     def _report(self, backend: Backend, report: LoadReport) -> None:
         load = report.load if report.load is not None else report.utilization
         if load is not None and 0 <= load < ABSURD:  # guards against lying reports; false for NaN too
-            backend.load, backend.load_at, backend.own = load, self.now, 0.0
+            backend.load, backend.load_at, backend.own = load, self.context.now_us, 0.0
             self.mean_load += (min(load, 2.0) - self.mean_load) / 16
             if self._coldness(backend) < 1:  # ones in slow start take little
                 return
-            self.capacity_share.on_report(self.now, backend.entry.kind, len(backend.open), min(load, 2.0))
-            if backend.entry.zone == self.s.zone:
+            self.capacity_share.on_report(
+                self.context.now_us, backend.entry.kind, len(backend.open), min(load, 2.0)
+            )
+            if backend.entry.zone == self.context.settings.zone:
                 self.near_load += (min(load, 2.0) - self.near_load) / 8
 
     def _load(self, backend: Backend) -> float:
         """Load over capacity as far as known: the report, fading toward the mean, and own sends since."""
         mean, own = self.mean_load, backend.own
-        if self.s.load_report_source is LoadReportSource.NONE:  # own open connections stand in for reports
+        if (
+            self.context.settings.load_report_source is LoadReportSource.NONE
+        ):  # own open connections stand in for reports
             each = (len(self.connections) + len(self.backends)) / max(1, len(self.backends))
             mean, own = min(COUNTED, mean * (len(backend.open) + 1) / each), 0.0
         known = mean if backend.load is None else backend.load
-        return mean + math.exp((backend.load_at - self.now) / FADE_US) * (known - mean) + own
+        return mean + math.exp((backend.load_at - self.context.now_us) / FADE_US) * (known - mean) + own
 
     def _suspect(self, backend: Backend, errors: int | None = None) -> None:
         """Others are preferred for a time, doubled by each further failure, or error in a row."""
         wait = min(SUSPECT_CAP_US, SUSPECT_US * 2 ** min(backend.fails if errors is None else errors, 10))
         backend.fails += errors is None
-        backend.suspect_until = max(backend.suspect_until, self.now + int(self.random.uniform(0.5, 1) * wait))
-        self._log("suspect", f"server {backend.entry.backend} suspected after a failure, a reset or errors")
+        backend.suspect_until = max(
+            backend.suspect_until, self.context.now_us + int(self.context.random.uniform(0.5, 1) * wait)
+        )
+        self.context.log(
+            "suspect", f"server {backend.entry.backend} suspected after a failure, a reset or errors"
+        )
 
     def _usable(self, backend: Backend, pending: PendingRequest) -> bool:
         entry, scope = backend.entry, pending.request_class.key_scope
@@ -69,11 +77,11 @@
 
     def _far(self, backend: Backend) -> bool:
         """Whether a connection there pays for its crossing between zones."""
-        return self.s.cross_zone_cost > 0 and backend.entry.zone != self.s.zone
+        return self.context.settings.cross_zone_cost > 0 and backend.entry.zone != self.context.settings.zone
 
     def _build_ring(self) -> None:
         ready = [s.entry for s in self.backends.values() if s.entry.state is BackendState.READY]
-        stable = self.s.weight_kind in (WeightKind.NOMINAL, WeightKind.ROUGH)
+        stable = self.context.settings.weight_kind in (WeightKind.NOMINAL, WeightKind.ROUGH)
         self.mean_weight = mean = sum(max(e.weight, 0.0) for e in ready) / len(ready) if ready else 1.0
         self.ring = sorted(
             (crc32(f"{e.backend}#{n}".encode()), e.backend)
@@ -84,6 +92,10 @@
 
     def _worth(self, request_class: RequestClass, tenant: int) -> float:
         """Worth for each unit of work. A tenant's share is judged by this node's part of its quota."""
-        part = self.s.tenants[tenant].quota_connections / self.s.fleet_size if self.s.tenants else 0.0
+        part = (
+            self.context.settings.tenants[tenant].quota_connections / self.context.settings.fleet_size
+            if self.context.settings.tenants
+            else 0.0
+        )
         over = part > 0 and self.tenant_open[tenant] + 2 > 1.25 * (part + 2)  # two of grace: few are noisy
-        return request_class.priority_weight * (self.s.over_quota_weight if over else 1)
+        return request_class.priority_weight * (self.context.settings.over_quota_weight if over else 1)
--- a/balancer/moves.py
+++ b/balancer/moves.py
@@ -44,13 +44,13 @@
                 s.entry.state is BackendState.READY and self._coldness(s) >= 1 for s in self.backends.values()
             )
             if settled and self.near_load < HOME_AT:
-                self._log("home", "connections that cross zones are moved home, one by one")
+                self.context.log("home", "connections that cross zones are moved home, one by one")
                 self._drop(request)
-                self._do(Migrate(request))
+                self.context.emit(Migrate(request))
             else:
                 self._look_home(request)
 
-        self._after(self.random.uniform(0, HOME_US), look)
+        self.timers.start(self.context.random.uniform(0, HOME_US), look)
 
     def _late(self, note: MessageLatencyReport) -> None:
         """Messages are late at a backend: look at it, and move some connections away."""
@@ -59,18 +59,28 @@
             return
         self.late_told = True
         backend.delay = note.latency_us / max(1, connection.request_class.message_latency_objective_us)
-        if backend.delay >= MOVE_DELAY and not self._look_at(backend) and self.now >= backend.hold_until:
-            backend.hold_until = self.now + MOVE_HOLD_US  # a late message stands in for a report
-            backend.load, backend.load_at = min(2.0, LATE_LOAD + LATE_LOAD * backend.delay), self.now
+        if (
+            backend.delay >= MOVE_DELAY
+            and not self._look_at(backend)
+            and self.context.now_us >= backend.hold_until
+        ):
+            backend.hold_until = self.context.now_us + MOVE_HOLD_US  # a late message stands in for a report
+            backend.load, backend.load_at = (
+                min(2.0, LATE_LOAD + LATE_LOAD * backend.delay),
+                self.context.now_us,
+            )
             self._move_some(backend, backend.load)
 
     def _look_at(self, backend: Backend) -> bool:
         """Probe a backend that may be overloaded, and move some off it if so. False: no health checks
         here."""
-        if not self.s.may_check_health or self.s.load_report_source is LoadReportSource.NONE:
+        if (
+            not self.context.settings.may_check_health
+            or self.context.settings.load_report_source is LoadReportSource.NONE
+        ):
             return False
-        if self.now >= backend.hold_until:
-            backend.hold_until = self.now + MOVE_HOLD_US
+        if self.context.now_us >= backend.hold_until:
+            backend.hold_until = self.context.now_us + MOVE_HOLD_US
             backend.waiters.append(-1)
             self._probe(backend)
         return True
@@ -79,20 +89,20 @@
         load = 1.0 + min(1.0, backend.delay / 4) if load is None else load
         if load <= MOVE_AT:
             return
-        self._log("move", f"moving some connections off {backend.entry.backend} at load {load:.2f}")
+        self.context.log("move", f"moving some connections off {backend.entry.backend} at load {load:.2f}")
         cheapest = sorted(backend.open, key=lambda r: (self._standing_value(r), r))
-        self._move_soon(cheapest[: int(len(cheapest) * (1 - MOVE_TO / load) + self.random.random())])
+        self._move_soon(cheapest[: int(len(cheapest) * (1 - MOVE_TO / load) + self.context.random.random())])
 
     def _move_soon(self, requests: list[int], spread_us: int = MOVE_SPREAD_US) -> None:
         def move(request: int) -> None:
             if request in self.connections:
                 self._drop(request)
-                self._do(Migrate(request))
+                self.context.emit(Migrate(request))
 
         for request in requests:
-            self._after(self.random.uniform(0, spread_us), partial(move, request))
+            self.timers.start(self.context.random.uniform(0, spread_us), partial(move, request))
 
     def _standing_value(self, request: int) -> float:
         connection = self.connections[request]
         worth = self._worth(connection.request_class, connection.tenant)
-        return worth if self.s.weight_by_work else worth / max(connection.work, 1.0)
+        return worth if self.context.settings.weight_by_work else worth / max(connection.work, 1.0)
--- a/balancer/node.py
+++ b/balancer/node.py
@@ -5,29 +5,28 @@
 import math
 from collections import Counter
 from collections.abc import Callable
-from random import Random
 from typing import Any
 
-from .actions import Action, SetTimer, WriteLog
+from .actions import Action
 from .capacity import CapacityShare
+from .context import Context
+from .decaying import Decaying
 from .events import BackendState, ConnectionLoadReport, Event, Request, SettingsChanged
-from .records import Backend, Connection, Decaying, PendingRequest
+from .records import Backend, Connection, PendingRequest
 from .send_slots import SendSlotTable, SlotSchedule
 from .settings import Settings
+from .timers import Timers
 
 MEMORY_US = 1_500_000  # us: memory of the throttle and of the demand
 HELD_UP_US = 150_000  # us: so long may a process be held up between reading its clock and writing
-LOG_GAP_US = 5_000_000  # us: between two log lines of one kind
 
 
 class Node:
     """The books and tools that the decisions share."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.s = settings
-        self.random = Random(seed)
-        self.now = 0
-        self.actions: list[Action] = []
+        self.context = Context(settings, seed)
+        self.timers = Timers(self.context)
         self.backends: dict[str, Backend] = {}
         self.ring: list[tuple[int, str]] = []
         self.ring_stale = True
@@ -37,8 +36,6 @@
         self.tenant_open: Counter[int] = Counter()
         # Of late: placements considered, stood, and held back or ended by a plain error.
         self.asked, self.good, self.bad = (Decaying(MEMORY_US) for _ in range(3))
-        self.timers: dict[int, Callable[[], None]] = {}
-        self.last_timer = 0
         self.list_errors = 0
         self.watching = False
         self.mean_load = 0.5  # mean of reports seen
@@ -49,27 +46,26 @@
         self.turn_table: SendSlotTable | None = None  # from the first event on
         self.late_told = False
         self.mean_work = 0.0  # mean work of connections seen, us a second
-        self.logged: dict[str, int] = {}
         self.handlers: dict[type, Callable[[Any], object]] = {}
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
         """Take one event at the clock time `now_us` and return what to do."""
-        self.now, self.actions = now_us, []
+        self.context.begin(now_us)
         if self.turn_table is None:
             self.turn_table = self._new_turns()
         self.handlers[type(event)](event)
-        return self.actions
+        return self.context.actions
 
     def _retune(self, event: SettingsChanged) -> None:
-        self.s, self.ring_stale = event.settings, True
+        self.context.settings, self.ring_stale = event.settings, True
         self.turn_table = self._new_turns()
 
     def _new_turns(self) -> SendSlotTable:
         """Turns under the present settings; what was sent under others counts as all that it might be."""
-        s = self.s
+        s = self.context.settings
         late_us = s.connect_timeout_us + HELD_UP_US
         dealer = SlotSchedule(s.position, s.fleet_size, s.overload_window_us, late_us, s.processes)
-        return SendSlotTable(dealer, self.random, self.now)
+        return SendSlotTable(dealer, self.context.random, self.context.now_us)
 
     def count_unavailable(self, now_us: int) -> int:
         """How many listed backends get nothing new now, or only where no others are left."""
@@ -82,7 +78,9 @@
 
     def _book(self, request: Request, name: str) -> None:
         """A connection stands."""
-        request_class = self.s.classes[min(max(request.request_class, 0), len(self.s.classes) - 1)]
+        request_class = self.context.settings.classes[
+            min(max(request.request_class, 0), len(self.context.settings.classes) - 1)
+        ]
         self.connections[request.request_id] = Connection(
             name, request_class, request.tenant, request.load_hint, request.sticky_group
         )
@@ -108,7 +106,7 @@
 
     def _holds(self, backend: str, group: str) -> bool:
         """Whether some of the group stand there through this node."""
-        return bool(self.s.sticky_groups and group) and backend in self.kin.get(group, ())
+        return bool(self.context.settings.sticky_groups and group) and backend in self.kin.get(group, ())
 
     def _load_note(self, note: ConnectionLoadReport) -> None:
         connection = self.connections.get(note.request_id)
@@ -119,20 +117,5 @@
     def _learn_work(self, work: float) -> None:
         self.mean_work += (work - self.mean_work) / (16 if self.mean_work else 1) if work > 0 else 0.0
 
-    # ---- tools
-
-    def _do(self, action: Action) -> None:
-        self.actions.append(action)
-
     def _jitter(self, base: float, cap: float, n: int) -> float:
-        return self.random.uniform(0, min(cap, base * 2 ** min(n, 30)))
-
-    def _after(self, delay_us: float, then: Callable[[], None]) -> None:
-        self.last_timer += 1
-        self.timers[self.last_timer] = then
-        self._do(SetTimer(self.last_timer, max(1, int(delay_us))))
-
-    def _log(self, kind: str, text: str) -> None:
-        if self.now - self.logged.get(kind, -LOG_GAP_US) >= LOG_GAP_US:
-            self.logged[kind] = self.now
-            self._do(WriteLog(text))
+        return self.context.random.uniform(0, min(cap, base * 2 ** min(n, 30)))
--- a/balancer/records.py
+++ b/balancer/records.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import math
 from dataclasses import dataclass, field
 
 from .actions import NotSentReason
@@ -59,18 +58,3 @@
     tenant: int
     work: float  # us of work a second; 0: not known
     group: str = ""
-
-
-@dataclass(slots=True)
-class Decaying:
-    """A count that fades with time."""
-
-    memory_us: int
-    value: float = 0.0
-    at: int = 0
-
-    def add(self, now: int, amount: float) -> float:
-        """Fade to `now`, add, and return the count."""
-        self.value = self.value * math.exp((self.at - now) / self.memory_us) + amount
-        self.at = now
-        return self.value
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -34,7 +34,9 @@
     # ---- what fills a backend
 
     def _part(self) -> float:
-        return self.s.fleet_size / max(1, len(self.backends))  # a mean backend's load for each of this node's
+        return self.context.settings.fleet_size / max(
+            1, len(self.backends)
+        )  # a mean backend's load for each of this node's
 
     def _fills(self, held: float) -> float:
         """Mean connections that fill a backend, where this node's part of them and the mean load are
@@ -43,7 +45,7 @@
 
     def _cores(self) -> float:
         """Cores of a backend, as far as a rough weight counts them; it has one at the least."""
-        rough = self.s.weight_kind is WeightKind.ROUGH
+        rough = self.context.settings.weight_kind is WeightKind.ROUGH
         return min(max(self.mean_weight, 1.0), MOST_CORES) if rough else 1.0
 
     def _full(self) -> float:
@@ -61,19 +63,25 @@
         most = self._fills(held + DEVIATIONS * math.sqrt(held + 1))
         most = max(most, LEAST_FULL * self._cores())
         # A node that has just started has no count yet; what comes back to it the backends bore a moment ago.
-        return self._full() if self.now < self.new_until else min(self._full(), most)
+        return self._full() if self.context.now_us < self.new_until else min(self._full(), most)
 
     # ---- what a one in slow start may get
 
     def _age_us(self, backend: Backend) -> int:
-        return self.now - backend.entry.started_us
+        return self.context.now_us - backend.entry.started_us
 
     def _coldness(self, backend: Backend, at_us: int | None = None) -> float:
         """Part of its capacity that a backend has for certain by its start time; 1 when warm."""
-        if not backend.entry.started_us or self.s.warm_up_us <= 0:
+        if not backend.entry.started_us or self.context.settings.warm_up_us <= 0:
             return 1.0
-        age = ((self.now if at_us is None else at_us) - backend.entry.started_us) / self.s.warm_up_us
-        return min(1.0, self.s.initial_capacity + (1 - self.s.initial_capacity) * max(0.0, age))
+        age = (
+            (self.context.now_us if at_us is None else at_us) - backend.entry.started_us
+        ) / self.context.settings.warm_up_us
+        return min(
+            1.0,
+            self.context.settings.initial_capacity
+            + (1 - self.context.settings.initial_capacity) * max(0.0, age),
+        )
 
     def _cold_allows(self, backend: Backend, pending: PendingRequest) -> bool:
         """Guards against pushing a cold backend over: this node's part of what all may send and have
@@ -82,14 +90,14 @@
         if coldness >= 1:
             return True
         # Where backends report their load, that tells what stands there.
-        unseen = self.s.load_report_source is LoadReportSource.NONE
+        unseen = self.context.settings.load_report_source is LoadReportSource.NONE
         if unseen and self._cold_held(backend) + self._cost(pending) > self._cold_room(backend, coldness):
             return False
-        if any(turn.open(self.now) for turn in self._turns_at(backend)):
+        if any(turn.open(self.context.now_us) for turn in self._turns_at(backend)):
             return True
         age_s = self._age_us(backend) / 1e6
-        mean = self._mean_sends(backend, self.now)
-        self._log(
+        mean = self._mean_sends(backend, self.context.now_us)
+        self.context.log(
             f"slow start {backend.entry.backend}",
             f"{backend.entry.backend}, {age_s:.1f} s old, waits for this node's turn;"
             f" all may send {mean:.1f}",
@@ -104,7 +112,7 @@
     def _cold_room(self, backend: Backend, coldness: float) -> float:
         """What this node may have there. Rounded at random: with a part below one connection, some nodes may
         send one and the others none."""
-        return LIMIT * coldness * self._cold_full() / self.s.fleet_size + backend.chance
+        return LIMIT * coldness * self._cold_full() / self.context.settings.fleet_size + backend.chance
 
     # ---- turns: the budget of what is sent
 
@@ -114,18 +122,26 @@
         holds = (
             LIMIT * self._coldness(backend, at_us) * self._known_full(backend)
         )  # backends of a kind differ
-        return self.s.overload_multiple * holds * self.s.overload_window_us / self.s.warm_up_us
+        return (
+            self.context.settings.overload_multiple
+            * holds
+            * self.context.settings.overload_window_us
+            / self.context.settings.warm_up_us
+        )
 
     def _known_full(self, backend: Backend) -> float:
         """Connections that fill a backend of this kind once it is warm, by this node's share of them."""
-        guess = LEAST_FULL * self._cores() / self.s.fleet_size
-        return self.capacity_share.connections(self.now, backend.entry.kind, guess) * self.s.fleet_size
+        guess = LEAST_FULL * self._cores() / self.context.settings.fleet_size
+        return (
+            self.capacity_share.connections(self.context.now_us, backend.entry.kind, guess)
+            * self.context.settings.fleet_size
+        )
 
     def _cold_blind(self, backend: Backend) -> float:
         """Load that all nodes may add to a cold backend before it shows in its reports."""
         assert self.turn_table
         dealer = self.turn_table.dealer
-        sent = dealer.many(self._mean_sends(backend, self.now)) * BLIND_US / dealer.period_us
+        sent = dealer.many(self._mean_sends(backend, self.context.now_us)) * BLIND_US / dealer.period_us
         return sent / max(1.0, self._coldness(backend) * self._known_full(backend))
 
     def _turns_at(self, backend: Backend) -> list[SendSlot]:
@@ -133,7 +149,7 @@
         assert self.turn_table
         entry = backend.entry
         return self.turn_table.at(
-            self.now, entry.backend, entry.started_us, partial(self._mean_sends, backend)
+            self.context.now_us, entry.backend, entry.started_us, partial(self._mean_sends, backend)
         )
 
     def _own_turns(self) -> list[SendSlot]:
@@ -145,13 +161,15 @@
 
     def _in_turn(self) -> list[str]:
         """A cold backend that this node may send to now: the turn lapses soon, and is nobody else's."""
-        names = [turn.backend for turn in self._own_turns() if turn.open(self.now)]
-        return [self.random.choice(names)] if names else []
+        names = [turn.backend for turn in self._own_turns() if turn.open(self.context.now_us)]
+        return [self.context.random.choice(names)] if names else []
 
     def _next_turn(self, until_us: float) -> SendSlot | None:
         """The next turn that no request waits for yet."""
         ahead = [
-            turn for turn in self._own_turns() if not turn.reserved and self.now < turn.start_us < until_us
+            turn
+            for turn in self._own_turns()
+            if not turn.reserved and self.context.now_us < turn.start_us < until_us
         ]
         return min(ahead, key=lambda turn: turn.start_us, default=None)
 
@@ -159,7 +177,7 @@
         """A request goes to a backend. If that is cold it takes a turn or several, whatever becomes of it."""
         left = math.ceil(cost)
         for turn in self._turns_at(backend) if self._coldness(backend) < 1 else []:
-            if left > 0 and not turn.used and turn.end_us > self.now:
+            if left > 0 and not turn.used and turn.end_us > self.context.now_us:
                 turn.used = True
                 left -= 1
 
@@ -174,9 +192,9 @@
             self._cold_full(),
             self._cold_held(backend),
             self._cold_room(backend, coldness),
-            self._mean_sends(backend, self.now),
+            self._mean_sends(backend, self.context.now_us),
             backend.entry.started_us,
-            self.now < self.new_until,
+            self.context.now_us < self.new_until,
         )
 
     def _cost(self, pending: PendingRequest) -> float:
--- a/tests/test_send_slots.py
+++ b/tests/test_send_slots.py
@@ -142,14 +142,14 @@
 def test_new_settings_count_what_was_sent_under_the_old_ones() -> None:
     b, now = balancer(1), 10_000_000
     assert sent(b, now, 1)
-    b.handle(now, SettingsChanged(b.s))
+    b.handle(now, SettingsChanged(b.context.settings))
     assert not sent(b, now + 1, 100) and sent(b, now + 3_000_000, 200)
 
 
 def test_requests_without_room_wait_for_the_turns_of_their_relay() -> None:
     """Guards against rejections while a server in slow start has turns left: each turn finds a request that waits."""
     b, now, end = balancer(1, fleet_size=2), 10_000_000, 12_000_000
-    b.now = now
+    b.context.now_us = now
     turns = [turn for turn in b._own_turns() if now < turn.end_us <= end]
     assert any(turn.start_us > now for turn in turns)
     timers = [
