--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -8,19 +8,19 @@
 from __future__ import annotations
 
 import math
-from bisect import bisect_left
 from collections import Counter
 from collections.abc import Callable
 from functools import partial
 from zlib import crc32
 
 from .actions import Fail, NotSentReason, Reject, StartAttempt, WatchEndpointList
+from .connections import PendingRequest
+from .endpoints import Backend
 from .events import (
     NEVER_EXECUTED,
     UNRESPONSIVE,
     AttemptEnded,
     AttemptResult,
-    BackendState,
     ClientDisconnected,
     ConnectionAdopted,
     ConnectionEstablished,
@@ -34,11 +34,10 @@
     SettingsChanged,
     TimerFired,
 )
+from .load_estimate import FULL_LOAD, REPORT_DELAY_US
 from .moves import DRAIN_SPREAD_US, MOVE_AT, MOVE_HOLD_US, Moves
 from .node import MEMORY_US
-from .records import Backend, PendingRequest
 from .settings import Idempotency, KeyScope, LoadReportSource, Settings
-from .slow_start import BLIND_US, LIMIT
 
 ATTEMPTS = 5  # rounds: the paper's default, first included; of them no more than told may send
 BASE_PART = 1 / 6  # of the class's aim: first backoff ceiling, so that a retry can still be in time
@@ -53,7 +52,6 @@
 KIN = 64.0  # tilt of a backend that holds some of the group, which shares their work: at a third of the room
 KIN_MOST = 2  # backends that hold most of the group and are candidates
 CALM = 0.5  # mean load up to which there is room elsewhere: a full backend sheds at once
-ERRORS = 2  # plain errors in a row from which a backend is suspected; a single one may be the request's doing
 RETURN = 0.25  # of the guard against herding, for what comes back to a node that has just started
 NEW_US = 10_000_000  # us: so long after its start a node has seen too few connections to judge by
 MOVE_TOLD = 1.0  # load in any report above which some move, though no message was late
@@ -77,36 +75,16 @@
             AttemptEnded: self._outcome,
             HealthCheckResult: self._probed,
             ClientDisconnected: lambda e: self.pending_requests.pop(e.request_id, None),
-            ConnectionLoadReport: self._load_note,
+            ConnectionLoadReport: self.connections.on_load_report,
             MessageLatencyReport: self._late,
             EndpointListUpdate: self._list,
             ConnectionAdopted: self._open,
             EndpointListError: self._list_error,
         }
 
-    # ---- the endpoint list
-
     def _list(self, update: EndpointListUpdate) -> None:
         self.new_until = self.new_until or self.context.now_us + NEW_US
-        known, self.backends = self.backends, {} if update.is_complete else self.backends
-        for entry in update.entries:
-            backend = known.get(entry.backend)
-            if backend is None or backend.entry.started_us < entry.started_us:  # new, or a new process
-                backend = Backend(entry, chance=self.context.random.random() if entry.started_us else 0.0)
-            backend.entry = entry
-            self.backends[entry.backend] = backend
-            if entry.state is BackendState.DRAINING and not backend.left:
-                backend.left = (
-                    True  # guards against a cut: what stands there is told before the backend leaves
-                )
-                self.context.log(
-                    "drain", f"{entry.backend} drains; {len(backend.open)} connections are told to move"
-                )
-                self._move_soon(list(backend.open), DRAIN_SPREAD_US)
-            backend.left = backend.left and entry.state is not BackendState.READY
-            if entry.state is BackendState.GONE:
-                del self.backends[entry.backend]
-        self.ring_stale = True
+        self.endpoints.update(update, self._on_draining)
         if self.context.settings.polls_endpoint_list:
             if not self.watching:  # start jitter: all nodes at once would drown the list service
                 self.timers.start(
@@ -114,6 +92,11 @@
                 )
             self.watching, self.list_errors = True, 0
 
+    def _on_draining(self, backend: Backend) -> None:
+        count = len(backend.connections)
+        self.context.log("drain", f"{backend.entry.backend} drains; {count} connections are told to move")
+        self._move_soon(list(backend.connections), DRAIN_SPREAD_US)
+
     def _list_error(self, _: EndpointListError) -> None:
         self.context.log("list", "list call failed or watch lost; asking again")
         self.timers.start(
@@ -122,10 +105,8 @@
         )
         self.list_errors += 1
 
-    # ---- life of a request
-
     def _request(self, request: Request) -> None:
-        self._learn_work(request.load_hint)
+        self.connections.learn_work(request.load_hint)
         request_class = self.context.settings.classes[request.request_class]
         pending = PendingRequest(
             request,
@@ -147,53 +128,58 @@
             self.context.log("hold", "placements held back: errors, time-outs or full servers abound")
             self._again(pending, NotSentReason.THROTTLED)
             return
-        pending.turn += 1
-        pending.candidates, pending.missing = self._sample(pending), {}
+        pending.generation += 1
+        pending.candidates, pending.unchecked = self._sample(pending), {}
         settings = self.context.settings
         reported = settings.load_report_source is not LoadReportSource.NONE
-        if settings.may_check_health and reported and len(self.backends) > 1:
+        if settings.may_check_health and reported and len(self.endpoints.backends) > 1:
             for name in pending.candidates:
-                backend = self.backends[name]
-                if backend.load is None or self.context.now_us - backend.load_at > FRESH_US:
-                    pending.missing[name] = None
-                    backend.waiters.append(pending.request.request_id)
+                backend = self.endpoints.backends[name]
+                if backend.load is None or self.context.now_us - backend.reported_at_us > FRESH_US:
+                    pending.unchecked[name] = None
+                    backend.awaiting_probe.append(pending.request.request_id)
                     self._probe(backend)
-        if not pending.missing:
+        if not pending.unchecked:
             self._place(pending)
         else:  # the timer is the fallback for health checks that stay unanswered
             wait = min(
                 pending.request_class.latency_objective_us * PROBE_PART,
-                (pending.deadline - self.context.now_us) / 2,
+                (pending.deadline_us - self.context.now_us) / 2,
             )
-            self.timers.start(wait, partial(self._resume, pending, pending.turn, self._place))
+            self.timers.start(wait, partial(self._resume, pending, pending.generation, self._place))
 
     def _resume(self, pending: PendingRequest, turn: int, then: Callable[[PendingRequest], None]) -> None:
         known = self.pending_requests.get(pending.request.request_id)
-        if known is pending and pending.turn == turn and not pending.out:
+        if known is pending and pending.generation == turn and not pending.attempt_in_flight:
             then(pending)
 
     def _sample(self, pending: PendingRequest) -> list[str]:
         """A few backends from the ring, at random; a group's points come from its name, at every node."""
-        if self.ring_stale:
-            self._build_ring()
+        ring_is_filled = self.endpoints.refresh_ring()
         found, suspect = dict[str, None](), dict[str, None]()
         draw = pending.request.sticky_group if self.context.settings.sticky_groups else ""
         most = CANDIDATES + self.context.settings.sticky_groups  # a group's home and two others
         points = (
-            crc32(f"{pending.rounds}/{n}/{draw}".encode()) if draw else self.context.random.getrandbits(32)
-            for n in range(4 * most if self.ring else 0)
+            crc32(f"{pending.failed_rounds}/{n}/{draw}".encode())
+            if draw
+            else self.context.random.getrandbits(32)
+            for n in range(4 * most if ring_is_filled else 0)
         )
-        drawn = [self.ring[bisect_left(self.ring, (point, "")) % len(self.ring)][1] for point in points]
-        kin = [name for name, _ in self.kin.get(draw, Counter()).most_common(KIN_MOST)]
+        drawn = self.endpoints.at_points(points)
+        kin = [
+            name for name, _ in self.connections.sticky_backends.get(draw, Counter()).most_common(KIN_MOST)
+        ]
         for name in kin + self._in_turn() + drawn:
             if (
-                name in self.backends
-                and self._usable(self.backends[name], pending)
-                and self._cold_allows(self.backends[name], pending)
+                name in self.endpoints.backends
+                and self._usable(self.endpoints.backends[name], pending)
+                and self._cold_allows(self.endpoints.backends[name], pending)
             ):
-                (suspect if self.context.now_us < self.backends[name].suspect_until else found)[name] = None
+                (suspect if self.context.now_us < self.endpoints.backends[name].ejected_until_us else found)[
+                    name
+                ] = None
         among = list(found or suspect)  # suspects rather than none: all may be suspect after a cut
-        far = [n for n in among if self._far(self.backends[n])]
+        far = [n for n in among if self.endpoints.is_cross_zone(self.endpoints.backends[n])]
         near = [n for n in among if n not in far]
         return (near[: most - 1] + far[:1] + near[most - 1 :] + far[1:])[:most]  # one way out of a full zone
 
@@ -201,12 +187,12 @@
         """The split: a random choice among the candidates, in proportion to a power of spare capacity."""
         best, best_score, fit = "", 0.0, 0
         for name in pending.candidates:
-            backend = self.backends.get(name)
-            if backend is None or name in pending.missing or not self._usable(backend, pending):
+            backend = self.endpoints.backends.get(name)
+            if backend is None or name in pending.unchecked or not self._usable(backend, pending):
                 continue
-            spare = LIMIT - self._load(backend)
-            weight = max(0.0, spare) ** TILT * (FAR if self._far(backend) else 1.0)
-            weight *= KIN if self._holds(name, pending.request.sticky_group) else 1.0
+            spare = FULL_LOAD - self.load_estimate.load(backend)
+            weight = max(0.0, spare) ** TILT * (FAR if self.endpoints.is_cross_zone(backend) else 1.0)
+            weight *= KIN if self.connections.holds_group(name, pending.request.sticky_group) else 1.0
             if weight <= 0 or not self._cold_allows(backend, pending):
                 continue
             fit += 1
@@ -215,70 +201,79 @@
             score = weight / -math.log(max(u, 1e-12))
             if score > best_score:
                 best, best_score = name, score
-        pending.missing = {}  # guards against a second placement by health checks that come back later
+        pending.unchecked = {}  # guards against a second placement by health checks that come back later
         # Guards against herding: what all nodes may send before it shows must fit into the spare capacity.
         # What comes back to a node that has just started is load that the backends bore a moment ago, and a
         # crowd that waits must not count itself again and again.
         back = self.context.now_us < self.new_until and pending.request.is_reconnect
-        asked = self.asked.add(self.context.now_us, not (back and pending.rounds))
-        blind = (RETURN if back else 1.0) * asked * BLIND_US / MEMORY_US * self._part() / self._full()
-        left = len(self.backends) - self.count_unavailable(
+        asked = self.asked.add(self.context.now_us, not (back and pending.failed_rounds))
+        blind = (
+            (RETURN if back else 1.0)
+            * asked
+            * REPORT_DELAY_US
+            / MEMORY_US
+            * self.load_estimate.nodes_per_backend()
+            / self.load_estimate.full_connections()
+        )
+        left = len(self.endpoints.backends) - self.endpoints.count_unavailable(
             self.context.now_us
         )  # these alone share what all nodes send
-        blind *= len(self.backends) / max(1, left)
+        blind *= len(self.endpoints.backends) / max(1, left)
         blind *= (
             len(pending.candidates)
             / max(1, fit)
             * (self.context.settings.load_report_source is not LoadReportSource.NONE)
         )  # few meet all
-        if best and self._coldness(self.backends[best]) < 1:  # what all may send it is dealt out
-            blind = self._cold_blind(self.backends[best])
-        crowded = best and self.context.random.random() * blind > LIMIT - self._load(self.backends[best])
+        if best and self._coldness(self.endpoints.backends[best]) < 1:  # what all may send it is dealt out
+            blind = self._cold_blind(self.endpoints.backends[best])
+        crowded = best and self.context.random.random() * blind > FULL_LOAD - self.load_estimate.load(
+            self.endpoints.backends[best]
+        )
         if not best or crowded:
             if pending.candidates:  # a look that probed nobody costs nobody
                 self.bad.add(self.context.now_us, FULL_SAY)
             self._again(pending, self._why_not_placed(pending))
             return
-        backend, cost = self.backends[best], self._cost(pending)
-        pending.out = True
-        pending.tried.append(best)
-        backend.own += cost / self._full()
+        backend, cost = self.endpoints.backends[best], self.connections.cost(pending.request)
+        pending.attempt_in_flight = True
+        pending.attempted.append(best)
+        self.load_estimate.add_sent(backend, cost)
         timeout = min(
-            pending.deadline - self.context.now_us,
+            pending.deadline_us - self.context.now_us,
             int(pending.request_class.latency_objective_us * SETUP_AIMS),
         )
         self.context.emit(
             StartAttempt(pending.request.request_id, best, max(1, timeout), self._slow_start_room(backend))
         )
         self._use_turn(backend, cost)
-        backend.coming.add(pending.request.request_id)
-        pending.ran.append((backend.entry, self.context.now_us))
+        backend.in_flight.add(pending.request.request_id)
+        pending.possibly_executed.append((backend.entry, self.context.now_us))
 
     def _why_not_placed(self, pending: PendingRequest) -> NotSentReason:
         """Why none of the backends was taken."""
         if pending.candidates:
             return NotSentReason.NO_CAPACITY
-        usable = any(self._usable(backend, pending) for backend in self.backends.values())
+        usable = any(self._usable(backend, pending) for backend in self.endpoints.backends.values())
         return NotSentReason.SLOW_START if usable else NotSentReason.NO_CANDIDATE
 
     def _again(self, pending: PendingRequest, why: NotSentReason = NotSentReason.ATTEMPT_FAILED) -> None:
         """Wait the next full-jitter delay and consider other backends, or give up at once."""
-        pending.held = why
-        pending.rounds += 1
+        pending.not_sent_reason = why
+        pending.failed_rounds += 1
         wait = self._jitter(
             pending.request_class.latency_objective_us * BASE_PART,
             pending.request_class.deadline_us * CAP_PART,
-            pending.rounds - 1,
+            pending.failed_rounds - 1,
         )
         # Guards against a wait in vain: past the window of its first try no keyed request goes out again.
-        keyed = pending.ran and pending.request_class.idempotency is Idempotency.KEYED
+        keyed = pending.possibly_executed and pending.request_class.idempotency is Idempotency.KEYED
         until = (
-            min(pending.deadline, pending.ran[0][1] + pending.request_class.dedup_window_us)
+            min(pending.deadline_us, pending.possibly_executed[0][1] + pending.request_class.dedup_window_us)
             if keyed
-            else pending.deadline
+            else pending.deadline_us
         )
         spent = (
-            pending.rounds >= ATTEMPTS or len(pending.tried) >= pending.most
+            pending.failed_rounds >= ATTEMPTS or len(pending.attempted) >= pending.max_attempts
         )  # a look that sent nothing is no attempt
         late = self.context.now_us + wait + 2 * self.context.settings.timer_resolution_us >= until
         # A look that sent nothing may wait for a turn at a backend in slow start in place of its delay.
@@ -289,78 +284,76 @@
         if spent or late:
             self._answer(pending)
         else:
-            pending.turn += 1
-            self.timers.start(wait, partial(self._resume, pending, pending.turn, self._consider))
+            pending.generation += 1
+            self.timers.start(wait, partial(self._resume, pending, pending.generation, self._consider))
 
     def _answer(self, pending: PendingRequest) -> None:
         """The one final answer: a rejection where it is harmless to try again, else a failure."""
         del self.pending_requests[pending.request.request_id]
         repeat = pending.request_class.idempotency
         shared = repeat is Idempotency.KEYED and pending.request_class.key_scope is KeyScope.ALL
-        harmless = not pending.ran or repeat is Idempotency.IDEMPOTENT or shared
+        harmless = not pending.possibly_executed or repeat is Idempotency.IDEMPOTENT or shared
         pause = (
             int(self.context.random.uniform(0, self.context.settings.max_retry_after_us))
             if self.context.settings.retry_after
             else 0
         )
         name = pending.request.request_id
-        self.context.emit(Reject(name, pause, pending.held) if harmless else Fail(name, pending.held))
+        self.context.emit(
+            Reject(name, pause, pending.not_sent_reason) if harmless else Fail(name, pending.not_sent_reason)
+        )
 
     def _established(self, event: ConnectionEstablished) -> None:
         self.good.add(self.context.now_us, 1)
         if event.request_id in self.pending_requests:
             self._stand(self.pending_requests.pop(event.request_id).request, event.backend)
-        if event.backend in self.backends:
-            self.backends[event.backend].coming.discard(event.request_id)
-            self.backends[event.backend].fails //= 2
-            self.backends[event.backend].errors = 0
+        if event.backend in self.endpoints.backends:
+            self.endpoints.backends[event.backend].in_flight.discard(event.request_id)
+            self.outliers.on_established(self.endpoints.backends[event.backend])
 
     def _open(self, event: ConnectionAdopted) -> None:
         self.new_until = 1  # a node with a past: it knows what stands
         self._stand(event.request, event.backend)
 
     def _outcome(self, outcome: AttemptEnded) -> None:
-        backend = self.backends.get(outcome.backend)
+        backend = self.endpoints.backends.get(outcome.backend)
         if backend:
-            backend.coming.discard(outcome.request_id)
+            backend.in_flight.discard(outcome.request_id)
         if backend and outcome.load_report:
-            self._report(backend, outcome.load_report)
-        if outcome.request_id in self.connections:
-            self._drop(outcome.request_id)
+            self.load_estimate.on_report(backend, outcome.load_report)
+        if outcome.request_id in self.connections.by_id:
+            self.connections.remove(outcome.request_id)
             if outcome.result is AttemptResult.RESET and backend:
-                self._suspect(backend)
+                self.outliers.on_unresponsive(backend)
                 # An overloaded backend drops connections, then looks well loaded while its messages are late.
-                backend.shed_until = self.context.now_us + SHED_US
+                backend.overloaded_until_us = self.context.now_us + SHED_US
                 self._look_at(backend)
             return
-        if backend and outcome.result in UNRESPONSIVE:
-            self._suspect(backend)
-        if backend and outcome.result is AttemptResult.OVERLOADED:
-            backend.load, backend.load_at, backend.own = 1.0, self.context.now_us, 0.0
-        if backend and outcome.result is AttemptResult.ERROR:
-            backend.errors += 1
-            if backend.errors >= ERRORS:
-                self._suspect(backend, backend.errors - ERRORS)
+        if backend:
+            self.outliers.on_attempt_ended(backend, outcome.result)
+            if outcome.result is AttemptResult.OVERLOADED:
+                self.load_estimate.on_overloaded(backend)
         if (
             outcome.result is AttemptResult.TIMEOUT
             or outcome.result is AttemptResult.ERROR
-            and (not backend or backend.errors >= ERRORS)
+            and (not backend or self.outliers.has_failed_repeatedly(backend))
         ):  # one may be the request's own doing
             self.bad.add(self.context.now_us, 1)
         pending = self.pending_requests.get(outcome.request_id)
         if pending is None or outcome.is_final:
             self.pending_requests.pop(outcome.request_id, None)
             return
-        pending.out = False
-        if outcome.result in NEVER_EXECUTED and pending.ran:
-            pending.ran.pop()
+        pending.attempt_in_flight = False
+        if outcome.result in NEVER_EXECUTED and pending.possibly_executed:
+            pending.possibly_executed.pop()
         # Guards against doubled effects: a keyed request repeats only within the window of its first try.
         once = (
-            pending.ran
+            pending.possibly_executed
             and pending.request_class.idempotency is not Idempotency.IDEMPOTENT
             and (
                 pending.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
-                or self.context.now_us >= pending.ran[0][1] + pending.request_class.dedup_window_us
+                or self.context.now_us
+                >= pending.possibly_executed[0][1] + pending.request_class.dedup_window_us
             )
         )
         over = once or outcome.result in (
@@ -368,32 +361,38 @@
             AttemptResult.CANCELLED,
             AttemptResult.NOT_SENT,
         )
-        pending.held = NotSentReason.NOT_RETRYABLE if over else NotSentReason.ATTEMPT_FAILED
+        pending.not_sent_reason = NotSentReason.NOT_RETRYABLE if over else NotSentReason.ATTEMPT_FAILED
         (self._answer if over else self._again)(pending)
 
     def _probed(self, event: HealthCheckResult) -> None:
-        backend = self.backends.get(event.backend)
+        backend = self.endpoints.backends.get(event.backend)
         if backend is None:
             return
-        waiters, backend.waiters, backend.probing = backend.waiters, [], False
+        waiters, backend.awaiting_probe, backend.health_check_pending = backend.awaiting_probe, [], False
         silent = event.result in UNRESPONSIVE
         if silent:
-            self._suspect(backend)
+            self.outliers.on_unresponsive(backend)
         else:
-            backend.fails //= 2  # forgive gradually: a flapping backend stays suspect
-            self._report(backend, event.load_report or LoadReport())
+            self.outliers.on_health_check_passed(backend)
+            self.load_estimate.on_report(backend, event.load_report or LoadReport())
         # Guards against a slow backend whose messages tell nothing: any report above the limit moves some.
         # Where no message is ever late (another layer answers them), reports are the only sign.
-        alone = not self.late_told and self.mean_load < CALM
-        limit = MOVE_AT if self.context.now_us < backend.shed_until or alone else MOVE_TOLD
-        high = not silent and (backend.load or 0.0) > limit and self.context.now_us >= backend.hold_until
+        alone = not self.late_told and self.load_estimate.mean_load < CALM
+        limit = MOVE_AT if self.context.now_us < backend.overloaded_until_us or alone else MOVE_TOLD
+        high = (
+            not silent
+            and (backend.load or 0.0) > limit
+            and self.context.now_us >= backend.no_migration_until_us
+        )
         if -1 in waiters or high:
-            backend.hold_until = max(backend.hold_until, self.context.now_us + MOVE_HOLD_US)
+            backend.no_migration_until_us = max(
+                backend.no_migration_until_us, self.context.now_us + MOVE_HOLD_US
+            )
             self._move_some(backend, None if silent else backend.load)
         for pending in [self.pending_requests[n] for n in waiters if n in self.pending_requests]:
-            if event.backend in pending.missing:
-                del pending.missing[event.backend]
+            if event.backend in pending.unchecked:
+                del pending.unchecked[event.backend]
                 if silent:
                     pending.candidates.remove(event.backend)
-                if not pending.missing:
+                if not pending.unchecked:
                     self._place(pending)
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -13,16 +13,15 @@
 from functools import partial
 
 from .actions import SlowStartAllowance
+from .capacity import available_capacity
+from .connections import PendingRequest
+from .endpoints import Backend
 from .events import BackendState
+from .load_estimate import FULL_LOAD, MIN_FULL_CONNECTIONS, REPORT_DELAY_US
 from .node import Node
-from .records import Backend, PendingRequest
 from .send_slots import SendSlot
-from .settings import LoadReportSource, WeightKind
+from .settings import LoadReportSource
 
-LIMIT = 0.8  # load at which a backend counts as full; loads swing, and near 1 work piles up
-LEAST_FULL = 10.0  # mean connections: what any backend takes, until this node has seen enough to tell
-BLIND_US = 2_000_000  # us: a placement shows in reports after about this
-MOST_CORES = 16.0  # cores: the most that a rough weight is believed
 # Standard deviations of its own count within which a node believes other signs. Many, since traffic is
 # uneven: some nodes get several times the mean.
 DEVIATIONS = 6.0
@@ -33,37 +32,19 @@
 
     # ---- what fills a backend
 
-    def _part(self) -> float:
-        return self.context.settings.fleet_size / max(
-            1, len(self.backends)
-        )  # a mean backend's load for each of this node's
-
-    def _fills(self, held: float) -> float:
-        """Mean connections that fill a backend, where this node's part of them and the mean load are
-        these."""
-        return held * self._part() / max(self.mean_load, 0.05)
-
-    def _cores(self) -> float:
-        """Cores of a backend, as far as a rough weight counts them; it has one at the least."""
-        rough = self.context.settings.weight_kind is WeightKind.ROUGH
-        return min(max(self.mean_weight, 1.0), MOST_CORES) if rough else 1.0
-
-    def _full(self) -> float:
-        """Mean connections that fill a backend: by this node's count, or more where their work says so."""
-        # Guards against refusing the crowd that comes to a node with few connections, since it has just
-        # started or was emptied a moment ago, when another one sends its clients away.
-        by_work = self._cores() * 1e6 / self.mean_work if self.mean_work > 0 else 1.0
-        return max(self._fills(len(self.connections)), by_work, LEAST_FULL)
-
     def _cold_full(self) -> float:
         """The same for a cold backend: the work of few connections is believed no further than their count
         goes. One light one made a backend look fourteen times as large, and when backends ended, each of 32
         nodes sent it one within a second."""
-        held = len(self.connections)
-        most = self._fills(held + DEVIATIONS * math.sqrt(held + 1))
-        most = max(most, LEAST_FULL * self._cores())
+        held = len(self.connections.by_id)
+        most = self.load_estimate.connections_to_fill(held + DEVIATIONS * math.sqrt(held + 1))
+        most = max(most, MIN_FULL_CONNECTIONS * self.load_estimate.cores())
         # A node that has just started has no count yet; what comes back to it the backends bore a moment ago.
-        return self._full() if self.context.now_us < self.new_until else min(self._full(), most)
+        return (
+            self.load_estimate.full_connections()
+            if self.context.now_us < self.new_until
+            else min(self.load_estimate.full_connections(), most)
+        )
 
     # ---- what a one in slow start may get
 
@@ -72,16 +53,8 @@
 
     def _coldness(self, backend: Backend, at_us: int | None = None) -> float:
         """Part of its capacity that a backend has for certain by its start time; 1 when warm."""
-        if not backend.entry.started_us or self.context.settings.warm_up_us <= 0:
-            return 1.0
-        age = (
-            (self.context.now_us if at_us is None else at_us) - backend.entry.started_us
-        ) / self.context.settings.warm_up_us
-        return min(
-            1.0,
-            self.context.settings.initial_capacity
-            + (1 - self.context.settings.initial_capacity) * max(0.0, age),
-        )
+        at_us = self.context.now_us if at_us is None else at_us
+        return available_capacity(self.context.settings, backend.entry.started_us, at_us)
 
     def _cold_allows(self, backend: Backend, pending: PendingRequest) -> bool:
         """Guards against pushing a cold backend over: this node's part of what all may send and have
@@ -91,7 +64,9 @@
             return True
         # Where backends report their load, that tells what stands there.
         unseen = self.context.settings.load_report_source is LoadReportSource.NONE
-        if unseen and self._cold_held(backend) + self._cost(pending) > self._cold_room(backend, coldness):
+        if unseen and self._cold_held(backend) + self.connections.cost(pending.request) > self._cold_room(
+            backend, coldness
+        ):
             return False
         if any(turn.open(self.context.now_us) for turn in self._turns_at(backend)):
             return True
@@ -106,13 +81,16 @@
 
     def _cold_held(self, backend: Backend) -> float:
         """What this node has standing or coming there, in mean connections."""
-        works = [self.connections[r].work / self.mean_work if self.mean_work else 1.0 for r in backend.open]
-        return len(backend.coming) + max(len(works), sum(works))  # a light one may grow
+        works = [
+            self.connections.by_id[r].work / self.connections.mean_work if self.connections.mean_work else 1.0
+            for r in backend.connections
+        ]
+        return len(backend.in_flight) + max(len(works), sum(works))  # a light one may grow
 
     def _cold_room(self, backend: Backend, coldness: float) -> float:
         """What this node may have there. Rounded at random: with a part below one connection, some nodes may
         send one and the others none."""
-        return LIMIT * coldness * self._cold_full() / self.context.settings.fleet_size + backend.chance
+        return FULL_LOAD * coldness * self._cold_full() / self.context.settings.fleet_size + backend.rounding
 
     # ---- turns: the budget of what is sent
 
@@ -120,7 +98,7 @@
         """Requests that all nodes may send a cold backend in the settings' time, by the multiple of what it
         can do: new connections fill it over its warm-up, and no faster."""
         holds = (
-            LIMIT * self._coldness(backend, at_us) * self._known_full(backend)
+            FULL_LOAD * self._coldness(backend, at_us) * self._known_full(backend)
         )  # backends of a kind differ
         return (
             self.context.settings.overload_multiple
@@ -131,9 +109,9 @@
 
     def _known_full(self, backend: Backend) -> float:
         """Connections that fill a backend of this kind once it is warm, by this node's share of them."""
-        guess = LEAST_FULL * self._cores() / self.context.settings.fleet_size
+        guess = MIN_FULL_CONNECTIONS * self.load_estimate.cores() / self.context.settings.fleet_size
         return (
-            self.capacity_share.connections(self.context.now_us, backend.entry.kind, guess)
+            self.load_estimate.capacity_share.connections(self.context.now_us, backend.entry.kind, guess)
             * self.context.settings.fleet_size
         )
 
@@ -141,7 +119,9 @@
         """Load that all nodes may add to a cold backend before it shows in its reports."""
         assert self.turn_table
         dealer = self.turn_table.dealer
-        sent = dealer.many(self._mean_sends(backend, self.context.now_us)) * BLIND_US / dealer.period_us
+        sent = (
+            dealer.many(self._mean_sends(backend, self.context.now_us)) * REPORT_DELAY_US / dealer.period_us
+        )
         return sent / max(1.0, self._coldness(backend) * self._known_full(backend))
 
     def _turns_at(self, backend: Backend) -> list[SendSlot]:
@@ -155,7 +135,9 @@
     def _own_turns(self) -> list[SendSlot]:
         """This node's turns at all backends in slow start that may be used, now or soon."""
         cold = [
-            s for s in self.backends.values() if self._coldness(s) < 1 and s.entry.state is BackendState.READY
+            s
+            for s in self.endpoints.backends.values()
+            if self._coldness(s) < 1 and s.entry.state is BackendState.READY
         ]
         return [turn for backend in cold for turn in self._turns_at(backend) if not turn.used]
 
@@ -196,8 +178,3 @@
             backend.entry.started_us,
             self.context.now_us < self.new_until,
         )
-
-    def _cost(self, pending: PendingRequest) -> float:
-        """The request's load in mean connections."""
-        hint = pending.request.load_hint
-        return min(hint / self.mean_work, 100.0) if hint > 0 and self.mean_work > 0 else 1.0
--- a/tests/test_basic.py
+++ b/tests/test_basic.py
@@ -31,16 +31,7 @@
     assert all(name in texts[0].split('"""')[1] for name in ("events.py", "actions.py"))
     named = {Path(name).name for name in policy}
     undecided = {
-        *(
-            "node.py",
-            "records.py",
-            "context.py",
-            "timers.py",
-            "decaying.py",
-            "events.py",
-            "actions.py",
-            "settings.py",
-        ),
+        *("node.py", "context.py", "timers.py", "decaying.py", "events.py", "actions.py", "settings.py"),
         *("simulator_wire.py", "simulator_host.py", "__init__.py"),
     }
     assert {p.name for p in Path("balancer").glob("*.py")} == named | undecided, "all that decide are named"
@@ -58,13 +49,13 @@
             b.handle(0, EndpointListUpdate(tuple(Endpoint(f"s{n}") for n in range(9))))
             group = f"g{seed}"
             b.handle(1, ConnectionAdopted(Request(1, 2_000_000, sticky_group=group), "s3"))
-            for name, backend in b.backends.items():
-                backend.load, backend.load_at = load if name == "s3" else 0.2, 2
+            for name, backend in b.endpoints.backends.items():
+                backend.load, backend.reported_at_us = load if name == "s3" else 0.2, 2
             (second,) = b.handle(3, Request(2, 2_000_000, sticky_group=group))
-            assert isinstance(second, StartAttempt) and b.kin == {group: {"s3": 1}}
+            assert isinstance(second, StartAttempt) and b.connections.sticky_backends == {group: {"s3": 1}}
             together += second.backend == "s3"
             b.handle(4, AttemptEnded(1, 0, "s3", AttemptResult.OK, True))
-            assert not b.kin, "nothing is kept of a group that is gone"
+            assert not b.connections.sticky_backends, "nothing is kept of a group that is gone"
         return together
 
     assert placed(0.2) >= 36 and placed(0.75) <= 8
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -247,14 +247,14 @@
         b.handle(
             now, ConnectionEstablished(n, 0, "s0") if good else AttemptEnded(n, 0, start.backend, AttemptResult.ERROR)
         )
-    assert b.backends["s0"].suspect_until == 0 and b.bad.value == 0
+    assert b.endpoints.backends["s0"].ejected_until_us == 0 and b.bad.value == 0
 
 
 def far_and_near(load: float, price: float) -> list[str]:
     chosen = []
     for seed in range(60):
         b = Balancer(Settings(**{**PROBED, "cross_zone_cost": price, "zone": 1}), seed)
-        b.mean_load = load
+        b.load_estimate.mean_load = load
         b.handle(0, EndpointListUpdate(tuple(Endpoint(f"s{n}", zone=n % 2) for n in range(6))))
         chosen += [a.backend for a in of(place(b, 1_000, 1, {f"s{n}": load for n in range(6)}), StartAttempt)]
     return chosen
@@ -347,7 +347,7 @@
 def moved_at(report: float, mean: float, late_told: bool = False) -> int:
     """How many of twenty are moved off a server whose health check says `report`."""
     b = node(2, 1, **PROBED)
-    b.mean_load = mean
+    b.load_estimate.mean_load = mean
     for n in range(20):
         stand(b, n, "s0")
     if late_told:
@@ -376,8 +376,8 @@
             for start in of(probes, StartAttempt):
                 starts += 1
                 b.handle(1_000 * n, AttemptEnded(n, 0, start.backend, AttemptResult.CANCELLED))
-            for backend in b.backends.values():
-                backend.own = 0.0
+            for backend in b.endpoints.backends.values():
+                backend.load_sent_since_report = 0.0
         return starts
 
     assert placed(True) > 2 * placed(False) > 0
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -139,8 +139,8 @@
         b = Balancer(Settings(**{**PROBED, **settings}), position)
         backends = tuple(Endpoint(f"s{n}", started_us=start * (n >= 4)) for n in range(16))
         b.handle(start - 5_000_000, EndpointListUpdate(backends))
-        for backend in b.backends.values():
-            backend.chance = 0.999
+        for backend in b.endpoints.backends.values():
+            backend.rounding = 0.999
         b.context.now_us = start
         in_turn = {turn.backend for turn in b._own_turns() if turn.open(start)}
         probed = {p.backend for p in of(b.handle(start, Request(1, 2_000_000)), CheckHealth)}
