--- a/gradefront/state/handover_receiver.py
+++ b/gradefront/state/handover_receiver.py
@@ -30,7 +30,6 @@
 
 MAX_MESSAGES = 16  # read from one sender in one go
 SOCKETS_PER_CONNECTION = 2  # the client's and the backend's
-SENT_FIRST_LINE = 2  # stage of a backend protocol
 
 
 class AdoptedClient(ClientProtocol):
@@ -48,7 +47,7 @@
 
     def connectionMade(self) -> None:
         """Send nothing: the first line was sent by the process before."""
-        self.stage = SENT_FIRST_LINE
+        self.stage = RequestStage.SENT
 
 
 class _SenderConnection:
