--- a/fuzz/quic.py
+++ b/fuzz/quic.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from gradefront.quic.headers import V1, V2, invariants, read_long, read_varint, split, varint, version_negotiation
-from gradefront.quic.hello import LONGEST_HELLO, HelloReader, Unsound, read_hello
+from gradefront.quic.hello import LONGEST_HELLO, HelloReader, InvalidHelloError, read_hello
 from gradefront.quic.ids import IdBook, IdForm
 from gradefront.quic.initials import make_retry, open_initial, read_frames, seal_initial, sound_retry
 from gradefront.quic.tokens import Standing, TokenKey, TokenMint, packed
@@ -65,7 +65,7 @@
     try:
         found = read_hello(data)
         assert len(found.protocols) <= 16
-    except Unsound:
+    except InvalidHelloError:
         pass
     reader, whole = HelloReader(), HelloReader()
     try:
@@ -76,7 +76,7 @@
         reader.hello()
         whole.take(0, data)
         whole.hello()
-    except Unsound:
+    except InvalidHelloError:
         pass
     assert len(reader.text) <= LONGEST_HELLO and reader.held <= 3 * LONGEST_HELLO
 
--- a/gradefront/cli/check.py
+++ b/gradefront/cli/check.py
@@ -10,7 +10,7 @@
 from gradefront.config import ConfigError, load
 from gradefront.fleet.switch import FILE as FLEET_FILE
 from gradefront.fleet.switch import FORBIDDEN, allowed
-from gradefront.quic.switch import FILE
+from gradefront.quic import FILE
 from gradefront.settings.files import read_object
 
 from . import NONSENSE
--- a/gradefront/quic/config.py
+++ b/gradefront/quic/config.py
@@ -14,8 +14,8 @@
 from gradefront.config import Address, Config, ConfigError, address
 from gradefront.settings.files import octets, secret
 
+from . import FILE
 from .ids import IdBook, IdForm
-from .switch import FILE
 from .tokens import TokenKey
 
 
--- a/gradefront/quic/connections.py
+++ b/gradefront/quic/connections.py
@@ -12,7 +12,7 @@
 
 from .config import QuicConfig
 from .headers import Kind, Packet, split, stateless_reset
-from .hello import HelloReader, Unsound
+from .hello import HelloReader, InvalidHelloError
 from .initials import CONNECTION_REFUSED, Opened, busy, close_initial, open_initial, sound_retry
 from .listener import Listener
 from .paths import Path
@@ -61,7 +61,7 @@
 class QuicClientConnection:
     """One QUIC connection. It may use many client addresses and ids."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - what the client's first datagram tells
         self,
         front: Tables,
         listener: Listener,
@@ -140,7 +140,7 @@
             for offset, piece in opened.crypto:
                 self.hello.take(offset, piece)
             found = self.hello.hello()
-        except Unsound:
+        except InvalidHelloError:
             found = ("", ())  # type: ignore[assignment]
         if found is not None:
             self.hello = None
@@ -148,7 +148,7 @@
 
     # ---- as the core's client side
 
-    def establish(self, upstream: BackendConnection, response_line: object) -> None:
+    def establish(self, upstream: BackendConnection, response_line: object) -> None:  # noqa: ARG002 - core's port
         """The backend's first sound answer goes to the client; from here on packets go by id."""
         self.kept = []
         self.hello = None
@@ -184,7 +184,7 @@
         """A datagram client says nothing as it leaves."""
         return False
 
-    def close(self, how: ConnectionEnd) -> None:
+    def close(self, how: ConnectionEnd) -> None:  # noqa: ARG002 - core's port
         """The backend is gone: the client learns by a reset rather than by its own idle time."""
         self._reset()
 
@@ -236,31 +236,34 @@
                 if owner.by_retry:  # RFC 9000 17.2.5.2: a client takes one Retry only, and had ours
                     self.attempt.end(Cause.ERROR)
                 else:
-                    self._stands(packet, path, datagram)
+                    self._establish(packet, path, datagram)
                 return
             opened = open_initial(packet, owner.first_id, from_client=False)
-            if opened and opened.close_code is not None:
-                full = opened.close_code == CONNECTION_REFUSED
-                self.attempt.end(Cause.FULL if full else Cause.ERROR)
-                return
-            if opened and opened.crypto:
-                self._stands(packet, path, datagram)
-                return
-            if opened:  # only an ACK: no client may hear of a backend that doesn't go on
-                self.front.drop("ack_only")
+            if opened:
+                self._on_initial(opened, packet, path, datagram)
                 return
             if packet.kind in (Kind.HANDSHAKE, Kind.SHORT) and len(self.early) < EARLY:
                 self.early.append(datagram)
                 return
         self.front.drop("unsound_answer")
 
-    def _stands(self, packet: Packet, path: Path, datagram: bytes) -> None:
+    def _on_initial(self, opened: Opened, packet: Packet, path: Path, datagram: bytes) -> None:
+        """Decide by the backend's Initial: an error, an established connection, or nothing yet."""
+        if opened.close_code is not None:
+            full = opened.close_code == CONNECTION_REFUSED
+            self.attempt.end(Cause.FULL if full else Cause.ERROR)
+        elif opened.crypto:
+            self._establish(packet, path, datagram)
+        else:  # only an ACK: no client may hear of a backend that doesn't go on
+            self.front.drop("ack_only")
+
+    def _establish(self, packet: Packet, path: Path, datagram: bytes) -> None:
         self.owner.learn(packet.from_id)
         self.owner.last_id = packet.from_id
         self.attempt.succeed((path, (datagram, *self.early)))
         self.early = []
 
-    def close(self, how: ConnectionEnd) -> None:
+    def close(self, how: ConnectionEnd) -> None:  # noqa: ARG002 - core's port
         """Its places are given back, so that what the backend still sends reaches nobody."""
         self.front.close_paths(self.owner)
         if self.owner.upstream is self and self.owner.reaching:
--- a/gradefront/quic/front.py
+++ b/gradefront/quic/front.py
@@ -37,11 +37,12 @@
 from .initials import INVALID_TOKEN, Opened, busy, close_initial, make_retry, open_initial
 from .listener import Listener
 from .maintenance import SERVING, TICK_US, Maintenance
-from .paths import Path
 from .tables import ANSWERED_US
-from .tokens import Standing
+from .tokens import Shown, Standing
 
 MOST_USED_TOKENS = 16_384
+LONGEST_SHORT_HEADER = 21  # octets before the packet number: the first one and an id
+LEAST_RESET = 21  # octets of a stateless reset (RFC 9000 10.3)
 HELLO_US = 250_000  # how long a ClientHello in pieces is waited for; then the port tells the class
 
 
@@ -68,7 +69,7 @@
         elif an_id := self.book.id_of(datagram):
             self._by_id(listener, an_id, datagram, client)
         else:
-            self.drop("malformed" if len(datagram) < 21 else "unknown_id")
+            self.drop("malformed" if len(datagram) < LONGEST_SHORT_HEADER else "unknown_id")
 
     def _long(self, listener: Listener, datagram: bytes, client: Address) -> None:
         head = invariants(datagram)
@@ -128,16 +129,7 @@
             return
         verdict, pause_us = self.admission.judge(now, client[0], an_id, proven)
         if verdict is Verdict.TAKE:
-            opened = self._open(first, an_id)
-            if opened is None or opened.close_code is not None:
-                self._stray(listener, first, opened, datagram, client)
-                return
-            owner = self._arrive(listener, packets, opened, datagram, client)
-            if proven and shown:
-                owner.by_retry = bool(shown.first_id)
-                self.used_tokens[shown.number] = None
-                if len(self.used_tokens) > MOST_USED_TOKENS:
-                    self.used_tokens.popitem(last=False)
+            self._accept(listener, packets, datagram, client, shown if proven else None)
         elif verdict is Verdict.PROVE and self.mint and self.retries.take(now):
             self.core.counters.add("quic_retries")
             new_id = bytes([UNROUTABLE << 5]) + os.urandom(LEAST_ID)  # names no backend, whatever it is taken for
@@ -151,6 +143,22 @@
         else:
             self.drop(f"at_door_{verdict.value}")
 
+    def _accept(
+        self, listener: Listener, packets: list[Packet], datagram: bytes, client: Address, shown: Shown | None
+    ) -> None:
+        """Make a connection of an Initial that is admitted; `shown`: the sound token that it carries."""
+        first = packets[0]
+        opened = self._open(first, first.to_id)
+        if opened is None or opened.close_code is not None:
+            self._stray(listener, first, opened, datagram, client)
+            return
+        owner = self._arrive(listener, packets, opened, datagram, client)
+        if shown:
+            owner.by_retry = bool(shown.first_id)
+            self.used_tokens[shown.number] = None
+            if len(self.used_tokens) > MOST_USED_TOKENS:
+                self.used_tokens.popitem(last=False)
+
     def _bad_token(self, listener: Listener, first: Packet, client: Address, standing: Standing, now: int) -> None:
         """RFC 9000 8.1.2: a client whose Retry token isn't good is told, rather than left to time out."""
         self.drop(f"token_{standing.value}")
@@ -240,7 +248,9 @@
             return
         if owner is None and an_id in self.moved:
             self.drop("moved")
-            if len(datagram) > 22:  # RFC 9000 10.3.3: smaller than what it answers, so that no loop can run
+            if (
+                len(datagram) > LEAST_RESET + 1
+            ):  # RFC 9000 10.3.3: smaller than what it answers, so that no loop can run
                 listener.reply(stateless_reset(self.moved[an_id][0], an_id, len(datagram) - 1), client)
             return
         backend = owner.upstream.attempt.backend if owner and owner.upstream else self._named(an_id)
@@ -256,7 +266,7 @@
             return
         owner = path.owner
         if owner:
-            self._used(owner, path, an_id, listener, client)
+            self._used(owner, an_id, listener, client)
         path.last_id = an_id
         path.used_us = self.now()
         path.plain = path.plain or owner is not None
@@ -264,9 +274,7 @@
             self._route(an_id, path)
         path.send(datagram)
 
-    def _used(
-        self, owner: QuicClientConnection, path: Path, an_id: bytes, listener: Listener, client: Address
-    ) -> None:
+    def _used(self, owner: QuicClientConnection, an_id: bytes, listener: Listener, client: Address) -> None:
         owner.learn(an_id)  # a fresh id on a known path is the same connection's
         owner.client, owner.used_us, owner.listener = client, self.now(), listener
         if owner.upstream:
--- a/gradefront/quic/headers.py
+++ b/gradefront/quic/headers.py
@@ -21,6 +21,7 @@
 MOST_PACKETS = 8  # coalesced in one datagram: a flight has one for each of four keys
 LONG = 0x80
 FIXED = 0x40
+LEAST_PAYLOAD = 4  # octets of packet number and payload: enough to sample (RFC 9001 5.4.2)
 
 
 class Kind(Enum):
@@ -114,7 +115,7 @@
         here = length[1] + length[0]
         token = data[length[1] : here]
     size = read_varint(data, here)
-    if size is None or size[0] < 4 or size[1] + size[0] > len(data):
+    if size is None or size[0] < LEAST_PAYLOAD or size[1] + size[0] > len(data):
         return None
     here, end = size[1], size[1] + size[0]
     return Packet(kind, head.version, head.to_id, head.from_id, token, data[at:end], here - at)
--- a/gradefront/quic/hello.py
+++ b/gradefront/quic/hello.py
@@ -8,6 +8,7 @@
 LONGEST_HELLO = 16_384  # post-quantum key shares make 1.8 KB; no sane client comes near this
 MOST_PIECES = 64  # out of order at once
 CLIENT_HELLO = 1
+HANDSHAKE_HEADER = 4  # octets: the message's type and its length
 SERVER_NAME, ALPN = 0, 16
 MOST_NAMES = 16
 
@@ -19,7 +20,7 @@
     protocols: tuple[str, ...]
 
 
-class Unsound(Exception):
+class InvalidHelloError(Exception):
     """What came is no ClientHello, or not within bounds."""
 
 
@@ -32,10 +33,10 @@
         self.held = 0
 
     def take(self, offset: int, piece: bytes) -> None:
-        """One frame. Raises Unsound where a bound is broken; a piece that is known already changes nothing."""
+        """Add one frame; a known piece changes nothing. Raises InvalidHelloError where a bound is broken."""
         end = offset + len(piece)
         if end > LONGEST_HELLO:
-            raise Unsound("a ClientHello of more than 16 KiB")
+            raise InvalidHelloError("a ClientHello of more than 16 KiB")
         if end <= len(self.text) or not piece:
             return
         if offset > len(self.text):
@@ -44,7 +45,7 @@
                 self.held += len(piece) - len(known)
                 self.later[offset] = piece
             if len(self.later) > MOST_PIECES or self.held > 2 * LONGEST_HELLO:
-                raise Unsound("a ClientHello in too many pieces")
+                raise InvalidHelloError("a ClientHello in too many pieces")
             return
         self.text += piece[len(self.text) - offset :]
         for at in sorted(self.later):
@@ -55,18 +56,18 @@
             self.text += more[len(self.text) - at :]
 
     def hello(self) -> Hello | None:
-        """The hello; None while a part is missing. Raises Unsound."""
+        """The hello; None while a part is missing. Raises InvalidHelloError."""
         text = self.text
         if text and text[0] != CLIENT_HELLO:
-            raise Unsound("the handshake begins with another message")
-        if len(text) < 4:
+            raise InvalidHelloError("the handshake begins with another message")
+        if len(text) < HANDSHAKE_HEADER:
             return None
         length = int.from_bytes(text[1:4])
-        if length > LONGEST_HELLO - 4:
-            raise Unsound("a ClientHello of more than 16 KiB")
-        if len(text) < 4 + length:
+        if length > LONGEST_HELLO - HANDSHAKE_HEADER:
+            raise InvalidHelloError("a ClientHello of more than 16 KiB")
+        if len(text) < HANDSHAKE_HEADER + length:
             return None
-        return read_hello(bytes(text[4 : 4 + length]))
+        return read_hello(bytes(text[HANDSHAKE_HEADER : HANDSHAKE_HEADER + length]))
 
 
 class _Reader:
@@ -77,10 +78,10 @@
         self.at = 0
 
     def take(self, size: int) -> bytes:
-        """So many octets. Raises Unsound where they run out."""
+        """So many octets. Raises InvalidHelloError where they run out."""
         end = self.at + size
         if end > len(self.text):
-            raise Unsound("a ClientHello that ends early")
+            raise InvalidHelloError("a ClientHello that ends early")
         piece, self.at = self.text[self.at : end], end
         return piece
 
@@ -95,7 +96,7 @@
 
 
 def read_hello(body: bytes) -> Hello:
-    """Read a whole ClientHello's body. Raises Unsound."""
+    """Read a whole ClientHello's body. Raises InvalidHelloError."""
     reader = _Reader(body)
     reader.take(2 + 32)  # version, random
     reader.vector(1)  # session id
--- a/gradefront/quic/ids.py
+++ b/gradefront/quic/ids.py
@@ -17,6 +17,8 @@
 LONGEST_ID = 20  # RFC 9000 17.2; the draft keeps one octet of it for itself
 UNROUTABLE = 7  # 0b111: the number of ids that name no backend (section 3.1 of the draft)
 KEY_LENGTH = 16
+LONGEST_SERVER_ID = 15  # octets, as the draft allows
+LEAST_NONCE, LONGEST_NONCE = 4, 18
 BLOCK = 16
 CACHED = 8_192  # decoded ids remembered; about 200 octets each
 
@@ -52,9 +54,9 @@
     def __post_init__(self) -> None:
         if not 0 <= self.number < UNROUTABLE:
             raise ValueError("config_id: must be from 0 to 6")
-        if not 1 <= self.server_id_length <= 15:
+        if not 1 <= self.server_id_length <= LONGEST_SERVER_ID:
             raise ValueError("server_id_length: must be from 1 to 15")
-        if not 4 <= self.nonce_length <= 18:
+        if not LEAST_NONCE <= self.nonce_length <= LONGEST_NONCE:
             raise ValueError("nonce_length: must be from 4 to 18")
         if self.length > LONGEST_ID:
             raise ValueError("server_id_length and nonce_length: must not be over 19 together")
@@ -154,7 +156,7 @@
 
     def id_of(self, datagram: bytes) -> bytes | None:
         """The id in a short header (RFC 8999 5.2), by the length of its configuration."""
-        if len(datagram) < 2:
+        if len(datagram) <= 1:  # no octet of an id
             return None
         length = self.lengths[datagram[1] >> 5]
         return datagram[1 : 1 + length] if length and len(datagram) > length else None
--- a/gradefront/quic/initials.py
+++ b/gradefront/quic/initials.py
@@ -18,6 +18,8 @@
 
 CONNECTION_REFUSED = 0x02  # RFC 9000 20.1
 INVALID_TOKEN = 0x0B
+SAMPLE = 16  # octets for header protection (RFC 9001 5.4.2)
+COUNT_OF_RANGES = 2  # the field's place in an ACK frame (RFC 9000 19.3)
 KEYS_KEPT = 512  # derived keys remembered: those of connections that wait
 
 SALTS = {
@@ -81,8 +83,8 @@
     if packet.kind is not Kind.INITIAL or packet.version not in SALTS:
         return None
     data, at = packet.data, packet.payload_at
-    sample = data[at + 4 : at + 20]
-    if len(sample) < 16:
+    sample = data[at + 4 : at + 4 + SAMPLE]
+    if len(sample) < SAMPLE:
         return None
     keys = keys_of(packet.version, first_id, from_client)
     mask = _mask(keys, sample)
@@ -138,7 +140,7 @@
         if found is None:
             return None
         at = found[1]
-        if field == 2:
+        if field == COUNT_OF_RANGES:
             ranges = found[0]
     for _ in range(min(2 * ranges, len(payload)) + (3 if with_ecn else 0)):
         found = read_varint(payload, at)
@@ -148,7 +150,7 @@
     return at
 
 
-def seal_initial(
+def seal_initial(  # noqa: PLR0913 - the fields of the packet
     version: int,
     first_id: bytes,
     to_id: bytes,
--- a/gradefront/quic/listener.py
+++ b/gradefront/quic/listener.py
@@ -8,6 +8,7 @@
 
 from gradefront.config import Address
 
+from .headers import LONG
 from .paths import Path
 from .sockets import Hub, Socket
 
@@ -21,7 +22,7 @@
 class Listener(Socket):
     """Where clients of one class come in. Packets of paths that stand pass here and nowhere else."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - tables that the front shares with its listeners
         self,
         hub: Hub,
         request_class: int,
@@ -46,7 +47,7 @@
                 return count
             except OSError:
                 continue
-            if len(datagram) > 1 and datagram[0] < 0x80:
+            if len(datagram) > 1 and datagram[0] < LONG:
                 path = routes(datagram[1 : 1 + lengths[datagram[1] >> 5]])
                 if path is not None and path.client == client and path.go is not None:
                     path.sent += 1
--- a/gradefront/quic/paths.py
+++ b/gradefront/quic/paths.py
@@ -1,7 +1,7 @@
 """Upstream ports: through which a client's datagrams reach a backend, and how the answers find back.
 
 QUIC hides which connection a short packet from a backend belongs to. So a port is used by one client path for
-each backend: sender and port together tell whose the answer is. The same port serves other paths at other push
+each backend: sender and port together tell whose the answer is. The same port serves other paths at other
 backends. Only when the bound on ports is reached do paths share a place: told apart by the client ids that the
 backend writes to, with at most one path in it whose id hasn't been seen yet.
 """
@@ -13,13 +13,13 @@
 import socket
 import struct
 from collections import deque
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from contextlib import suppress
 from typing import Any
 
 from gradefront.config import Address
 
-from .headers import LONGEST_ID
+from .headers import LONG, LONGEST_ID
 from .sockets import Hub, Socket
 
 log = logging.getLogger("gradefront.quic")
@@ -32,6 +32,8 @@
 LEAST_LEARNED = 4  # octets alike in so many answers are no chance
 IP_RECVERR, IPV6_RECVERR = 11, 25  # Linux: ICMP rejections on a socket that isn't connected
 MSG_ERRQUEUE = 0x2000
+ERRNO = struct.Struct("=I")  # begins what the error queue tells
+LONG_HEADER = 6  # octets before the id in a long header: flags, version, length
 
 
 class Path:
@@ -57,7 +59,7 @@
         "answers",
     )
 
-    def __init__(self, client: Address, backend: str, where: Address, listener: Any, owner: Any, now_us: int) -> None:
+    def __init__(self, client: Address, backend: str, where: Address, listener: Any, owner: Any, now_us: int) -> None:  # noqa: PLR0913 - what a path joins
         self.client = client
         self.backend = backend
         self.where = where
@@ -89,7 +91,7 @@
         """Find out from answers what the backend writes to: where they begin alike is the client's id, for what
         follows it is encrypted. Whether enough were seen. A chance octet too many makes an id that later answers
         don't match: on a shared place they are copied then, not lost."""
-        if datagram and datagram[0] < 0x80:
+        if datagram and datagram[0] < LONG:
             self.answers += 1
             given = datagram[1 : 1 + LONGEST_ID]
             alike = next(
@@ -162,8 +164,8 @@
         """Whose answer it is. One of an id that nobody knows is the unsettled path's, unless others have spoken
         whose id wasn't heard yet; then it goes to all who may be meant: a client drops what isn't its own."""
         assert self.by_id is not None
-        if datagram[0] & 0x80 and len(datagram) > 6:
-            an_id = datagram[6 : 6 + datagram[5]]
+        if datagram[0] & LONG and len(datagram) > LONG_HEADER:
+            an_id = datagram[LONG_HEADER : LONG_HEADER + datagram[5]]
             path = self.by_id.get(an_id)
         else:
             path, an_id = None, b""
@@ -220,7 +222,7 @@
         except OSError:
             self.errors()
             return 0
-        place = self.places.get(sender[:2] if len(sender) > 2 else sender)
+        place = self.places.get(sender[:2])
         if place is None:
             self.pool.stranger()
             return 1
@@ -246,7 +248,8 @@
             except OSError:
                 return
             refused = any(
-                len(data) >= 4 and struct.unpack("=I", data[:4])[0] == errno.ECONNREFUSED for _, _, data in ancillary
+                len(data) >= ERRNO.size and ERRNO.unpack(data[: ERRNO.size])[0] == errno.ECONNREFUSED
+                for _, _, data in ancillary
             )
             place = self.places.get(where[:2]) if where else None
             if refused and place:
@@ -254,24 +257,10 @@
                     self.pool.refused(path)
 
 
-def source_of(addresses: Iterable[Address]) -> str:
-    """The address that the system reaches all of these from, so that it need not look for one with each datagram;
-    the wildcard where they differ."""
-    found = set()
-    for host, port in addresses:
-        with socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_DGRAM) as probe:
-            with suppress(OSError):  # unreachable now; that is found out again by who sends there
-                probe.connect((host, port))
-                found.add(probe.getsockname()[0])
-    if len(found) == 1:
-        return str(found.pop())
-    return "::" if any(":" in host for host in found) else "0.0.0.0"  # noqa: S104 - only backends are heard
-
-
 class PortPool:
     """All upstream ports: at most `most`, each with one path a backend, or `share` where that doesn't do."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - limits, and what the tables do with answers
         self,
         hub: Hub,
         host: str,
--- a/gradefront/quic/sockets.py
+++ b/gradefront/quic/sockets.py
@@ -4,6 +4,8 @@
 
 import select
 import socket
+from collections.abc import Iterable
+from contextlib import suppress
 from typing import Any
 
 from gradefront.config import Address
@@ -117,3 +119,18 @@
             self.closed = True
             self.hub.drop(self)
             self.socket.close()
+
+
+def source_of(addresses: Iterable[Address]) -> str:
+    """The address that the system reaches all of these from, so that it need not look for one with each datagram;
+    the wildcard where they differ."""
+    found = set()
+    for host, port in addresses:
+        family = socket.AF_INET6 if ":" in host else socket.AF_INET
+        # Suppressed: unreachable now; that is found out again by who sends there.
+        with socket.socket(family, socket.SOCK_DGRAM) as probe, suppress(OSError):
+            probe.connect((host, port))
+            found.add(probe.getsockname()[0])
+    if len(found) == 1:
+        return str(found.pop())
+    return "::" if any(":" in host for host in found) else "0.0.0.0"  # noqa: S104 - only backends are heard
--- a/gradefront/quic/switch.py
+++ b/gradefront/quic/switch.py
@@ -9,11 +9,11 @@
 from gradefront.config import Config
 from gradefront.settings.files import read_object
 
+from . import FILE
+
 if TYPE_CHECKING:
     from .config import QuicConfig
 
-FILE = Path(__file__).resolve().parent.parent.parent / "deploy" / "quic.json"
-
 
 def quic_file() -> Path:
     """The QUIC front's file."""
--- a/gradefront/quic/tables.py
+++ b/gradefront/quic/tables.py
@@ -16,8 +16,8 @@
 from .config import QuicConfig
 from .connections import QuicClientConnection
 from .listener import Listener
-from .paths import Path, Port, PortPool, source_of
-from .sockets import Hub
+from .paths import Path, Port, PortPool
+from .sockets import Hub, source_of
 from .tokens import TokenMint
 
 ANSWERED_US = 10_000_000  # how long a given answer is repeated to a client that asks with the same id
--- a/tests/test_quic_parts.py
+++ b/tests/test_quic_parts.py
@@ -17,7 +17,7 @@
 from balancer.settings import RequestClass, Settings
 from gradefront.config import Config, ConfigError
 from gradefront.quic import config as quic_config
-from gradefront.quic import switch
+from gradefront.quic import FILE, switch
 from gradefront.quic.headers import VERSIONS, Kind, invariants, reset_token, split, stateless_reset
 from gradefront.quic.ids import IdForm
 from gradefront.quic.initials import close_initial, open_initial, sound_retry
@@ -149,5 +149,5 @@
 
 
 def test_as_shipped_the_front_is_off() -> None:
-    assert switch.load(CONFIG, switch.FILE) is None
+    assert switch.load(CONFIG, FILE) is None
     assert switch.load(CONFIG, Path("no/such/file")) is None
--- a/tests/test_quic_tokens.py
+++ b/tests/test_quic_tokens.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from gradefront.quic.headers import V1, V2, invariants, read_varint, split, varint, version_negotiation
-from gradefront.quic.hello import Hello, HelloReader, Unsound
+from gradefront.quic.hello import Hello, HelloReader, InvalidHelloError
 from gradefront.quic.initials import keys_of, make_retry, open_initial, read_frames, seal_initial, sound_retry
 from gradefront.quic.tokens import Standing, TokenKey, TokenMint
 
@@ -88,7 +88,7 @@
     for at, piece in pieces + pieces[:3]:
         try:
             reader.take(at, piece)
-        except Unsound:
+        except InvalidHelloError:
             assert len(pieces) > 64, "only too many pieces at once are too many"
             return
     assert reader.hello() == Hello("box.careshift.example", ("mqtt", "roster"))
@@ -106,10 +106,10 @@
         try:
             reader.take(0, piece)
             reader.hello()
-        except Unsound as error:
+        except InvalidHelloError as error:
             assert str(error)
     reader = HelloReader()
-    with pytest.raises(Unsound):
+    with pytest.raises(InvalidHelloError):
         reader.take(16_380, b"12345")
 
 
