--- a/tests/test_moments_close.py
+++ b/tests/test_moments_close.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("bytes_under_way", [b"a whole line\r\n", b"half a li", b"x" * 5000])
-def test_a_move_survives_bytes_that_come_as_it_is_said(tmp_path: Path, bytes_under_way: bytes) -> None:
+def test_a_move_survives_bytes_that_come_as_it_is_written(tmp_path: Path, bytes_under_way: bytes) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client, at_backend = loop.standing(backend)
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(("first", "answer"), [(b"nonsense\r\n", b"ERR\r\n"), (b"OPEN\r\n", b"ERR\r\n")])
-def test_an_answer_survives_bytes_that_come_after_it(tmp_path: Path, first: bytes, answer: bytes) -> None:
+def test_a_final_answer_survives_bytes_that_come_after_it(tmp_path: Path, first: bytes, answer: bytes) -> None:
     loop = Loop(tmp_path, [Backend()])
     client = loop.client()
     client.send(first)
@@ -54,7 +54,7 @@
     loop.until(lambda: not loop.relay.front.open_connections)
 
 
-def test_an_ended_device_that_goes_on_sending_is_cut_off_in_bounded_time_and_bytes(tmp_path: Path) -> None:
+def test_a_client_that_goes_on_sending_after_the_end_is_cut_off_in_bounded_time_and_bytes(tmp_path: Path) -> None:
     loop = Loop(tmp_path, [Backend()])
     client, other = loop.client(), loop.client()
     for peer in (client, other):
@@ -77,7 +77,7 @@
     loop.until(lambda: not loop.relay.front.open_connections)
 
 
-def test_a_client_that_waits_on_is_sent_on_though_half_a_line_of_it_came(tmp_path: Path) -> None:
+def test_a_client_that_waits_is_forwarded_after_half_a_line_of_its(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client = loop.client()
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("how", ["end", "reset", "half a line, then the end", "a line, then the end"])
-def test_a_client_that_left_as_the_connection_to_the_backend_came_up_is_not_sent_on(tmp_path: Path, how: str) -> None:
+def test_a_client_that_left_as_the_backend_connection_opened_is_not_forwarded(tmp_path: Path, how: str) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client = loop.client()
@@ -119,11 +119,11 @@
     loop.until(lambda: attempts[0].is_over or at_backend.read())
     loop.order.held.clear()
     loop.wait(400_000, 20_000)
-    assert at_backend.read() == b"", "a request was sent on after its client had left"
+    assert at_backend.read() == b"", "a request was forwarded after its client had left"
     assert loop.core.counters.counts["gave_up_waiting"] + loop.core.counters.counts["failed"] == 1
 
 
-def test_an_attempt_given_up_leaves_no_bytes_that_could_still_arrive(tmp_path: Path) -> None:
+def test_a_cancelled_attempt_leaves_no_bytes_that_could_still_arrive(tmp_path: Path) -> None:
     backends = [Backend(), Backend()]
     loop = Loop(tmp_path, backends, settings(aim_ms=300, deadline_ms=3000))
     client = loop.client()
@@ -152,4 +152,4 @@
     line = attempt.upstream.line  # type: ignore[attr-defined]
     loop.until(lambda: attempt.is_over or loop.wait(20_000))
     loop.step(3)
-    assert line.wire.disconnected or not line.wire.connected, "what is left of the first line may still leave"
+    assert line.wire.disconnected or not line.wire.connected, "the rest of the request line may still leave"
--- a/tests/test_moments_list.py
+++ b/tests/test_moments_list.py
@@ -1,4 +1,4 @@
-"""Rare moments of the list: watches that fall silent, drip, end in the middle, or bring lists in odd forms."""
+"""Rare moments of the endpoint list: watches that fall silent, drip, end in the middle, or bring odd documents."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from .loop import Backend, Loop, Peer, arrived, guarded, hold_connects
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-TOLD_US = 6_000_000  # what a silent watch misses counts as told then
+IN_FORCE_US = 6_000_000  # an update that a silent watch missed is in force then
 SLACK_US = 50_000
 
 
@@ -39,16 +39,16 @@
     return {"revision": revision, "complete": False, "members": [member]}
 
 
-def line(told: object, **form: Any) -> bytes:
-    return json.dumps(told, **form).encode() + b"\n"
+def line(document: object, **form: Any) -> bytes:
+    return json.dumps(document, **form).encode() + b"\n"
 
 
 def drains(loop: Loop, backend: str = "box-0") -> bool:
     return loop.core.backends.state(backend) is BackendState.DRAINING
 
 
-def pair(folder: Path, **told: Any) -> Loop:
-    return Loop(folder, [Backend(), Backend()], {**settings(), **told})
+def pair(folder: Path, **more: Any) -> Loop:
+    return Loop(folder, [Backend(), Backend()], {**settings(), **more})
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
@@ -67,7 +67,7 @@
         )
     )
     loop.step(3)
-    silent_us = loop.now_us  # from here on nothing comes; the drain is told to nobody
+    silent_us = loop.now_us  # from here on nothing comes; the drain is not announced
     if stalls_us:  # the loop is held up right as the silence is to be noticed
         loop.wait(2_990_000, 20_000)
         loop.now_us += stalls_us
@@ -75,11 +75,11 @@
     second = watch(loop)
     second.send(chunk(line(change(loop, 0, "DRAINING", 2))))
     loop.until(lambda: drains(loop))
-    assert loop.now_us - silent_us < TOLD_US + SLACK_US
+    assert loop.now_us - silent_us < IN_FORCE_US + SLACK_US
 
 
 @pytest.mark.parametrize("drip", ["half an object", "headers", "blanks in a line"])
-def test_bytes_that_make_no_object_are_no_sign_of_life(tmp_path: Path, drip: str) -> None:
+def test_bytes_that_make_no_object_are_no_heartbeat(tmp_path: Path, drip: str) -> None:
     loop = pair(tmp_path)
     first = watch(loop, b"" if drip == "headers" else HEAD)
     if drip != "headers":
@@ -96,7 +96,7 @@
         first.send(part)
         loop.wait(400_000, 20_000)
     loop.until(lambda: loop.wait(20_000) or loop.discovery.called)
-    assert loop.now_us - began < TOLD_US - 1_000_000
+    assert loop.now_us - began < IN_FORCE_US - 1_000_000
 
 
 @pytest.mark.parametrize("size", [1, 7, 100_000])
@@ -106,15 +106,16 @@
 def test_objects_are_read_in_any_form_and_any_division_of_bytes(tmp_path: Path, form: str, size: int) -> None:
     loop = pair(tmp_path)
     first = watch(loop)
-    told = change(loop, 0, "DRAINING", 7)
-    whole = line({**loop.known, "revision": 3}, indent=2 if "indented" in form else None)
+    update = change(loop, 0, "DRAINING", 7)
+    complete = line({**loop.known, "revision": 3}, indent=2 if "indented" in form else None)
     text = {
-        "a line": whole + line(told),
-        "indented": whole + line(told, indent=2),
-        "indented, ends without a line's end": whole + line(told, indent=2).rstrip(),
-        "two on a line": whole.rstrip() + line(told),
-        "braces in names": whole + line({**told, "note": 'a "}{" \\ of \u00fc', "odd}": "{"}, ensure_ascii=False),
-        "CRLF": (whole + line(told, indent=1)).replace(b"\n", b"\r\n"),
+        "a line": complete + line(update),
+        "indented": complete + line(update, indent=2),
+        "indented, ends without a line's end": complete + line(update, indent=2).rstrip(),
+        "two on a line": complete.rstrip() + line(update),
+        "braces in names": complete
+        + line({**update, "note": 'a "}{" \\ of \u00fc', "odd}": "{"}, ensure_ascii=False),
+        "CRLF": (complete + line(update, indent=1)).replace(b"\n", b"\r\n"),
     }[form]
     for at in range(0, len(text), size):
         first.send(chunk(text[at : at + size]))
@@ -150,7 +151,7 @@
 @pytest.mark.parametrize(
     "bad", [{"revision": "x"}, {"revision": [1]}, {"members": 7}, {"members": {"a": 1}}, {"revision": 1e400}]
 )
-def test_a_list_is_taken_whole_or_not_at_all(tmp_path: Path, bad: dict[str, Any]) -> None:
+def test_a_document_is_applied_completely_or_not_at_all(tmp_path: Path, bad: dict[str, Any]) -> None:
     loop = pair(tmp_path)
     first = watch(loop)
     moved = {**loop.known["members"][0], "host_port": "127.0.0.1:1"}
@@ -172,20 +173,26 @@
         {"host_port": "127.0.0.1:99999"},
     ],
 )
-def test_a_known_backend_stays_where_a_whole_list_tells_it_badly(tmp_path: Path, bad: dict[str, Any]) -> None:
+def test_a_known_backend_stays_where_a_complete_list_has_an_invalid_member_for_it(
+    tmp_path: Path, bad: dict[str, Any]
+) -> None:
     loop = pair(tmp_path)
     first = watch(loop)
-    told = {**loop.known, "revision": 9, "members": [{**loop.known["members"][0], **bad}, loop.known["members"][1]]}
-    first.send(chunk(line(told)))
+    document = {
+        **loop.known,
+        "revision": 9,
+        "members": [{**loop.known["members"][0], **bad}, loop.known["members"][1]],
+    }
+    first.send(chunk(line(document)))
     loop.until(lambda: loop.relay.endpoint_list.revision == 9)
     assert loop.core.is_ready("box-0") and loop.core.is_ready("box-1")
     assert loop.relay.endpoint_list.address("box-0") and loop.core.counters.counts["bad_list_lines"] == 1
     first.send(chunk(line({**loop.known, "revision": 10, "members": loop.known["members"][1:]})))
     loop.until(lambda: loop.relay.endpoint_list.revision == 10)
-    assert "box-0" not in loop.core.backends, "a whole list without it means that it is gone"
+    assert "box-0" not in loop.core.backends, "a complete list without it means that it is gone"
 
 
-def test_the_news_of_a_watch_that_was_replaced_count_for_nothing(tmp_path: Path) -> None:
+def test_the_updates_of_a_watch_that_was_replaced_count_for_nothing(tmp_path: Path) -> None:
     loop = pair(tmp_path)
     old = watch(loop)
     old.send(chunk(line(loop.known)))
@@ -193,7 +200,7 @@
     call = loop.relay.endpoint_watch.call
     assert call and call.line
     loop.order.held.add(call.line.wire.fileno())
-    old.send(chunk(line(change(loop, 1, "DELETED", 40))))  # under way as another address is told
+    old.send(chunk(line(change(loop, 1, "DELETED", 40))))  # under way as the address changes
     other = Backend()
     loop.discovery = other
     loop.relay.endpoint_watch.go_to(("127.0.0.1", other.port))
@@ -206,7 +213,9 @@
     assert loop.core.is_ready("box-1")
 
 
-def test_a_watch_that_ends_in_the_middle_of_an_object_is_opened_anew_from_the_last_whole_one(tmp_path: Path) -> None:
+def test_a_watch_that_ends_in_the_middle_of_an_object_is_opened_anew_from_the_last_complete_one(
+    tmp_path: Path,
+) -> None:
     loop = pair(tmp_path)
     first = watch(loop)
     first.send(chunk(line({**loop.known, "revision": 4})))
@@ -221,8 +230,8 @@
 
 
 def connecting_beside_a_watch(loop: Loop) -> tuple[Peer, socket.socket, Peer, list[Attempt]]:
-    """A watch that has told the list, the relay's socket where what it tells next lies unread, and a client whose
-    connection to a backend comes up now, in a turn that keeps the loop busy."""
+    """A watch that has sent the list, the relay's socket where its next update lies unread, and a client whose
+    connection to a backend opens now, in a turn that keeps the loop busy."""
     first = watch(loop)
     first.send(chunk(line(loop.known)))
     call = loop.relay.endpoint_watch.call
@@ -237,7 +246,7 @@
 
 
 @pytest.mark.parametrize("phase", ["DRAINING", "DELETED"])
-def test_a_drain_that_lies_unread_as_a_connection_comes_up_counts(tmp_path: Path, phase: str) -> None:
+def test_a_drain_that_lies_unread_as_a_connection_opens_counts(tmp_path: Path, phase: str) -> None:
     backends = [Backend(), Backend()]
     loop = Loop(tmp_path, backends)
     first, unread, _client, attempts = connecting_beside_a_watch(loop)
@@ -245,14 +254,14 @@
     first.send(chunk(line(change(loop, number, phase, 8))))
     arrived(unread)
     loop.until(lambda: attempts[0].is_over or attempts[0].write_started_us)
-    assert attempts[0].is_over, "sent to a backend after its drain was told"
+    assert attempts[0].is_over, "sent to a backend after its drain was announced"
     other = backends[1 - number]
     loop.until(lambda: loop.release() or loop.wait(4_000) or other.called)
     at_other = other.accept()
     loop.until(lambda: loop.release() or at_other.read().endswith(b"\r\n"))
 
 
-def test_discovery_that_returns_and_drains_at_once_is_heard_in_time_by_a_pushed_relay(tmp_path: Path) -> None:
+def test_where_lists_are_pushed_a_drain_right_after_an_outage_is_in_force_in_time(tmp_path: Path) -> None:
     loop = pair(tmp_path, discovery="push")
     first = watch(loop)
     first.send(chunk(line(loop.known)))
@@ -283,4 +292,4 @@
         loop.until(lambda: attempts[0].write_started_us)
     at_backend = backend.accept()
     loop.until(lambda: at_backend.read().endswith(b"\r\n"))
-    assert loop.core.is_ready("box-0"), "what is known stays"
+    assert loop.core.is_ready("box-0"), "what was listed stays"
--- a/tests/test_moments_send.py
+++ b/tests/test_moments_send.py
@@ -29,10 +29,10 @@
 
 
 def stored_rules(effect: str, scope: str = "all", window_ms: int = 400, **more: Any) -> dict[str, Any]:
-    told = settings(**{"aim_ms": 300, "deadline_ms": 4000, **more})
-    for grade in told["grades"]:
+    document = settings(**{"aim_ms": 300, "deadline_ms": 4000, **more})
+    for grade in document["grades"]:
         grade.update(semantics=effect, keyScope=scope, dedupWindowUs=window_ms * 1000)
-    return told
+    return document
 
 
 def called(backends: list[Backend]) -> tuple[int, Peer]:
@@ -52,12 +52,12 @@
     ("effect", "scope", "answer"),
     [("keyed", "all", b"BUSY"), ("keyed", "zone", b"ERR"), ("keyed", "cell", b"ERR"), ("safe", "all", b"")],
 )
-def test_a_window_that_closes_while_a_connection_comes_up_lets_nothing_pass(
+def test_a_window_that_closes_while_a_connection_opens_lets_no_retry_through(
     tmp_path: Path, effect: str, scope: str, answer: bytes
 ) -> None:
     backends = [Backend(), Backend(), Backend()]
-    told = stored_rules(effect, scope, 400, connectTimeoutUs=1_000_000)
-    loop = Loop(tmp_path, backends, told)
+    document = stored_rules(effect, scope, 400, connectTimeoutUs=1_000_000)
+    loop = Loop(tmp_path, backends, document)
     for member in loop.known["members"]:
         member["cell"] = 1
     loop.relay.endpoint_list.apply(loop.known, complete=True)
@@ -79,28 +79,28 @@
     if effect == "safe":
         assert b"OPEN" in at_second.read()
         return
-    assert b"OPEN" not in at_second.read(), "a repeat outside the window of the first attempt"
+    assert b"OPEN" not in at_second.read(), "a retry outside the window of the first attempt"
     loop.until(lambda: client.read().endswith(b"\r\n"))
     assert client.got.split()[0] == answer
 
 
 @pytest.mark.parametrize("scope", [KeyScope.ALL, KeyScope.CELL])
-def test_a_repeat_that_would_wait_beyond_its_window_is_given_up_at_once(scope: KeyScope) -> None:
+def test_a_retry_that_would_wait_beyond_its_window_is_abandoned_at_once(scope: KeyScope) -> None:
     request_class = RequestClass(600_000, 5_000_000, Idempotency.KEYED, scope, 50_000)
     for seed in range(20):
         b = Balancer(Settings(classes=(request_class,), max_attempts=4), seed)
         b.handle(0, EndpointListUpdate((Endpoint("s1"), Endpoint("s2"), Endpoint("s3"))))
         (start,) = [a for a in b.handle(1_000, Request(7, 5_000_000)) if isinstance(a, StartAttempt)]
-        told = b.handle(2_000, AttemptEnded(7, 0, start.backend, AttemptResult.RESET))
-        waits = [a.delay_us for a in told if isinstance(a, SetTimer)]
-        answers = [a for a in told if isinstance(a, Reject | Fail)]
+        actions = b.handle(2_000, AttemptEnded(7, 0, start.backend, AttemptResult.RESET))
+        waits = [a.delay_us for a in actions if isinstance(a, SetTimer)]
+        answers = [a for a in actions if isinstance(a, Reject | Fail)]
         assert len(answers) + len(waits) == 1
         assert all(w < 49_000 for w in waits), "a wait that ends when nothing may be sent any more"
         assert all(isinstance(a, Reject) == (scope is KeyScope.ALL) for a in answers)
 
 
 @pytest.mark.parametrize("what", ["reset as the line is written", "half an answer", "a timeout"])
-def test_what_may_have_run_and_must_run_once_is_never_sent_twice(tmp_path: Path, what: str) -> None:
+def test_what_was_possibly_executed_and_is_not_idempotent_is_never_sent_twice(tmp_path: Path, what: str) -> None:
     backends = [Backend(), Backend()]
     loop = Loop(tmp_path, backends, stored_rules("unsafe", deadline_ms=2000))
     client = loop.client()
@@ -111,12 +111,12 @@
     if what != "a timeout":
         peer.close(reset=what != "half an answer")
     loop.until(lambda: loop.wait(20_000) or client.read().endswith(b"\r\n"))
-    assert client.got == b"ERR\r\n", "a refusal would be an invitation to come again"
+    assert client.got == b"ERR\r\n", "a rejection would invite a retry"
     loop.wait(500_000)
     assert not backends[1 - number].called
 
 
-def test_an_attempt_given_up_before_it_came_up_never_writes_and_the_next_one_does(tmp_path: Path) -> None:
+def test_an_attempt_cancelled_before_its_connection_opened_never_writes_and_the_next_one_does(tmp_path: Path) -> None:
     backends = [Backend(), Backend()]
     loop = Loop(tmp_path, backends, settings(aim_ms=300, deadline_ms=4000))
     client = loop.client()
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("where", ["backoff", "connecting", "after a timeout to connect"])
-def test_clients_that_leave_by_hundreds_in_one_turn_are_not_sent_on(tmp_path: Path, where: str) -> None:
+def test_clients_that_leave_by_hundreds_at_once_are_not_forwarded(tmp_path: Path, where: str) -> None:
     backends = [Backend(), Backend()]
     loop = Loop(tmp_path, backends, settings(aim_ms=600, deadline_ms=4000, maxAttempts=3))
     many = 6 if where == "backoff" else 60
@@ -173,22 +173,24 @@
 
 ANSWERS = [
     ("a line without end", b"x" * 5000, False, b"ERR", False),
-    ("another word", b"WHAT r-1\r\n", False, b"", False),
+    ("another verb", b"WHAT r-1\r\n", False, b"", False),
     ("half a line, then the end", b"UP r-", True, b"", False),
     ("two answers at once", b"BUSY\r\nUP r-2\r\n", False, b"BUSY", False),
     ("served and over in one segment", b"UP r-1\r\nBYE\r\n", True, b"UP r-1\r\nBYE\r\n", True),
-    ("over before it stood", b"BYE\r\n", True, b"", False),
-    ("a receipt that is none", b"UP\r\n", True, b"", False),
-    ("a receipt of blanks", b"UP  \r\n", True, b"", False),
-    ("a receipt that is no text", b"UP \xff\xfe\r\n", True, b"", False),
+    ("over before it was established", b"BYE\r\n", True, b"", False),
+    ("a response line without text", b"UP\r\n", True, b"", False),
+    ("a response line of blanks", b"UP  \r\n", True, b"", False),
+    ("a response line that is no text", b"UP \xff\xfe\r\n", True, b"", False),
     ("an answer, and half of one", b"UP r-1\r\nUP r-", True, b"UP r-1\r\nUP r-", True),
     ("bytes that are no text", b"\xff\xfe\0\r\n", False, b"", False),
 ]
 
 
-@pytest.mark.parametrize(("answer", "ends", "told", "exact"), [a[1:] for a in ANSWERS], ids=[a[0] for a in ANSWERS])
+@pytest.mark.parametrize(
+    ("answer", "ends", "expected", "exact"), [a[1:] for a in ANSWERS], ids=[a[0] for a in ANSWERS]
+)
 def test_a_broken_answer_makes_one_final_answer(
-    tmp_path: Path, answer: bytes, ends: bool, told: bytes, exact: bool
+    tmp_path: Path, answer: bytes, ends: bool, expected: bytes, exact: bool
 ) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend], settings(aim_ms=300, deadline_ms=1500, maxAttempts=1))
@@ -200,7 +202,7 @@
         peer.close()
     loop.until(lambda: loop.wait(4_000) or client.read() and client.ended)
     if exact:
-        assert client.got == told and not client.reset
+        assert client.got == expected and not client.reset
     else:
         assert client.got.count(b"\r\n") == 1 and client.got.split()[0] in (b"BUSY", b"ERR")
     if not ends:
@@ -211,7 +213,7 @@
     assert not loop.core.connections and not loop.core.counters.counts["exceptions"]
 
 
-def test_an_answer_in_the_turn_in_which_its_time_is_over_counts_for_nothing(tmp_path: Path) -> None:
+def test_a_response_that_meets_its_attempts_timeout_counts_for_nothing(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend], settings(aim_ms=300, deadline_ms=1500, maxAttempts=1))
     client = loop.client()
@@ -226,16 +228,16 @@
     assert client.got.count(b"\r\n") == 1 and not loop.core.connections
 
 
-@pytest.mark.parametrize("word", [b"BYE\r\n", b"MOVE\r\n", b"half a line", b"a line\r\n"])
+@pytest.mark.parametrize("last", [b"BYE\r\n", b"MOVE\r\n", b"half a line", b"a line\r\n"])
 @pytest.mark.parametrize("reset", [False, True])
-def test_a_move_that_meets_the_backends_own_end_is_one_move(tmp_path: Path, word: bytes, reset: bool) -> None:
+def test_a_move_that_meets_the_backends_own_end_is_one_move(tmp_path: Path, last: bytes, reset: bool) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client, peer = loop.standing(backend)
     (connection,) = loop.core.connections.values()
     upstream = connection.attempt.upstream  # type: ignore[union-attr]
     loop.order.held.add(upstream.line.wire.fileno())  # type: ignore[union-attr]
-    peer.send(word)
+    peer.send(last)
     arrived(upstream.line.wire.socket)  # type: ignore[union-attr]
     peer.close(reset=reset)
     loop.core.migrate(connection)
@@ -247,54 +249,54 @@
     assert not loop.core.connections and not loop.core.counters.counts["exceptions"]
 
 
-def test_a_stray_answer_is_not_taken_for_that_of_the_next_probe(tmp_path: Path) -> None:
+def test_a_stray_response_is_not_taken_for_that_of_the_next_health_check(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend], settings(probes=True))
-    told = list[HealthCheckResult]()
-    put = loop.core.enqueue
+    results = list[HealthCheckResult]()
+    enqueue = loop.core.enqueue
 
-    def heard(event: Event) -> None:
+    def record(event: Event) -> None:
         if isinstance(event, HealthCheckResult):
-            told.append(event)
-        put(event)
+            results.append(event)
+        enqueue(event)
 
-    loop.core.enqueue = heard  # type: ignore[method-assign]
+    loop.core.enqueue = record  # type: ignore[method-assign]
     loop.relay.core.health_checker.check("box-0")  # type: ignore[union-attr]
     loop.until(lambda: backend.called)
     probe = backend.accept()
     loop.until(lambda: probe.read() == b"STATS\r\n")
     probe.send(b"PONG x0=0.25\r\nPONG x0=0.9\r\n")  # the second answer belongs to nothing
-    loop.until(lambda: told)
+    loop.until(lambda: results)
     loop.step(3)
     loop.relay.core.health_checker.check("box-0")  # type: ignore[union-attr]
     loop.until(lambda: backend.called)
     again = backend.accept()
     loop.until(lambda: again.read() == b"STATS\r\n")
     again.line("PONG x0=0.5")
-    loop.until(lambda: len(told) == 2)
-    assert [t.load_report.load for t in told if t.load_report] == [0.25, 0.5]
+    loop.until(lambda: len(results) == 2)
+    assert [t.load_report.load for t in results if t.load_report] == [0.25, 0.5]
 
 
-def test_an_idle_connection_that_is_closed_as_a_probe_is_sent_is_asked_anew(tmp_path: Path) -> None:
+def test_a_health_check_on_an_idle_connection_that_is_being_closed_is_sent_on_a_new_one(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend], settings(probes=True))
-    prober: Any = loop.relay.core.health_checker
-    prober.check("box-0")
+    checker: Any = loop.relay.core.health_checker
+    checker.check("box-0")
     loop.until(lambda: backend.called)
     probe = backend.accept()
     loop.until(lambda: probe.read() == b"STATS\r\n")
     probe.line("PONG x0=0.25")
-    loop.until(lambda: not prober.connections["box-0"].pending_since_us)
-    loop.order.held.add(prober.connections["box-0"].line.wire.fileno())
+    loop.until(lambda: not checker.connections["box-0"].pending_since_us)
+    loop.order.held.add(checker.connections["box-0"].line.wire.fileno())
     probe.close(reset=True)
-    prober.check("box-0")
+    checker.check("box-0")
     loop.step(2)
     loop.order.held.clear()
     loop.until(lambda: backend.called)
     again = backend.accept()
     loop.until(lambda: again.read() == b"STATS\r\n")
     again.line("PONG x0=0.5")
-    loop.until(lambda: not prober.connections["box-0"].pending_since_us)
+    loop.until(lambda: not checker.connections["box-0"].pending_since_us)
     assert not loop.core.counters.counts["probes_failed"]
 
 
@@ -320,7 +322,7 @@
 
 
 @pytest.mark.parametrize("more", [b"z" * 400_000, b"z" * 3000 + b"\r\n" + b"z" * 400_000, b"a line\r\n" * 40_000])
-def test_a_client_that_sends_much_as_its_connection_comes_up_holds_nobody_up(tmp_path: Path, more: bytes) -> None:
+def test_a_client_that_sends_much_as_its_backend_connection_opens_delays_nobody(tmp_path: Path, more: bytes) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     usual, _ = loop.standing(backend)
@@ -347,7 +349,7 @@
     assert not usual.read() and not usual.ended
 
 
-def test_bad_answers_by_hundreds_are_counted_and_told_once_a_second(
+def test_bad_answers_by_hundreds_are_counted_and_logged_once_a_second(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     backend = Backend()
@@ -363,8 +365,8 @@
         peer.send([b"x" * 5000, b"WHAT r-1\r\n"][n % 2])
         loop.until(lambda: loop.wait(4_000) or client.read() and client.ended)  # noqa: B023
     assert loop.core.counters.counts["bad_answers"] == 306
-    told = [r.getMessage() for r in caplog.records if "backend box-0" in r.getMessage()]
-    assert 1 <= len(told) <= 2 + loop.core.clock() // 1_000_000 - 1_800_000_000, told
+    logged = [r.getMessage() for r in caplog.records if "backend box-0" in r.getMessage()]
+    assert 1 <= len(logged) <= 2 + loop.core.clock() // 1_000_000 - 1_800_000_000, logged
 
 
 @pytest.mark.parametrize("endless", [b"x" * 5000, b"UP r-2\r\n" + b"y" * 5000])
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -31,7 +31,7 @@
 USUAL = HEAD + b"c=roster-feed,d=1500,g=000a0c821d1466e1"
 
 
-def test_a_first_line_says_what_the_client_wants() -> None:
+def test_a_request_line_is_read() -> None:
     call, at = read_first(HEAD + b"c=visit-checkin,d=1400,g=000a0c821d1466e1,r=1,again=1,at=s-1", CONFIG)
     assert (call.request_class, call.timeout_us, call.sticky_group) == (1, 1_400_000, "000a0c821d1466e1")
     assert call.is_retry and call.is_reconnect and at == "s-1" and call.idempotency_key == "7f3a9c21e0b4d655"
@@ -98,13 +98,13 @@
         ),
     ],
 )
-def test_a_line_that_no_device_sends_goes_nowhere(line: bytes) -> None:
+def test_a_line_that_no_client_sends_is_invalid(line: bytes) -> None:
     with pytest.raises(InvalidLineError):
         read_first(line, CONFIG)
 
 
 @given(st.integers(1, 10**6), st.integers(0, 10**7), st.text("abcd=é", max_size=8), st.booleans())
-def test_the_line_goes_on_unchanged_but_for_the_time(d: int, left: int, noise: str, first: bool) -> None:
+def test_the_line_is_forwarded_unchanged_but_for_the_time(d: int, left: int, noise: str, first: bool) -> None:
     noise = noise.replace("=", "")
     fields = [f"d={d}", "c=visit-checkin", f"xd={noise or 'y'}", "g=dddddddddddddddd"]
     listed = ",".join(fields if first else fields[::-1])
@@ -131,9 +131,9 @@
     assert read_report(b"BUSY util=none,x0=1.5") == LoadReport(1.5, None)
 
 
-def test_the_box_list_keeps_addresses_and_leaves_out_what_makes_no_sense() -> None:
+def test_the_endpoint_list_keeps_addresses_and_leaves_out_invalid_members() -> None:
     bench = Bench()
-    backends = EndpointList(CONFIG, bench.core)
+    endpoint_list = EndpointList(CONFIG, bench.core)
     good = {
         "id": "s-1",
         "host_port": "127.0.0.1:3000",
@@ -145,13 +145,13 @@
         "up_since_ms": 5,
     }
     bad = [{}, 7, {**good, "host_port": None}, {**good, "id": "s-9", "host_port": "x:y"}, {"id": "s-8"}]
-    backends.apply(json.loads(json.dumps({"revision": 4, "complete": True, "members": [good, *bad]})))
+    endpoint_list.apply(json.loads(json.dumps({"revision": 4, "complete": True, "members": [good, *bad]})))
     bench.core.run_turn()
     assert bench.events[-1] == EndpointListUpdate((Endpoint("s-1", BackendState.READY, 1, 3, 1, 1.5, 5000),), True)
-    assert backends.address("s-1") == ("127.0.0.1", 3000) and backends.address("s-9") is None
-    assert backends.revision == 4 and bench.core.counters.counts["bad_list_lines"] == 5
-    backends.apply({"revision": 5, "complete": False, "members": [{"id": "s-1", "phase": "DELETED"}]})
-    assert backends.address("s-1") is None and not bench.core.is_ready("s-1") and not backends.backends
+    assert endpoint_list.address("s-1") == ("127.0.0.1", 3000) and endpoint_list.address("s-9") is None
+    assert endpoint_list.revision == 4 and bench.core.counters.counts["bad_list_lines"] == 5
+    endpoint_list.apply({"revision": 5, "complete": False, "members": [{"id": "s-1", "phase": "DELETED"}]})
+    assert endpoint_list.address("s-1") is None and not bench.core.is_ready("s-1") and not endpoint_list.backends
 
 
 @pytest.mark.parametrize("text", ["", "x", "x:", ":1", "h:70000", "h:p"])
@@ -161,76 +161,76 @@
 
 
 def test_variables_go_before_the_file() -> None:
-    told = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings()}
-    config = parse(told, {"LB_NAME": "n7", "LB_LISTEN": "[::1]:9", "LB_DISCOVERY": "127.0.0.1:8"})
+    document = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings()}
+    config = parse(document, {"LB_NAME": "n7", "LB_LISTEN": "[::1]:9", "LB_DISCOVERY": "127.0.0.1:8"})
     assert (config.name, config.listen, config.discovery) == ("n7", ("::1", 9), ("127.0.0.1", 8))
 
 
-class Dials:
-    """A reactor that records whom it was to connect to; nothing connects."""
+class RecordingReactor:
+    """A reactor that records the ports that it was to connect to; nothing connects."""
 
     def __init__(self) -> None:
-        self.dialled: list[int] = []
+        self.ports: list[int] = []
 
-    def connectTCP(self, host: str, port: int, factory: object, timeout: float | None = None) -> Dials:
-        self.dialled.append(port)
+    def connectTCP(self, host: str, port: int, factory: object, timeout: float | None = None) -> RecordingReactor:
+        self.ports.append(port)
         return self
 
     def disconnect(self) -> None:
         pass
 
 
-def test_no_stale_retry_or_late_news_undoes_a_watch_at_a_new_address() -> None:
-    bench, dials = Bench(), Dials()
-    watch = EndpointWatch(dials, bench.core, EndpointList(CONFIG, bench.core), ("127.0.0.1", 1))  # type: ignore[arg-type]
+def test_no_stale_retry_or_late_update_undoes_a_watch_at_a_new_address() -> None:
+    bench, reactor = Bench(), RecordingReactor()
+    watch = EndpointWatch(reactor, bench.core, EndpointList(CONFIG, bench.core), ("127.0.0.1", 1))  # type: ignore[arg-type]
     watch.watch()
     old = watch.call
     assert old
     watch.go_to(("127.0.0.1", 2))
-    watch.watch()  # a retry that the module had set for the old watch
+    watch.watch()  # a retry that the decision module had set for the old watch
     old.on_data(b'{"revision": 9, "complete": true, "members": []}')
     old.fail("the connection ended")
     bench.wait(1_000_000)
-    assert dials.dialled == [1, 2] and watch.endpoint_list.revision == 0
+    assert reactor.ports == [1, 2] and watch.endpoint_list.revision == 0
     assert not any(isinstance(e, EndpointListError) for e in bench.events) and bench.core.is_ready("box-1")
     assert watch.call and not watch.call.ended
     watch.call.fail("the connection ended")
     watch.watch()
-    assert dials.dialled == [1, 2, 2] and bench.core.counters.counts["list_errors"] == 1
+    assert reactor.ports == [1, 2, 2] and bench.core.counters.counts["list_errors"] == 1
 
 
-def test_where_lists_are_pushed_the_watch_keeps_itself_open_well_within_the_told_time() -> None:
-    bench, dials = Bench(replace(SETTINGS, polls_endpoint_list=False, drain_grace_us=300_000)), Dials()
-    watch = EndpointWatch(dials, bench.core, EndpointList(CONFIG, bench.core), ("127.0.0.1", 1))  # type: ignore[arg-type]
+def test_where_lists_are_pushed_the_watch_keeps_itself_open_well_within_the_drain_grace() -> None:
+    bench, reactor = Bench(replace(SETTINGS, polls_endpoint_list=False, drain_grace_us=300_000)), RecordingReactor()
+    watch = EndpointWatch(reactor, bench.core, EndpointList(CONFIG, bench.core), ("127.0.0.1", 1))  # type: ignore[arg-type]
     watch.watch()
-    bench.wait(250_000)  # silent since the call: the agent had a third of the told time, twice
-    assert len(dials.dialled) == 3 and watch.call
+    bench.wait(250_000)  # silent since the call: the agent had a third of the drain grace, twice
+    assert len(reactor.ports) == 3 and watch.call
     watch.call.on_heartbeat()  # a watch that is open owes an empty line every 2 s
     bench.wait(2_900_000)
-    assert len(dials.dialled) == 3
+    assert len(reactor.ports) == 3
     watch.call.fail("the connection ended")
     bench.wait(10_000)
-    assert len(dials.dialled) == 4, "at once: what the agent has counts as told, watch or not"
+    assert len(reactor.ports) == 4, "at once: what the agent has is in force, watch or not"
     for _ in range(5):
         watch.call.fail("refused")
         bench.wait(104_000)
-    assert len(dials.dialled) == 9, "an agent that refuses is called again at a pace, a third of the told time"
+    assert len(reactor.ports) == 9, "an agent that refuses is called again at a pace, a third of the drain grace"
     bench.now += 500_000  # this relay is held up, and has not read what came meanwhile
     bench.core.run_turn()
-    assert len(dials.dialled) == 9
+    assert len(reactor.ports) == 9
     assert not any(isinstance(e, EndpointListError) for e in bench.events), "the module has no part in it"
 
 
-def test_a_knock_tells_once_whether_the_machine_took_a_connection_in_time() -> None:
-    heard = list[tuple[str, bool]]()
+def test_a_connect_check_reports_once_whether_the_machine_took_a_connection_in_time() -> None:
+    outcomes = list[tuple[str, bool]]()
     for end in ("up", "refused", "late", "late, then up"):
         bench = Bench()
         reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
-        prober = BackendHealthChecker(reactor, bench.core, lambda _: ("127.0.0.1", 9))
+        checker = BackendHealthChecker(reactor, bench.core, lambda _: ("127.0.0.1", 9))
         with patch.object(
-            bench.core.liveness, "on_connect_checked", lambda backend, opened, end=end: heard.append((end, opened))
+            bench.core.liveness, "on_connect_checked", lambda backend, opened, end=end: outcomes.append((end, opened))
         ):
-            prober.check_connect("box-1", 150_000)
+            checker.check_connect("box-1", 150_000)
             _, _, check_connect, _, _ = reactor.tcpClients[0]
             if end == "up":
                 assert check_connect.buildProtocol(None) is None, "closed at once"
@@ -239,6 +239,6 @@
             bench.wait(200_000)
             if end == "late, then up":
                 check_connect.buildProtocol(None)
-    assert heard == [("up", True), ("refused", True), ("late", False), ("late, then up", False)]
+    assert outcomes == [("up", True), ("refused", True), ("late", False), ("late, then up", False)]
     BackendHealthChecker(reactor, bench.core, lambda _: None).check_connect("box-1", 150_000)
-    assert len(reactor.tcpClients) == 1, "nobody checks a box that is in no list"
+    assert len(reactor.tcpClients) == 1, "no check of a backend that is in no list"
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -1,4 +1,4 @@
-"""Peers write in pieces of any size: each parser takes them as it takes the whole."""
+"""Peers write in pieces of any size: each parser reads them as it reads all at once."""
 
 from __future__ import annotations
 
@@ -53,13 +53,13 @@
 class RecordingUpstream(Upstream):
     def __init__(self) -> None:
         super().__init__()
-        self.passed: list[bytes] = []
+        self.forwarded: list[bytes] = []
 
     def forward_line(self, line: bytes) -> None:
-        self.passed.append(line)
+        self.forwarded.append(line)
 
-    def forward_unfinished(self, rest: bytes) -> None:
-        self.passed.append(rest)
+    def forward_unfinished(self, unfinished: bytes) -> None:
+        self.forwarded.append(unfinished)
 
 
 def client(parts: list[bytes]) -> object:
@@ -71,40 +71,40 @@
     for part in parts:
         line.dataReceived(part)
         if line.connection and not line.upstream:
-            line.upstream = upstream  # it stands at once, whatever comes in the same piece
+            line.upstream = upstream  # established at once, whatever comes in the same piece
     bench.core.run_turn()
     requests = [(e.request_class, e.sticky_group, e.idempotency_key) for e in bench.events if isinstance(e, Request)]
     line.connectionLost(DONE)
-    return wire.said, requests, upstream.passed
+    return wire.written, requests, upstream.forwarded
 
 
 def backend(parts: list[bytes]) -> object:
-    """A backend's answer, and all that follows."""
+    """A backend's response, and all that follows."""
     bench = Bench()
-    connection, told = bench.arrive()
+    connection, client_side = bench.arrive()
     bench.order(StartAttempt(connection.number, "box-1", 1_000_000))
     attempt = bench.attempts[-1]
     upstream = LineBackendConnection(attempt, FirstLine(FIRST[:-2], b"", False), ConnectionCloser(bench.core, 8))
-    line, wire, passed = cast(Any, upstream.buildProtocol(None)), Piped(), list[bytes]()
+    line, wire, forwarded = cast(Any, upstream.buildProtocol(None)), Piped(), list[bytes]()
     attempt.upstream = upstream
-    cast(Any, told).establish = lambda *_: setattr(upstream, "to_client", passed.append)
+    cast(Any, client_side).establish = lambda *_: setattr(upstream, "to_client", forwarded.append)
     line.makeConnection(wire)
     for part in parts:
         line.dataReceived(part)
     line.connectionLost(DONE)
     bench.core.run_turn()
     loads = [e.load for e in bench.events if isinstance(e, ConnectionLoadReport)]
-    return wire.said, told.told, b"".join(passed), loads, [o.result for o in bench.outcomes(connection)]
+    return wire.written, client_side.told, b"".join(forwarded), loads, [o.result for o in bench.outcomes(connection)]
 
 
-def probe(parts: list[bytes]) -> object:
-    """An answer to a health check."""
+def health_check(parts: list[bytes]) -> object:
+    """A response to a health check."""
     bench = Bench()
-    prober = HealthCheckConnection(
+    connection = HealthCheckConnection(
         BackendHealthChecker(cast(Any, None), bench.core, lambda _: None), "box-1", ("127.0.0.1", 1)
     )
-    line = cast(Any, HealthCheckProtocol(prober))
-    prober.line, prober.pending_since_us = line, bench.now
+    line = cast(Any, HealthCheckProtocol(connection))
+    connection.line, connection.pending_since_us = line, bench.now
     line.makeConnection(Piped())
     for part in parts:
         line.dataReceived(part)
@@ -112,8 +112,8 @@
     return [(e.result, e.load_report) for e in bench.events if isinstance(e, HealthCheckResult)]
 
 
-def watch(parts: list[bytes]) -> object:
-    """Discovery's answer to a watch."""
+def endpoint_watch(parts: list[bytes]) -> object:
+    """Discovery's response to a watch."""
     bench = Bench()
     endpoint_list = EndpointList(CONFIG, bench.core)
     call = EndpointWatchCall(EndpointWatch(cast(Any, None), bench.core, endpoint_list, ("127.0.0.1", 1)))
@@ -124,11 +124,11 @@
     return endpoint_list.revision, endpoint_list.backends, sorted(bench.core.backends)
 
 
-WHOLE: dict[Callable[[list[bytes]], object], bytes] = {
+STREAMS: dict[Callable[[list[bytes]], object], bytes] = {
     client: b"PING\r\nPING\r\n" + FIRST,
     backend: b"UP r-1\r\nLOAD 512.5\r\nLOAD x\r\nhello\r\n" + b"y" * 4000 + b"\r\nBYE\r\n",
-    probe: b"PONG x0=0.25,util=0.5\r\n",
-    watch: b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n"
+    health_check: b"PONG x0=0.25,util=0.5\r\n",
+    endpoint_watch: b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n"
     + PART[:9]
     + b"\r\n%x\r\n" % (len(PART) - 9)
     + PART[9:]
@@ -136,30 +136,30 @@
 }
 
 
-@pytest.mark.parametrize("parser", WHOLE)
+@pytest.mark.parametrize("parser", STREAMS)
 @given(cuts=st.lists(st.integers(1, 4300), max_size=6, unique=True))
-def test_pieces_of_any_size_are_taken_as_the_whole_is(parser: Any, cuts: list[int]) -> None:
-    data = WHOLE[parser]
+def test_pieces_of_any_size_are_read_as_all_at_once(parser: Any, cuts: list[int]) -> None:
+    data = STREAMS[parser]
     edges = [0, *sorted(c for c in cuts if c < len(data)), len(data)]
     pieces = [data[a:b] for a, b in zip(edges, edges[1:], strict=False)]
     assert parser(pieces) == parser([data])
 
 
-@pytest.mark.parametrize("parser", WHOLE)
-def test_one_byte_at_a_time_is_taken_as_the_whole_is(parser: Any) -> None:
-    data = WHOLE[parser]
+@pytest.mark.parametrize("parser", STREAMS)
+def test_one_byte_at_a_time_is_read_as_all_at_once(parser: Any) -> None:
+    data = STREAMS[parser]
     whole = parser([data])
     assert parser([bytes([b]) for b in data]) == whole and any(cast(Any, whole))
 
 
-def test_lines_behind_the_first_in_pieces_reach_the_box_whole() -> None:
+def test_lines_after_the_request_in_pieces_reach_the_backend_complete() -> None:
     lines = [b"one\r\n", b"two words\r\n", b"half"]
     whole = cast(Any, client([FIRST, b"".join(lines)]))
     assert whole[2] == [b"one", b"two words", b"half"]
     assert client([FIRST, *(bytes([b]) for b in b"".join(lines))]) == whole
 
 
-def test_who_does_not_read_its_move_is_cut_in_time_and_not_before() -> None:
+def test_a_client_that_does_not_read_its_move_is_cut_in_time_and_not_before() -> None:
     class Stuck(Piped):
         cut = False
 
@@ -180,9 +180,9 @@
     line.dataReceived(b"half a li")
     bench.core.lifecycle.lame_duck()
     began = bench.now
-    while not wire.said and bench.now < began + 3_300_000:
+    while not wire.written and bench.now < began + 3_300_000:
         bench.wait(20_000)
-    assert wire.said == b"MOVE\r\n" and not bench.core.connections, "told, whatever its own half line"
+    assert wire.written == b"MOVE\r\n" and not bench.core.connections, "notified, whatever its own half line"
     bench.wait(UNSENT_US - 200_000)
     assert not wire.cut, "what it is owed has not left yet"
     bench.wait(300_000)
@@ -199,4 +199,4 @@
     quick.dataReceived(FIRST)
     assert quick.connection and not slow.connection
     bench.wait(2_300_000)
-    assert slow.wire.said == b"ERR\r\n" and slow.wire.ended, "nor its descriptor for long"
+    assert slow.wire.written == b"ERR\r\n" and slow.wire.ended, "nor its descriptor for long"
--- a/tests/test_pre_request.py
+++ b/tests/test_pre_request.py
@@ -1,4 +1,4 @@
-"""The door of the platform's front: who stays there, and for how long. No sockets, a hand-moved clock."""
+"""Connections before their request: which stay open, and for how long. No sockets, a clock that the test moves."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 from .helper import Bench
 from .test_net_parts import CONFIG
 
-OWED_US = 3_000_000  # from connecting
+ANSWER_OWED_US = 3_000_000  # from connecting
 
 
 class Wire:
     """A transport that records."""
 
-    line: Any = None  # the protocol on it, where it is to hear that all has left
+    line: Any = None  # the protocol, where `writeConnectionLost` is to be called on it
 
     def __init__(self) -> None:
-        self.said = b""
+        self.written = b""
         self.ended = False
 
     def flush(self) -> bool:
-        """All is taken at once, and the sending side is shut where that was asked for."""
+        """The kernel takes all at once, and the sending side is shut where that was requested."""
         if self.ended and self.line:
             self.line.writeConnectionLost()
         return True
@@ -40,7 +40,7 @@
         return False
 
     def write(self, data: bytes) -> None:
-        self.said += data
+        self.written += data
 
     def loseConnection(self) -> None:
         self.ended = True
@@ -58,8 +58,8 @@
         return self.ended
 
 
-class Guest:
-    """One connection at the front's door."""
+class ConnectedClient:
+    """One client's connection, on a transport that records."""
 
     def __init__(self, front: ClientProtocolFactory, line: ClientProtocol) -> None:
         self.line = cast(Any, line)
@@ -68,7 +68,7 @@
         self.line.makeConnection(self.wire)
         self.arrived_us = front.core.clock()
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         if not self.wire.ended:
             self.line.dataReceived(data)
 
@@ -76,8 +76,8 @@
         self.line.connectionLost(cast(Any, Failure)(ConnectionDone()))
 
 
-class Door:
-    """A front on a bench's core, and connections to it over transports that record."""
+class Listener:
+    """A factory on a bench's core, and clients' connections to it."""
 
     def __init__(self, sockets: int = 512) -> None:
         self.bench = Bench()
@@ -85,75 +85,75 @@
         self.front = ClientProtocolFactory(config, self.bench.core, self.bench)
         self.ids = count(1)
 
-    def connect(self) -> Guest:
+    def connect(self) -> ConnectedClient:
         line = self.front.buildProtocol(None)
         assert line
-        return Guest(self.front, line)
+        return ConnectedClient(self.front, line)
 
-    def first(self, number: int = 0) -> bytes:
+    def request_line(self, number: int = 0) -> bytes:
         return b"OPEN %016x 7f3a9c21e0b4d655 c=roster-feed,d=1500,g=5c0f6e1a2b3d4c59\r\n" % (number or next(self.ids))
 
 
 @pytest.mark.parametrize(
-    "words",
+    "pieces",
     [[], [b"OPEN 9b1f03aa5c7e2d41 7f3a"], [b"O", b"P", b"E", b"N"] * 8, [b"PING\r\n"] * 20, [b"PING\r\n"] * 200],
 )
-def test_who_makes_no_visit_hears_an_error_in_time(words: list[bytes]) -> None:
-    door = Door()
-    guest = door.connect()
-    for word in words:
-        door.bench.wait(2_000_000 // len(words))
-        guest.say(word)
-    door.bench.wait(guest.arrived_us + OWED_US - 100_000 - door.bench.now)
-    assert guest.wire.said.endswith(b"ERR\r\n") and guest.wire.said.count(b"ERR") == 1 and guest.wire.ended
-    guest.leave()
-    assert door.front.open_connections == 0 and not door.front.pre_request
-
-
-def test_a_line_before_the_visit_stands_is_answered_once_and_goes_nowhere() -> None:
-    door = Door()
-    early = door.connect()
-    early.say(door.first() + b"hello\r\n" * 300)
-    assert early.wire.said == b"ERR\r\n" and early.wire.ended
-    reaching = door.connect()
-    reaching.say(door.first())
-    door.bench.order(StartAttempt(2, "box-1", 1_000_000))
-    (upstream,) = door.bench.upstreams
-    reaching.say(b"hello\r\n")
-    assert reaching.wire.said == b"ERR\r\n" and upstream.hung and not door.bench.core.connections
-    door.bench.wait(OWED_US)
-    assert early.wire.said == reaching.wire.said == b"ERR\r\n"
-    results = [e.result for e in door.bench.events if isinstance(e, AttemptEnded)]
-    assert results == [AttemptResult.CANCELLED], "nothing that would tell against the push box"
-
-
-def test_the_id_of_another_connection_is_no_id() -> None:
-    door = Door()
-    usual, other, late = (door.connect() for _ in range(3))
-    usual.say(door.first(7))
-    other.say(door.first(7))
-    assert other.wire.said == b"ERR\r\n" and len(door.bench.core.connections) == 1
+def test_a_client_without_a_request_gets_an_error_in_time(pieces: list[bytes]) -> None:
+    listener = Listener()
+    client = listener.connect()
+    for piece in pieces:
+        listener.bench.wait(2_000_000 // len(pieces))
+        client.send(piece)
+    listener.bench.wait(client.arrived_us + ANSWER_OWED_US - 100_000 - listener.bench.now)
+    assert client.wire.written.endswith(b"ERR\r\n") and client.wire.written.count(b"ERR") == 1 and client.wire.ended
+    client.leave()
+    assert listener.front.open_connections == 0 and not listener.front.pre_request
+
+
+def test_a_line_before_the_connection_is_established_is_answered_once_and_not_forwarded() -> None:
+    listener = Listener()
+    early = listener.connect()
+    early.send(listener.request_line() + b"hello\r\n" * 300)
+    assert early.wire.written == b"ERR\r\n" and early.wire.ended
+    reaching = listener.connect()
+    reaching.send(listener.request_line())
+    listener.bench.order(StartAttempt(2, "box-1", 1_000_000))
+    (upstream,) = listener.bench.upstreams
+    reaching.send(b"hello\r\n")
+    assert reaching.wire.written == b"ERR\r\n" and upstream.hung and not listener.bench.core.connections
+    listener.bench.wait(ANSWER_OWED_US)
+    assert early.wire.written == reaching.wire.written == b"ERR\r\n"
+    results = [e.result for e in listener.bench.events if isinstance(e, AttemptEnded)]
+    assert results == [AttemptResult.CANCELLED], "nothing that would count against the backend"
+
+
+def test_the_id_of_another_connection_is_rejected() -> None:
+    listener = Listener()
+    usual, other, late = (listener.connect() for _ in range(3))
+    usual.send(listener.request_line(7))
+    other.send(listener.request_line(7))
+    assert other.wire.written == b"ERR\r\n" and len(listener.bench.core.connections) == 1
     usual.leave()
-    late.say(door.first(7))
-    assert late.wire.said == b"ERR\r\n" and not door.bench.core.connections
+    late.send(listener.request_line(7))
+    assert late.wire.written == b"ERR\r\n" and not listener.bench.core.connections
 
 
-def test_hundreds_that_say_nothing_leave_the_usual_their_room() -> None:
+def test_hundreds_of_silent_clients_leave_descriptors_to_the_usual_ones() -> None:
     sockets = 256
-    door, mutes, usual = Door(sockets), list[Guest](), list[Guest]()
+    listener, silent, usual = Listener(sockets), list[ConnectedClient](), list[ConnectedClient]()
     for n in range(600):
-        door.bench.wait(2_000)
-        if line := door.front.buildProtocol(None):
-            mutes.append(Guest(door.front, line))
+        listener.bench.wait(2_000)
+        if line := listener.front.buildProtocol(None):
+            silent.append(ConnectedClient(listener.front, line))
         if n % 15 == 0:
-            usual.append(door.connect())
-            usual[-1].say(door.first())
-            mine = door.bench.core.connections[max(door.bench.core.connections)]
-            door.bench.order(StartAttempt(mine.number, "box-1", 1_000_000))
-        for mute in [m for m in mutes if m.wire.ended]:
-            mutes.remove(mute)
-            mute.leave()
-        assert door.front.descriptors_held() <= sockets - RESERVED_DESCRIPTORS // 2
-    assert all(u.wire.said == b"" for u in usual), "none was turned away"
-    assert len(door.bench.attempts) == len(usual) == 40
-    assert door.bench.core.counters.counts["ended_for_room"] > 0
+            usual.append(listener.connect())
+            usual[-1].send(listener.request_line())
+            connection = listener.bench.core.connections[max(listener.bench.core.connections)]
+            listener.bench.order(StartAttempt(connection.number, "box-1", 1_000_000))
+        for client in [m for m in silent if m.wire.ended]:
+            silent.remove(client)
+            client.leave()
+        assert listener.front.descriptors_held() <= sockets - RESERVED_DESCRIPTORS // 2
+    assert all(u.wire.written == b"" for u in usual), "none was rejected"
+    assert len(listener.bench.attempts) == len(usual) == 40
+    assert listener.bench.core.counters.counts["ended_for_room"] > 0
