--- a/gradefront/net/backend_connection.py
+++ b/gradefront/net/backend_connection.py
@@ -86,7 +86,7 @@
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: ARG002 - Twisted's signature
         """End this connection for an overlong line; an established one migrates."""
-        self.upstream.bad("sent an overlong line")
+        self.upstream.count_invalid("sent an overlong line")
         attempt = self.upstream.attempt
         attempt.core.migrate(attempt.connection)
         self.abort()
@@ -142,7 +142,7 @@
             try:
                 attempt.on_load_report(float(line[5:]))
             except ValueError:
-                self.bad("sent a load that is no number")
+                self.count_invalid("sent a load that is no number")
         else:
             attempt.on_message_received()
             if line == b"MOVE":
@@ -158,7 +158,7 @@
         if verb == b"BUSY":
             attempt.end(Cause.FULL)
         elif attempt.phase < AttemptPhase.SENT:  # the request has not left completely, and was not executed
-            self.bad("responded before the request was sent")
+            self.count_invalid("responded before the request was sent")
             attempt.end(Cause.BROKEN)
         elif ESTABLISHED_RESPONSE.fullmatch(line):
             attempt.succeed(line)
@@ -166,10 +166,10 @@
             attempt.end(Cause.SENT_AWAY)
         else:
             if verb != b"ERR":
-                self.bad("sent no response of the protocol")
+                self.count_invalid("sent no response of the protocol")
             attempt.end(Cause.ERROR)
 
-    def bad(self, what: str) -> None:
+    def count_invalid(self, what: str) -> None:
         """Count what no backend sends."""
         core = self.attempt.core
         core.counters.bad("bad_answers", f"backend {self.attempt.backend} {what}", core.clock())
--- a/gradefront/net/base.py
+++ b/gradefront/net/base.py
@@ -13,7 +13,7 @@
 
 from gradefront.core.ports import ConnectionEnd
 
-from .closing import MAX_DISCARDED, ConnectionCloser
+from .closing import MAX_DISCARDED_BYTES, ConnectionCloser
 from .lines import MAX_LINE
 
 
@@ -48,12 +48,13 @@
             closer.begin(self, how)
 
     def dataReceived(self, data: bytes) -> None:
-        """Bytes. After the end up to MAX_DISCARDED are read and discarded: unread they would turn it into a reset."""
+        """Bytes. After the end they are discarded, as unread ones would turn it into a reset: up to
+        MAX_DISCARDED_BYTES."""
         if self.closer is None:
             cast(Any, super()).dataReceived(data)
             return
         self.discarded += len(data)
-        if self.discarded > MAX_DISCARDED:
+        if self.discarded > MAX_DISCARDED_BYTES:
             self.closer.on_overrun(self)
 
     def abort(self) -> None:
@@ -81,7 +82,7 @@
     def connectionLost(self, reason: Any = None) -> None:  # noqa: ARG002 - Twisted's signature
         """The connection is no more."""
         if self.closer:
-            self.closer.over(self)
+            self.closer.on_connection_lost(self)
 
     def catch_up(self) -> bool:
         """Read what lies unread. Whether the peer has ended its side, also where the reactor has not seen it yet."""
--- a/gradefront/net/client_protocol.py
+++ b/gradefront/net/client_protocol.py
@@ -73,7 +73,9 @@
         if self.upstream:
             self.upstream.forward_line(line)
         elif self.connection:
-            self.front.bad("a line before its connection was established")  # a client waits for its answer first
+            self.front.count_invalid(
+                "a line before its connection was established"
+            )  # a client waits for its answer first
             self.front.core.reject_unestablished(self.connection)
         elif line == b"PING" and self.pings < MAX_PINGS:
             self.pings += 1
@@ -90,7 +92,7 @@
         except InvalidLineError as error:
             if error.request_class in front.core.request_classes.names:  # it was in force before
                 front.core.counters.add_of_class("errored_total", error.request_class)
-            front.bad(str(error))
+            front.count_invalid(str(error))
             self._finish_with(b"ERR")
             return
         if front.descriptors_held() + 1 > front.budget.for_requests:
@@ -109,7 +111,7 @@
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: ARG002 - Twisted's signature
         """End this connection for an overlong line."""
         if not self.closing:
-            self.front.bad("an overlong line")
+            self.front.count_invalid("an overlong line")
             self.fail_protocol()
 
     def fail_protocol(self) -> None:
@@ -283,6 +285,6 @@
         """Record a connection's id. Raises InvalidLineError for one that was used before."""
         self.seen_ids.add(connection_id)
 
-    def bad(self, what: str) -> None:
+    def count_invalid(self, what: str) -> None:
         """Count what no client sends."""
         self.core.counters.bad("bad_lines", f"bad client: {what}", self.core.clock())
--- a/gradefront/net/closing.py
+++ b/gradefront/net/closing.py
@@ -19,9 +19,9 @@
 from gradefront.core.ports import ConnectionEnd
 from gradefront.core.timer_wheel import Timer
 
-LINGER_US = 2_000_000  # after all was sent, for a slow peer to read it and to end its side
-UNSENT_US = 7_000_000  # a peer that takes no bytes for so long is lost by the protocol page
-MAX_DISCARDED = 1 << 18  # bytes; a peer that sends more after the end is cut off
+LINGER_TIMEOUT_US = 2_000_000  # after all was sent, for a slow peer to read it and to end its side
+UNSENT_TIMEOUT_US = 7_000_000  # a peer that takes no bytes for so long is lost by the protocol page
+MAX_DISCARDED_BYTES = 1 << 18  # a peer that sends more after the end is cut off
 DESCRIPTOR_SHARE = 16  # one of so many descriptors may be held by a closing connection
 
 
@@ -59,12 +59,12 @@
 
 
 class ConnectionCloser:
-    """Connections of one kind that are being closed, the oldest first. Above `most` of them, sent ones are closed at
-    once."""
+    """Connections of one kind that are being closed, the oldest first. Above `capacity`, a sent one is closed at once
+    for each new one."""
 
-    def __init__(self, core: Core, most: int) -> None:
+    def __init__(self, core: Core, capacity: int) -> None:
         self.core = core
-        self.most = max(1, most)
+        self.capacity = max(1, capacity)
         self.waiting: dict[Closable, _CloseState] = {}
 
     def __len__(self) -> int:
@@ -79,9 +79,9 @@
         """Close a connection once all that was written has left; BROKEN: by a reset then."""
         if connection in self.waiting:
             return
-        if len(self.waiting) >= self.most:
+        if len(self.waiting) >= self.capacity:
             self.free_descriptor()
-        timer = self.core.after(UNSENT_US, partial(self._give_up, connection))
+        timer = self.core.after(UNSENT_TIMEOUT_US, partial(self._give_up, connection))
         self.waiting[connection] = _CloseState(how, timer)
         wire = connection.wire
         wire.loseWriteConnection()
@@ -100,7 +100,7 @@
         elif state.peer_ended:
             connection.wire.loseConnection()
         else:
-            state.timer = self.core.after(LINGER_US, partial(self._close, connection))
+            state.timer = self.core.after(LINGER_TIMEOUT_US, partial(self._close, connection))
 
     def on_peer_ended(self, connection: Closable) -> None:
         """The peer has shut its sending side; it may read still."""
@@ -112,14 +112,14 @@
             connection.wire.loseConnection()
 
     def on_overrun(self, connection: Closable) -> None:
-        """The peer has sent more than MAX_DISCARDED after the end."""
+        """The peer has sent more than MAX_DISCARDED_BYTES after the end."""
         state = self.waiting.get(connection)
         if state is None or state.sent:
             connection.abort()
         else:
             connection.wire.pauseProducing()  # what it is owed has not left yet
 
-    def over(self, connection: Closable) -> None:
+    def on_connection_lost(self, connection: Closable) -> None:
         """A connection is no more."""
         state = self.waiting.pop(connection, None)
         if state:
@@ -144,12 +144,12 @@
 
     def _close(self, connection: Closable) -> None:
         """Close a sent one in order: what came meanwhile is read first, or the close would be a reset."""
-        self.over(connection)
+        self.on_connection_lost(connection)
         connection.wire.catch_up()
         connection.wire.loseConnection()
 
     def _give_up(self, connection: Closable) -> None:
         """The peer reads nothing more."""
         self.core.counters.add("answers_unsent")
-        self.over(connection)
+        self.on_connection_lost(connection)
         connection.abort()
--- a/gradefront/net/endpoint_watch.py
+++ b/gradefront/net/endpoint_watch.py
@@ -3,127 +3,19 @@
 from __future__ import annotations
 
 import logging
-from functools import partial
-from typing import Any
-
-from twisted.internet.protocol import ClientFactory
 
 from gradefront.core.relay import RelayCore
-from gradefront.core.timer_wheel import Timer
 
 from .endpoint_list import EndpointList
-from .endpoint_watch_protocol import EndpointWatchProtocol
-from .objects import Objects
+from .endpoint_watch_call import EndpointWatchCall
 from .reactor import Reactor
 
 log = logging.getLogger("gradefront.watch")
 
 RESPONSE_TIMEOUT_US = 3_500_000  # discovery fails a call that waited 3 s by itself
-HEARTBEAT_TIMEOUT_US = 3_000_000  # an empty line comes every 2 s; an update is in force after 6 s, received or not
-RECHECK_DELAY_US = 20_000  # for a loop that was held up to read what has come
 MIN_DRAIN_GRACE_US = 150_000  # where the settings' time after a drain is shorter, or 0
 
 
-class EndpointWatchCall(ClientFactory):
-    """One call for a watch. It ends once, and then reports to the watch unless it was closed from there."""
-
-    noisy = False
-
-    def __init__(self, watch: EndpointWatch) -> None:
-        self.watch = watch
-        self.address = watch.address
-        self.has_update = False
-        self.objects = Objects()
-        self.was_rechecked = False  # since the last heartbeat
-        self.line: EndpointWatchProtocol | None = None
-        self.ended = False
-        self.connector: Any = None
-        self.timeout_us = watch.retry_us if watch.pushed else RESPONSE_TIMEOUT_US
-        self.timeout: Timer = self._start_timeout(self.timeout_us)
-
-    @property
-    def revision(self) -> int:
-        """The revision of the list in force."""
-        return self.watch.endpoint_list.revision
-
-    def buildProtocol(self, addr: object) -> EndpointWatchProtocol:  # noqa: ARG002 - Twisted's signature
-        """The connection is open."""
-        self.line = EndpointWatchProtocol(self)
-        return self.line
-
-    def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: ARG002 - Twisted's signature
-        """Discovery refused."""
-        self.fail("discovery refused the connection")
-
-    def on_heartbeat(self) -> None:
-        """A complete object or an empty line came. Other bytes are no heartbeat, or a watch that drips would stay
-        open for ever."""
-        if self.ended:
-            return
-        self.watch.endpoint_list.on_heartbeat()
-        self.timeout.cancel()
-        self.was_rechecked = False
-        self.timeout_us = HEARTBEAT_TIMEOUT_US
-        self.timeout = self._start_timeout(self.timeout_us)
-
-    def _start_timeout(self, delay_us: int) -> Timer:
-        return self.watch.core.after(delay_us, partial(self._on_timeout, self.watch.core.clock() + delay_us))
-
-    def _on_timeout(self, due_us: int) -> None:
-        """Guards against a watch that was cut off silently: updates meanwhile would be missed."""
-        if self.watch.core.clock() - due_us > self.timeout_us // 2 and not self.was_rechecked:
-            # This relay was held up, and may not have read yet what came: one more check, and no more than that.
-            self.was_rechecked = True
-            self.timeout = self._start_timeout(RECHECK_DELAY_US)
-        else:
-            self.fail("no heartbeat")
-
-    def on_data(self, data: bytes) -> None:
-        """Handle bytes of the list. Guards the relay: what makes no sense ends this call only, and changes
-        nothing."""
-        if self.ended:
-            return
-        try:
-            documents, is_heartbeat = self.objects.feed(data)
-            for document in documents:
-                if not self.ended:
-                    self._on_document(document)
-        except ValueError as error:
-            self.fail(f"not JSON, or no list: {error}")
-            return
-        if is_heartbeat:
-            self.on_heartbeat()
-
-    def _on_document(self, document: dict[str, Any]) -> None:
-        self.watch.endpoint_list.apply(document)
-        if not self.has_update:
-            self.has_update = True
-            self.watch.failures = 0
-            log.info(
-                "endpoint list from %s:%d: revision %s, %s, %d lines",
-                *self.address,
-                document.get("revision"),
-                "complete" if document.get("complete") else "changes",
-                len(document.get("members") or ()),
-            )
-        self.watch.core.lifecycle.on_fresh_endpoint_list()
-
-    def fail(self, why: str) -> None:
-        """End this call and report it to the watch, once."""
-        if not self.ended:
-            self.close()
-            self.watch.on_call_failed(why)
-
-    def close(self) -> None:
-        """End this call without a report."""
-        self.ended = True
-        self.timeout.cancel()
-        if self.line and self.line.transport:
-            self.line.abort()
-        elif self.connector is not None:
-            self.connector.disconnect()
-
-
 class EndpointWatch:
     """The core's port to discovery (`ports.EndpointWatcher`). `address` is discovery's host and port.
 
@@ -154,6 +46,10 @@
         settings allow after a drain is announced."""
         return max(self.core.settings.drain_grace_us, MIN_DRAIN_GRACE_US) // 3
 
+    def on_first_document(self) -> None:
+        """A call brought a document."""
+        self.failures = 0
+
     def on_call_failed(self, why: str) -> None:
         """A call failed, or the watch ended."""
         if not self.pushed:
@@ -193,5 +89,6 @@
 
     def _start_call(self) -> None:
         self.called_us = self.core.clock()
-        self.call = EndpointWatchCall(self)
+        timeout_us = self.retry_us if self.pushed else RESPONSE_TIMEOUT_US
+        self.call = EndpointWatchCall(self, self.address, timeout_us)
         self.call.connector = self.reactor.connectTCP(*self.address, self.call, timeout=None)
--- a/gradefront/net/fleet_port.py
+++ b/gradefront/net/fleet_port.py
@@ -89,14 +89,7 @@
 
     def _send(self, messages: Iterable[Message]) -> None:
         assert self.swim and self.transport
-        for name, was, state in self.swim.news:
-            self._log_state(name, was, state)
-        self.swim.news.clear()
-        if self.swim.yielded and not self.yield_logged:
-            self.yield_logged = True
-            log.error(
-                "fleet: another process holds the name %s and goes on with it; this one stays out", self.config.name
-            )
+        self._log_changes(self.swim)
         for message in messages:
             member = self.swim.table.members.get(message.to)
             if member is None:
@@ -106,6 +99,16 @@
             except (OSError, ValueError, ConfigError):  # a full buffer, or a peer's address is none: as if lost
                 self.core.counters.add("fleet_unsent")
 
+    def _log_changes(self, swim: Swim) -> None:
+        for name, was, state in swim.news:
+            self._log_state(name, was, state)
+        swim.news.clear()
+        if swim.yielded and not self.yield_logged:
+            self.yield_logged = True
+            log.error(
+                "fleet: another process holds the name %s and goes on with it; this one stays out", self.config.name
+            )
+
     def _log_state(self, name: str, was: State, state: State) -> None:
         self.core.counters.add(f"fleet_news_{state.name.lower()}")
         now = self.core.clock()
--- a/gradefront/net/health_checks.py
+++ b/gradefront/net/health_checks.py
@@ -59,7 +59,8 @@
         self.pending_since_us = 0  # when the check began that has no response yet; 0: none
         self.last_used_us = 0
         self.reused = False  # whether the pending check went out on an open connection
-        self.timeout: Timer = checker.core.after(IDLE_TIMEOUT_US, self._close_if_idle)
+        self.timeout: Timer | None = None  # of the last check
+        checker.core.after(IDLE_TIMEOUT_US, self._close_if_idle)
 
     def check(self) -> None:
         """Check on the open connection, or on a new one."""
@@ -113,7 +114,8 @@
         if self.pending_since_us:
             core = self.checker.core
             took_us, self.pending_since_us = core.clock() - self.pending_since_us, 0
-            self.timeout.cancel()
+            if self.timeout:
+                self.timeout.cancel()
             core.on_load_report(self.backend, result, took_us, report)
 
     def drop(self) -> None:
--- a/gradefront/net/transport.py
+++ b/gradefront/net/transport.py
@@ -143,9 +143,9 @@
         """Accept what waits, MAX_ACCEPTS at most."""
         self.accept_waiting(MAX_ACCEPTS)
 
-    def accept_waiting(self, most: int) -> None:
-        """Accept at most so many of the connections that wait."""
-        for _ in range(most):
+    def accept_waiting(self, limit: int) -> None:
+        """Accept the connections that wait, `limit` at most."""
+        for _ in range(limit):
             try:
                 accepted, address = self.socket.accept()
             except OSError as error:
@@ -155,9 +155,9 @@
                     self._pause(error)
                     return
                 continue  # an error of that one connection, which accept has taken off the queue
-            self._begin(accepted, address)
+            self._set_up(accepted, address)
 
-    def _begin(self, accepted: socket.socket, address: Any) -> None:
+    def _set_up(self, accepted: socket.socket, address: Any) -> None:
         """Make the connection's transport and protocol. An error in that ends this one connection."""
         port: Any = self
         transport: Any = None
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -47,7 +47,7 @@
         else:
             loop.core.migrate(connection)
     loop.step(3)
-    assert len(loop.relay.front.closing) <= loop.relay.front.closing.most + 1
+    assert len(loop.relay.front.closing) <= loop.relay.front.closing.capacity + 1
     for client, _ in clients:
         if client is not slow[0]:
             loop.until(lambda: client.read() and client.ended)  # noqa: B023
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -15,9 +15,10 @@
 from balancer.events import ConnectionLoadReport, HealthCheckResult, Request
 from gradefront.net.backend_connection import LineBackendConnection
 from gradefront.net.client_protocol import ClientProtocolFactory
-from gradefront.net.closing import UNSENT_US, ConnectionCloser
+from gradefront.net.closing import UNSENT_TIMEOUT_US, ConnectionCloser
 from gradefront.net.endpoint_list import EndpointList
-from gradefront.net.endpoint_watch import EndpointWatch, EndpointWatchCall
+from gradefront.net.endpoint_watch import EndpointWatch
+from gradefront.net.endpoint_watch_call import EndpointWatchCall
 from gradefront.net.health_checks import BackendHealthChecker, HealthCheckConnection, HealthCheckProtocol
 from gradefront.net.lines import FirstLine
 
@@ -116,7 +117,9 @@
     """Discovery's response to a watch."""
     bench = Bench()
     endpoint_list = EndpointList(CONFIG, bench.core)
-    call = EndpointWatchCall(EndpointWatch(cast(Any, None), bench.core, endpoint_list, ("127.0.0.1", 1)))
+    address = ("127.0.0.1", 1)
+    watch = EndpointWatch(cast(Any, None), bench.core, endpoint_list, address)
+    call = EndpointWatchCall(watch, address, 3_500_000)
     line = cast(Any, call.buildProtocol(None))
     line.makeConnection(Piped())
     for part in parts:
@@ -183,7 +186,7 @@
     while not wire.written and bench.now < began + 3_300_000:
         bench.wait(20_000)
     assert wire.written == b"MOVE\r\n" and not bench.core.connections, "notified, whatever its own half line"
-    bench.wait(UNSENT_US - 200_000)
+    bench.wait(UNSENT_TIMEOUT_US - 200_000)
     assert not wire.cut, "what it is owed has not left yet"
     bench.wait(300_000)
     assert wire.cut and not len(front.closing)
