--- a/tests/test_moments_send.py
+++ b/tests/test_moments_send.py
@@ -263,9 +263,9 @@
     loop.core.enqueue = record  # type: ignore[method-assign]
     loop.relay.core.health_checker.check("box-0")  # type: ignore[union-attr]
     loop.until(lambda: backend.called)
-    probe = backend.accept()
-    loop.until(lambda: probe.read() == b"STATS\r\n")
-    probe.send(b"PONG x0=0.25\r\nPONG x0=0.9\r\n")  # the second answer belongs to nothing
+    check = backend.accept()
+    loop.until(lambda: check.read() == b"STATS\r\n")
+    check.send(b"PONG x0=0.25\r\nPONG x0=0.9\r\n")  # the second response belongs to no check
     loop.until(lambda: results)
     loop.step(3)
     loop.relay.core.health_checker.check("box-0")  # type: ignore[union-attr]
@@ -283,12 +283,12 @@
     checker: Any = loop.relay.core.health_checker
     checker.check("box-0")
     loop.until(lambda: backend.called)
-    probe = backend.accept()
-    loop.until(lambda: probe.read() == b"STATS\r\n")
-    probe.line("PONG x0=0.25")
+    check = backend.accept()
+    loop.until(lambda: check.read() == b"STATS\r\n")
+    check.line("PONG x0=0.25")
     loop.until(lambda: not checker.connections["box-0"].pending_since_us)
     loop.order.held.add(checker.connections["box-0"].line.wire.fileno())
-    probe.close(reset=True)
+    check.close(reset=True)
     checker.check("box-0")
     loop.step(2)
     loop.order.held.clear()
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -151,15 +151,15 @@
 @pytest.mark.parametrize("parser", STREAMS)
 def test_one_byte_at_a_time_is_read_as_all_at_once(parser: Any) -> None:
     data = STREAMS[parser]
-    whole = parser([data])
-    assert parser([bytes([b]) for b in data]) == whole and any(cast(Any, whole))
+    at_once = parser([data])
+    assert parser([bytes([b]) for b in data]) == at_once and any(cast(Any, at_once))
 
 
 def test_lines_after_the_request_in_pieces_reach_the_backend_complete() -> None:
     lines = [b"one\r\n", b"two words\r\n", b"half"]
-    whole = cast(Any, client([FIRST, b"".join(lines)]))
-    assert whole[2] == [b"one", b"two words", b"half"]
-    assert client([FIRST, *(bytes([b]) for b in b"".join(lines))]) == whole
+    at_once = cast(Any, client([FIRST, b"".join(lines)]))
+    assert at_once[2] == [b"one", b"two words", b"half"]
+    assert client([FIRST, *(bytes([b]) for b in b"".join(lines))]) == at_once
 
 
 def test_a_client_that_does_not_read_its_move_is_cut_in_time_and_not_before() -> None:
