--- a/benchmarks/quic_scale.py
+++ b/benchmarks/quic_scale.py
@@ -236,7 +236,7 @@
         (Path(folder) / "quic.json").write_text(json.dumps(file))
         async with program(Path(folder), discovery, settings(), file) as relay:
             resource.prlimit(relay.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
-            await relay.line("box list from")
+            await relay.line("endpoint list from")
             began, start = cpu_s(relay.process.pid), time.monotonic()
             await report("kill and restart", relay, phones, await asyncio.to_thread(phones.ask), misled(), began)
             while (await relay.counters())["visits_now"] < count and time.monotonic() - start < 20:
