--- a/gradefront/admin/__init__.py
+++ b/gradefront/admin/__init__.py
@@ -1,1 +1,1 @@
-"""For operators: the door at which the relay is asked and told, and its figures."""
+"""The admin interface for operators: its calls and the figures."""
--- a/gradefront/admin/metrics.py
+++ b/gradefront/admin/metrics.py
@@ -1,4 +1,4 @@
-"""The figures in Prometheus' text form, rendered from the counters. No I/O."""
+"""The figures in Prometheus' text format, rendered from the counters. No I/O."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from gradefront.core.counters import Counters
 
 PREFIX = "svc_"
-CLASS = "group"  # the label that names a request class
-BY_CLASS = ("answered_total", "deferred_total", "errored_total")
-COUNTS = ("sends_total", "conf_loaded_total", "conf_invalid_total")
+CLASS_LABEL = "group"  # names a request class
+COUNTERS_BY_CLASS = ("answered_total", "deferred_total", "errored_total")
+COUNTERS = ("sends_total", "conf_loaded_total", "conf_invalid_total")
 
 
-def escaped(value: str) -> str:
-    """A label's value. Guards the form against names with quotes, backslashes or line ends."""
+def escape_label(value: str) -> str:
+    """A label's value. Prevents that names with quotes, backslashes or line ends break the format."""
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
@@ -22,13 +22,13 @@
 
     `classes` are all that were ever in force: a dropped one keeps its counts.
     """
-    distinct = list(dict.fromkeys(classes))
+    labels = {name: f'{CLASS_LABEL}="{escape_label(name)}"' for name in classes}
     return [
         *(
-            f'{PREFIX}{name}{{{CLASS}="{escaped(request_class)}"}} {counters.of_class(name, request_class)}'
-            for name in BY_CLASS
-            for request_class in distinct
+            f"{PREFIX}{name}{{{label}}} {counters.of_class(name, request_class)}"
+            for name in COUNTERS_BY_CLASS
+            for request_class, label in labels.items()
         ),
-        *(f"{PREFIX}{name} {counters.counts[name]}" for name in COUNTS),
+        *(f"{PREFIX}{name} {counters.counts[name]}" for name in COUNTERS),
         *(f"{PREFIX}{name} {value}" for name, value in levels.items()),
     ]
--- a/gradefront/admin/server.py
+++ b/gradefront/admin/server.py
@@ -1,7 +1,6 @@
-"""The admin interface: one line to a connection, one answer, the end.
+"""The server of the admin interface: a connection carries one call, a line, and gets one answer.
 
-Whoever holds a connection without a whole call is bounded in number, time and bytes, and can't shut the next
-caller out.
+Connections without a complete call are bounded in number, time and bytes, and can't lock out the next caller.
 """
 
 from __future__ import annotations
@@ -16,49 +15,49 @@
 from gradefront.net.base import Lines
 from gradefront.net.closing import ConnectionCloser
 
-log = logging.getLogger("gradefront.door")
+log = logging.getLogger("gradefront.admin")
 
-LONGEST = 256  # bytes of a call
-PATIENCE_US = 3_000_000  # for a whole call
-CALLERS = 12  # from here on the one that has stood longest goes,
-FRESH_US = 250_000  # unless it is as new as this: its line may be on its way
-MOST_CALLERS = 24  # at the most, whatever their age
+MAX_CALL_BYTES = 256
+CALL_TIMEOUT_US = 3_000_000  # from connecting to a complete call
+CROWDED_CALLERS = 12  # with more than this, the oldest is ended
+NEW_CALLER_US = 250_000  # ... unless all came within this time: its line may be on its way
+MAX_CALLERS = 24  # whatever their age
 
 Answer = Callable[[], list[str]]
 
 
-class CallerLine(Lines):
-    """One caller."""
+class AdminProtocol(Lines):
+    """The connection of one caller."""
 
     delimiter = b"\n"  # with or without a CR before it
-    MAX_LENGTH = LONGEST
+    MAX_LENGTH = MAX_CALL_BYTES
 
     def __init__(self, server: AdminServer) -> None:
         self.server = server
         self.answered = False
 
     def connectionMade(self) -> None:
-        """A caller came."""
+        """Wait for the call, for a limited time."""
         self.arrived_us = self.server.core.clock()
-        self.timeout = self.server.core.after(PATIENCE_US, lambda: self.answer(["fail no call came"]))
+        self.timeout = self.server.core.after(CALL_TIMEOUT_US, lambda: self.answer(["fail no call came"]))
         self.server.on_connected(self)
 
     def lineReceived(self, line: bytes) -> None:
-        """The call. Guards the relay: an exception ends this connection only."""
+        """Answer the call. Prevents that a fault in an answer ends more than this connection."""
         if self.answered:
             return
         try:
             self.answer(self.server.call(line))
-        except Exception:
-            log.exception("a call at the door failed")
+        except Exception:  # a fault stops at this one connection
+            log.exception("a call of the admin interface failed")
             self.answer(["fail an error in the relay"])
 
-    def lineLengthExceeded(self, line: bytes) -> None:
+    def lineLengthExceeded(self, line: bytes) -> None:  # noqa: ARG002 - Twisted's signature
         """An overlong call."""
         self.answer(["fail an overlong call"])
 
     def answer(self, lines: list[str]) -> None:
-        """Answer, once, and end."""
+        """Send the answer and end; later answers count for nothing."""
         if self.answered:
             return
         self.answered = True
@@ -76,28 +75,31 @@
 
 
 class AdminServer(ServerFactory):
-    """Answers calls from a table of them."""
+    """Accepts callers and answers their calls.
+
+    `calls` gives for each call a function that returns the lines of the answer.
+    """
 
     noisy = False
 
     def __init__(self, core: RelayCore, calls: Mapping[str, Answer]) -> None:
         self.core = core
         self.calls = calls
-        self.closing = ConnectionCloser(core, MOST_CALLERS)
-        self.callers: dict[CallerLine, None] = {}  # the oldest first
+        self.closing = ConnectionCloser(core, MAX_CALLERS)
+        self.callers: dict[AdminProtocol, None] = {}  # in the order in which they came
 
-    def buildProtocol(self, addr: object) -> CallerLine | None:
-        """A caller connects; None ends it at once."""
-        if len(self.callers) >= MOST_CALLERS:
+    def buildProtocol(self, addr: object) -> AdminProtocol | None:  # noqa: ARG002 - Twisted's signature
+        """The protocol of a new caller; None, which ends it at once, where there are too many."""
+        if len(self.callers) >= MAX_CALLERS:
             self.core.counters.add("door_full")
             return None
-        return CallerLine(self)
+        return AdminProtocol(self)
 
-    def on_connected(self, caller: CallerLine) -> None:
-        """Where callers crowd, who has stood longest goes."""
+    def on_connected(self, caller: AdminProtocol) -> None:
+        """End the oldest caller where they crowd."""
         self.callers[caller] = None
         oldest = next(iter(self.callers))
-        if len(self.callers) > CALLERS and caller.arrived_us - oldest.arrived_us > FRESH_US:
+        if len(self.callers) > CROWDED_CALLERS and caller.arrived_us - oldest.arrived_us > NEW_CALLER_US:
             self.core.counters.add("door_ended_for_room")
             del self.callers[oldest]
             if oldest.answered:
--- a/gradefront/cli/__init__.py
+++ b/gradefront/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one file a group of verbs, imported when a verb of it runs."""
+"""The command line: one module a group of verbs, imported when a verb of it runs."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from gradefront import __version__
 from gradefront.config import ConfigError
 
-#: verb: (module, what it does). The text stands here so that --help imports no verb.
+#: Module and help text of each verb. The text stands here so that --help imports no verb.
 VERBS = {
     "check": ("check", "Check all files of settings, whole."),
     "completion": ("completion", "Print the completion for a shell."),
@@ -19,25 +19,26 @@
     "ids": ("ids", "Make and read connection ids of QUIC."),
     "serve": ("serve", "Serve, as with no verb at all."),
 }
-NONSENSE = 2  # exit status: what was asked or set makes no sense
+EXIT_BAD_INPUT = 2  # arguments or settings make no sense
+EXIT_ABORTED = 130  # as a shell reports SIGINT
 
 
 class Verbs(click.Group):
     """A group whose verbs are imported when they run."""
 
-    def list_commands(self, ctx: click.Context) -> list[str]:
-        """All verbs."""
+    def list_commands(self, ctx: click.Context) -> list[str]:  # noqa: ARG002 - click's signature
+        """The names of all verbs."""
         return sorted(VERBS)
 
-    def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """One verb."""
+    def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:  # noqa: ARG002 - click's signature
+        """The verb of a name, imported; None where there is none."""
         if cmd_name not in VERBS:
             return None
         module = importlib.import_module(f"{__name__}.{VERBS[cmd_name][0]}")
-        found: click.Command = getattr(module, cmd_name)
-        return found
+        verb: click.Command = getattr(module, cmd_name)
+        return verb
 
-    def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
+    def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:  # noqa: ARG002 - click's signature
         """The list of verbs in --help."""
         with formatter.section("Verbs"):
             formatter.write_dl([(verb, what) for verb, (_, what) in sorted(VERBS.items())])
@@ -60,16 +61,16 @@
 
 
 def command(arguments: list[str] | None = None) -> int:
-    """Run a command line; the exit status. Bad input is one line on standard error and status 2."""
+    """Run a command line; the exit status. Bad input gives one line on standard error and status 2."""
     try:
-        done: Any = gradefront.main(arguments, prog_name="gradefront", standalone_mode=False)
-        return done if isinstance(done, int) else 0
+        result: Any = gradefront.main(arguments, prog_name="gradefront", standalone_mode=False)
+        return result if isinstance(result, int) else 0
     except click.exceptions.NoArgsIsHelpError as error:
         click.echo(error.format_message())
-        return NONSENSE
+        return EXIT_BAD_INPUT
     except (click.ClickException, ConfigError, ValueError) as error:
-        said = error.format_message() if isinstance(error, click.ClickException) else str(error)
-        click.echo(f"gradefront: {' '.join(said.split())}", err=True)
-        return NONSENSE
+        text = error.format_message() if isinstance(error, click.ClickException) else str(error)
+        click.echo(f"gradefront: {' '.join(text.split())}", err=True)
+        return EXIT_BAD_INPUT
     except click.Abort:
-        return 130
+        return EXIT_ABORTED
--- a/gradefront/cli/check.py
+++ b/gradefront/cli/check.py
@@ -1,4 +1,4 @@
-"""`check`: every file of settings, whole, as a start would read it."""
+"""`check`: every file of settings, as a start would read it."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 import click
 
-from gradefront.config import ConfigError, load
+from gradefront.config import Config, ConfigError, load
 from gradefront.fleet.switch import FILE as FLEET_FILE
 from gradefront.fleet.switch import FORBIDDEN, allowed
 from gradefront.quic.switch import FILE
 from gradefront.settings.files import read_object
 
-from . import NONSENSE
+from . import EXIT_BAD_INPUT
 
 
 @click.command(
@@ -50,43 +50,56 @@
     """Check all files of settings, whole. Every error names file, field and value; status 2 then.
 
     The second front's file is checked even where the front is off; the fleet's is, once it names keys."""
-    bad: list[str] = []
+    errors: list[str] = []
     relay = None
-    environment = {"LB_LISTEN": "127.0.0.1:0", **os.environ, "LB_CONFIG": str(config)}
     try:
-        relay = load(environment)
-        click.echo(f"{config.name}: good; classes {', '.join(relay.class_names)}")
+        relay = _check_config(config)
     except ConfigError as error:
-        bad.append(f"{config.name}: {error}")
-    try:
-        told = read_object(quic)
-        if told is None:
-            click.echo(f"{quic.name}: there is none; the second front stays off")
-        elif relay:
-            from gradefront.quic.config import parse
-
-            found = parse(told, relay, quic)
-            click.echo(
-                f"{quic.name}: good; {'on' if told.get('on') else 'off'}, {len(found.backends)} push boxes, "
-                f"{len(found.forms)} configurations of ids"
-            )
-    except ConfigError as error:
-        bad.append(str(error))
-    try:
-        told = read_object(fleet)
-        if told is None:
-            click.echo(f"{fleet.name}: there is none; the fleet stays off")
-        elif relay and not (told.get("on") or told.get("keys")):
-            click.echo(f"{fleet.name}: off, without keys")
-        elif relay:
-            from gradefront.fleet.settings import parse as parse_fleet
-
-            peers = parse_fleet(told, relay.name, fleet).peers
-            if told.get("on") and not allowed(relay):
-                raise ConfigError(f"{fleet.name}: {FORBIDDEN}")
-            click.echo(f"{fleet.name}: good; {'on' if told.get('on') else 'off'}, {len(peers)} peers")
-    except ConfigError as error:
-        bad.append(str(error))
-    for line in bad:
+        errors.append(f"{config.name}: {error}")
+    for check_file, path in ((_check_quic, quic), (_check_fleet, fleet)):
+        try:
+            check_file(path, relay)
+        except ConfigError as error:
+            errors.append(str(error))
+    for line in errors:
         click.echo(f"gradefront: {line}", err=True)
-    return NONSENSE if bad else 0
+    return EXIT_BAD_INPUT if errors else 0
+
+
+def _check_config(path: Path) -> Config:
+    """Raises ConfigError, which does not name the file."""
+    environment = {"LB_LISTEN": "127.0.0.1:0", **os.environ, "LB_CONFIG": str(path)}
+    relay = load(environment)
+    click.echo(f"{path.name}: good; classes {', '.join(relay.class_names)}")
+    return relay
+
+
+def _check_quic(path: Path, relay: Config | None) -> None:
+    """Raises ConfigError. Without a sound configuration of the relay, only that the file is an object is checked."""
+    document = read_object(path)
+    if document is None:
+        click.echo(f"{path.name}: there is none; the second front stays off")
+    elif relay:
+        from gradefront.quic.config import parse
+
+        found = parse(document, relay, path)
+        click.echo(
+            f"{path.name}: good; {'on' if document.get('on') else 'off'}, {len(found.backends)} push boxes, "
+            f"{len(found.forms)} configurations of ids"
+        )
+
+
+def _check_fleet(path: Path, relay: Config | None) -> None:
+    """The same for the fleet's file, whose fields are checked once it is on or names keys."""
+    document = read_object(path)
+    if document is None:
+        click.echo(f"{path.name}: there is none; the fleet stays off")
+    elif relay and not (document.get("on") or document.get("keys")):
+        click.echo(f"{path.name}: off, without keys")
+    elif relay:
+        from gradefront.fleet.settings import parse
+
+        peers = parse(document, relay.name, path).peers
+        if document.get("on") and not allowed(relay):
+            raise ConfigError(f"{path.name}: {FORBIDDEN}")
+        click.echo(f"{path.name}: good; {'on' if document.get('on') else 'off'}, {len(peers)} peers")
--- a/gradefront/cli/completion.py
+++ b/gradefront/cli/completion.py
@@ -1,4 +1,4 @@
-"""`completion`: what a shell needs to complete our verbs."""
+"""`completion`: the script with which a shell completes verbs."""
 
 from __future__ import annotations
 
--- a/gradefront/cli/ids.py
+++ b/gradefront/cli/ids.py
@@ -12,12 +12,12 @@
 
 
 class Hex(click.ParamType[bytes]):
-    """Octets as hex digits. The text isn't repeated in an error: it may be a key."""
+    """Octets as hex digits. An error never repeats the text: it may be a key."""
 
     name = "hex"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> bytes:
-        """Octets."""
+        """The octets. Raises click's BadParameter."""
         if isinstance(value, bytes):
             return value
         try:
@@ -73,7 +73,7 @@
 @click.option("--nonce-length", type=int, help="Octets of a fresh nonce.")
 @click.option("--server-id-length", type=int, help="Checked against --server-id, if given.")
 @click.option("--noise", is_flag=True, help="Fill the first octet's low five bits with noise.")
-def encode(
+def encode(  # noqa: PLR0913 - click passes an argument for each option
     key: bytes | None,
     config_id: int,
     server_id: bytes,
--- a/gradefront/cli/labs.py
+++ b/gradefront/cli/labs.py
@@ -1,4 +1,4 @@
-"""`demo` and `conform`: they run the lab, in a process of its own, since gradefront never imports it."""
+"""`demo` and `conform`: they run the lab in a process of its own, since gradefront never imports it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 from gradefront.config import ConfigError
 
 
-def _lab(module: str, arguments: list[str]) -> int:
+def _run_lab(module: str, arguments: list[str]) -> int:
+    """Run a module of the lab; its exit status. Raises ConfigError where a requirement is not installed."""
     for needed in ("lab", "aioquic"):
         if importlib.util.find_spec(needed) is None:
             raise ConfigError(f"{module}: needs '{needed}'; install requirements-lab.txt, and run from the checkout")
@@ -23,7 +24,7 @@
     """A relay, three backends and some devices on loopback, told as it happens; one backend drains, one is killed.
 
     It ends with the relay's counters, and status 0 if every device was served."""
-    return _lab("demo", [])
+    return _run_lab("demo", [])
 
 
 @click.command(
@@ -45,4 +46,4 @@
         for name, values in (("against", against), ("only", only), ("out", out))
         for value in values
     ]
-    return _lab(f"conform.{protocol}", arguments)
+    return _run_lab(f"conform.{protocol}", arguments)
--- a/gradefront/cli/serve.py
+++ b/gradefront/cli/serve.py
@@ -1,4 +1,4 @@
-"""`serve`."""
+"""`serve`: the same as no verb at all."""
 
 from __future__ import annotations
 
--- a/gradefront/config.py
+++ b/gradefront/config.py
@@ -1,4 +1,8 @@
-"""What a relay is told at its start: environment variables and a JSON file."""
+"""A relay's configuration: environment variables and the JSON file that one of them names.
+
+The keys of the file and the variables are the platform's: they are mapped to the code's names here and in
+`balancer.simulator_wire`.
+"""
 
 from __future__ import annotations
 
@@ -15,14 +19,15 @@
 
 Address = tuple[str, int]
 
-
 CLASS_NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")  # in the settings, and in the first lines that name it
-PROCESSES_SHARING = 2  # one that leaves and one that takes over, where they share a listener
-MAY_LACK = ("aimStretch",)  # keys that the platform leaves out where they say nothing
+PROCESSES_SHARING_LISTENER = 2  # one that leaves and one that takes over
+OPTIONAL_KEYS = ("aimStretch",)  # left out by the platform where they say nothing
+DEFAULT_SOCKETS = 1024
+MAX_PORT = 65_535
 
 
 class ConfigError(Exception):
-    """A setting that is missing or makes no sense; its text names it."""
+    """A setting that is missing or makes no sense; its text begins with the setting's name."""
 
 
 @dataclass(frozen=True)
@@ -41,12 +46,12 @@
     tenants: tuple[str, ...]
     report_names: tuple[str, ...]
     reports_message_latency: bool
-    known: dict[str, Any] = field(default_factory=dict)
+    known: dict[str, Any] = field(default_factory=dict)  # the endpoint list to begin with
     filed_discovery: Address | None = None  # what the file itself says, whatever the variable says
     class_numbers: dict[str, int] = field(default_factory=dict)  # of the classes in force, by name
-    given: dict[str, Any] = field(default_factory=dict, repr=False)  # the file's object, but for the list
+    document: dict[str, Any] = field(default_factory=dict, repr=False)  # the file's object, but for the endpoint list
     socket_fd: int | None = None  # a listener that the platform holds and every process of this relay inherits
-    admin: Address | None = None  # the admin interface; none where neither file nor variable tells one
+    admin: Address | None = None  # the admin interface; none where neither file nor variable gives one
 
     def __post_init__(self) -> None:
         if not self.class_numbers:
@@ -54,133 +59,151 @@
 
 
 def address(text: object, what: str) -> Address:
-    """`HOST:PORT`, with an IPv6 host in brackets."""
+    """Read `HOST:PORT`, with an IPv6 host in brackets. Raises ConfigError, which names `what`."""
     host, colon, port = str(text).rpartition(":")
-    if not colon or not host or not port.isdigit() or not 0 <= int(port) < 65536:
+    if not colon or not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
         raise ConfigError(f"{what}: '{text}' is not HOST:PORT")
     return host.strip("[]"), int(port)
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """Read the file that LB_CONFIG names; the other variables go before what it says."""
+    """Read the file that LB_CONFIG names; the other variables override it. Raises ConfigError."""
     if "LB_CONFIG" not in environment:
         raise ConfigError("LB_CONFIG: not set; it names the relay's JSON file")
     path = Path(environment["LB_CONFIG"])
     try:
-        told = json.loads(path.read_bytes())
+        document = json.loads(path.read_bytes())
     except OSError as error:
         raise ConfigError(f"LB_CONFIG: {path}: {error.strerror}") from None
     except ValueError as error:
         raise ConfigError(f"LB_CONFIG: {path}: not JSON: {error}") from None
-    if not isinstance(told, dict) or not isinstance(told.get("settings"), dict):
+    if not isinstance(document, dict) or not isinstance(document.get("settings"), dict):
         raise ConfigError("settings: missing")
-    return parse(told, environment)
+    return parse(document, environment)
 
 
-def parse(told: dict[str, Any], environment: Mapping[str, str]) -> Config:
-    """The configuration from the file's object. An error of any kind is a `ConfigError`: a file that is
-    replaced under load may hold anything, and must not end a relay that serves."""
+def parse(document: dict[str, Any], environment: Mapping[str, str]) -> Config:
+    """The configuration that the file's object and the variables give.
+
+    Raises ConfigError, whatever is wrong: a file that is replaced under load may hold anything, and must not end a
+    relay that serves.
+    """
     try:
-        return _parse(told, environment)
+        return _parse(document, environment)
     except (TypeError, ValueError, AttributeError, KeyError, OverflowError) as error:
         raise ConfigError(f"not of the right form: {error}") from None
 
 
-def _parse(told: dict[str, Any], environment: Mapping[str, str]) -> Config:
-    info = told["settings"]
+def _parse(document: dict[str, Any], environment: Mapping[str, str]) -> Config:
+    info = document["settings"]
     _check(info)
     try:
         settings, report_names = simulator_wire.settings(info)
     except (simulator_wire.WireError, ValueError, TypeError) as error:
         raise ConfigError(f"settings: {error}") from None
-
-    def names(key: str) -> tuple[str, ...]:
-        return tuple(str(e.get("name") if isinstance(e, dict) else e) for e in info.get(key) or ())
-
-    limits = told.get("limits") or {}
+    limits = document.get("limits") or {}
     family = info.get("familyInfo") or {}
-    known = told.get("known")
-    filed = address(told["discovery"], "discovery") if told.get("discovery") else None
-    admin = environment.get("LB_ADMIN") or told.get("admin")
-    fd = environment.get("LB_SOCKET_FD")
-    if fd and not (fd.isascii() and fd.isdigit()):
-        raise ConfigError(f"LB_SOCKET_FD: '{fd}' is not the number of a descriptor")
-    if fd:
-        settings = replace(settings, processes=PROCESSES_SHARING)
-    sockets = int(limits.get("sockets", 1024))
+    known = document.get("known")
+    filed_discovery = address(document["discovery"], "discovery") if document.get("discovery") else None
+    admin = environment.get("LB_ADMIN") or document.get("admin")
+    socket_fd = _socket_fd(environment.get("LB_SOCKET_FD"))
+    if socket_fd is not None:
+        settings = replace(settings, processes=PROCESSES_SHARING_LISTENER)
+    sockets = int(limits.get("sockets", DEFAULT_SOCKETS))
     if sockets < 1:
         raise ConfigError(f"limits.sockets: '{sockets}' is not above 0")
     return Config(
-        name=environment.get("LB_NAME") or str(told.get("name", "relay")),
-        listen=address(environment.get("LB_LISTEN") or told.get("listen"), "LB_LISTEN"),
-        discovery=address(environment.get("LB_DISCOVERY") or told.get("discovery"), "LB_DISCOVERY"),
-        seed=_seed(told.get("seed", 0)),
+        name=environment.get("LB_NAME") or str(document.get("name", "relay")),
+        listen=address(environment.get("LB_LISTEN") or document.get("listen"), "LB_LISTEN"),
+        discovery=address(environment.get("LB_DISCOVERY") or document.get("discovery"), "LB_DISCOVERY"),
+        seed=_seed(document.get("seed", 0)),
         sockets=sockets,
         settings=settings,
-        class_names=names("grades"),
-        zones=names("zones"),
-        models=names("models"),
-        tenants=names("parties"),
+        class_names=_names(info, "grades"),
+        zones=_names(info, "zones"),
+        models=_names(info, "models"),
+        tenants=_names(info, "parties"),
         report_names=report_names,
         reports_message_latency=bool(family.get("tellsDelay", False)),
         known=known if isinstance(known, dict) else {},
-        filed_discovery=filed,
-        socket_fd=int(fd) if fd else None,
-        given={**told, "known": {}},
+        filed_discovery=filed_discovery,
+        socket_fd=socket_fd,
+        document={**document, "known": {}},
         admin=address(admin, "LB_ADMIN") if admin else None,
     )
 
 
+def _names(info: dict[str, Any], key: str) -> tuple[str, ...]:
+    """The names under a key whose entries are names, or objects that have one."""
+    return tuple(str(e.get("name") if isinstance(e, dict) else e) for e in info.get(key) or ())
+
+
+def _socket_fd(text: str | None) -> int | None:
+    if not text:
+        return None
+    if not (text.isascii() and text.isdigit()):
+        raise ConfigError(f"LB_SOCKET_FD: '{text}' is not the number of a descriptor")
+    return int(text)
+
+
+def _seed(value: object) -> int:
+    if isinstance(value, int):
+        return value
+    try:
+        return int(str(value), 16)
+    except ValueError:
+        raise ConfigError(f"seed: '{value}' is neither a number nor hex digits") from None
+
+
 def _check(info: dict[str, Any]) -> None:
-    """What no relay may take: names that lines can't carry, times and limits that are no numbers above 0."""
+    """Reject what no relay may take: class names that lines can't carry, times and limits that are not above 0."""
     seen = set[str]()
-    for n, grade in enumerate(info.get("grades") or ()):
+    for n, request_class in enumerate(info.get("grades") or ()):
         where = f"settings.grades[{n}]"
-        name = grade.get("name")
+        name = request_class.get("name")
         if not isinstance(name, str) or not CLASS_NAME.fullmatch(name):
             raise ConfigError(f"{where}.name: {name!r} is no name of a class")
         if name in seen:
             raise ConfigError(f"{where}.name: '{name}' stands twice")
         seen.add(name)
         for key in ("aimUs", "deadlineUs"):
-            _above_0(grade.get(key), f"{where}.{key}")
-    allow = info.get("permissions") or {}
+            _check_above_0(request_class.get(key), f"{where}.{key}")
+    permissions = info.get("permissions") or {}
     for key in ("maxAttempts", "connectTimeoutUs"):
-        if key in allow:
-            _above_0(allow[key], f"settings.permissions.{key}", whole=key == "maxAttempts")
+        if key in permissions:
+            _check_above_0(permissions[key], f"settings.permissions.{key}", whole=key == "maxAttempts")
 
 
-def _above_0(value: object, where: str, whole: bool = False) -> None:
-    number = isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value)
-    if not number or value < 1 or (whole and value != int(value)):  # type: ignore[operator, call-overload]
+def _check_above_0(value: object, where: str, whole: bool = False) -> None:
+    is_number = isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value)
+    if not is_number or value < 1 or (whole and value != int(value)):  # type: ignore[operator, call-overload]
         raise ConfigError(f"{where}: {value!r} is not a number above 0")
 
 
-def lacks(told: Any, before: Any, where: str = "") -> str:
-    """The path of a key that the object before had and this one lacks, or "". Guards against taking a file that
-    was cut short or written by half: what it leaves out would silently be a default."""
+def missing_key(document: Any, before: Any, where: str = "") -> str:
+    """The path of a key that the object `before` had and `document` lacks, or "".
+
+    Prevents that a file that was cut short or written by half is taken: what it leaves out would silently be a
+    default.
+    """
     for key, value in before.items():
-        path = f"{where}.{key}".lstrip(".")
-        if key in MAY_LACK:
+        if key in OPTIONAL_KEYS:
             continue
-        if key not in told:
+        path = f"{where}.{key}".lstrip(".")
+        if key not in document:
             return path
-        found = ""
-        if isinstance(value, dict):
-            found = lacks(told[key], value, path) if isinstance(told[key], dict) else path
-        elif key == "grades" and isinstance(told[key], list):
-            common = set.intersection(*(set(grade) for grade in value)) if value else set()
-            for n, grade in enumerate(told[key]):
-                found = found or lacks(grade, dict.fromkeys(sorted(common)), f"{path}[{n}]")
-        if found:
-            return found
+        if missing := _missing_below(key, document[key], value, path):
+            return missing
     return ""
 
 
-def _seed(value: object) -> int:
-    if isinstance(value, int):
-        return value
-    try:
-        return int(str(value), 16)
-    except ValueError:
-        raise ConfigError(f"seed: '{value}' is neither a number nor hex digits") from None
+def _missing_below(key: str, value: Any, before: Any, path: str) -> str:
+    """The same within the value of one key; the classes of a list need the keys that all classes had before."""
+    if isinstance(before, dict):
+        return missing_key(value, before, path) if isinstance(value, dict) else path
+    if key == "grades" and isinstance(value, list):
+        common = set.intersection(*(set(request_class) for request_class in before)) if before else set()
+        for n, request_class in enumerate(value):
+            if missing := missing_key(request_class, dict.fromkeys(sorted(common)), f"{path}[{n}]"):
+                return missing
+    return ""
--- a/gradefront/fleet/switch.py
+++ b/gradefront/fleet/switch.py
@@ -23,7 +23,7 @@
 
 def allowed(config: Config) -> bool:
     """Whether the platform lets relays talk to each other."""
-    permissions = config.given["settings"].get("permissions") or {}
+    permissions = config.document["settings"].get("permissions") or {}
     return bool(permissions.get("peers"))
 
 
--- a/gradefront/reload.py
+++ b/gradefront/reload.py
@@ -9,7 +9,7 @@
 
 from balancer.settings import Settings
 
-from .config import Address, Config, ConfigError, lacks, load
+from .config import Address, Config, ConfigError, load, missing_key
 from .core.request_classes import RequestClassTable, TooManyClasses
 from .net.client_protocol import ClientProtocolFactory
 from .net.endpoint_list import EndpointList
@@ -77,7 +77,7 @@
         """Read and check the files; changes nothing. Raises ConfigError and TooManyClasses."""
         current = self.config
         loaded = load(os.environ)
-        if missing := lacks(loaded.given, current.given):
+        if missing := missing_key(loaded.document, current.document):
             raise ConfigError(f"{missing}: missing")
         request_classes, settings = self.core.prepare_settings(loaded.settings, loaded.class_names)
         config = replace(
--- a/gradefront/settings/__init__.py
+++ b/gradefront/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' own files: read, checked, one form of error. `typed` brings msgspec; import it only where needed."""
+"""The operators' own files, read and checked. `typed` imports msgspec: import it only where it is needed."""
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -15,7 +15,7 @@
 from twisted.internet.testing import StringTransport
 
 from gradefront.admin.metrics import render_metrics
-from gradefront.admin.server import CALLERS, MOST_CALLERS, PATIENCE_US, AdminServer, CallerLine
+from gradefront.admin.server import CALL_TIMEOUT_US, CROWDED_CALLERS, MAX_CALLERS, AdminProtocol, AdminServer
 from gradefront.core.counters import Counters
 from lab.stand_ins import LineDevice, settings, soon
 
@@ -51,7 +51,7 @@
             {"PING": lambda: ["ok"], "LAMEDUCK": lambda: ["ok lame duck"], "BREAK": lambda: [str(1 // 0)]},
         )
 
-    def come(self) -> CallerLine | None:
+    def come(self) -> AdminProtocol | None:
         line = self.door.buildProtocol(None)
         if line:
             cast(Any, line).makeConnection(cast(Any, Wire)())
@@ -100,16 +100,16 @@
 def test_who_holds_the_door_without_a_call_shuts_nobody_out() -> None:
     callers = Callers()
     held = [callers.come() for _ in range(60)]
-    assert sum(line is not None for line in held) == MOST_CALLERS == len(callers.door.callers)
+    assert sum(line is not None for line in held) == MAX_CALLERS == len(callers.door.callers)
     callers.bench.wait(300_000)
-    for line in list(callers.door.callers)[CALLERS:]:
+    for line in list(callers.door.callers)[CROWDED_CALLERS:]:
         line.connectionLost()
     for _ in range(30):
         assert callers.say(b"PING\r\n") == b"ok\r\n"
         callers.come()
         callers.bench.wait(300_000)
-        assert len(callers.door.callers) <= MOST_CALLERS
-    callers.bench.wait(PATIENCE_US + 10_000)
+        assert len(callers.door.callers) <= MAX_CALLERS
+    callers.bench.wait(CALL_TIMEOUT_US + 10_000)
     assert all(line.wire.value().startswith(b"fail") for line in callers.door.callers), "silence ends too"
 
 
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -25,7 +25,7 @@
     TimerFired,
 )
 from balancer.settings import Idempotency
-from gradefront.config import ConfigError, lacks, parse
+from gradefront.config import ConfigError, missing_key, parse
 from gradefront.core import request_classes
 from gradefront.core.attempt_error import Cause
 from gradefront.core.request_classes import RequestClassTable, TooManyClasses
@@ -81,11 +81,14 @@
     ],
 )
 def test_a_file_that_lacks_a_key_of_the_one_before_is_incomplete(path: str) -> None:
-    missing = lacks(broken(path, None), FILE)
+    missing = missing_key(broken(path, None), FILE)
     assert missing.replace("[", ".").replace("]", "") == path
-    assert lacks(FILE, FILE) == ""
+    assert missing_key(FILE, FILE) == ""
     more = broken("settings.grades", [*FILE["settings"]["grades"], {**FILE["settings"]["grades"][0], "name": "new"}])
-    assert lacks(more, FILE) == "" and lacks(broken("settings.permissions", 3), FILE) == "settings.permissions"
+    assert (
+        missing_key(more, FILE) == ""
+        and missing_key(broken("settings.permissions", 3), FILE) == "settings.permissions"
+    )
 
 
 def test_a_class_keeps_its_number_while_a_visit_holds_it(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("fd", ["x", "-1", "٤", "4 "])
 def test_a_descriptor_that_is_no_number_is_told(fd: str) -> None:
     with pytest.raises(ConfigError, match="LB_SOCKET_FD"):
-        parse(CONFIG.given, {"LB_SOCKET_FD": fd})
+        parse(CONFIG.document, {"LB_SOCKET_FD": fd})
 
 
 def test_a_descriptor_that_does_not_listen_is_told() -> None:
