--- a/gradefront/config.py
+++ b/gradefront/config.py
@@ -27,7 +27,19 @@
 
 
 class ConfigError(Exception):
-    """A setting that is missing or makes no sense; its text begins with the setting's name."""
+    """A configuration that makes no sense; its text names the file or the setting at fault."""
+
+
+class SettingError(ConfigError):
+    """One setting that is missing or makes no sense.
+
+    `field` is the variable, or the key's path in the file; `problem` says what is wrong with it.
+    """
+
+    def __init__(self, field: str, problem: str) -> None:
+        super().__init__(f"{field}: {problem}")
+        self.field = field
+        self.problem = problem
 
 
 @dataclass(frozen=True)
@@ -59,26 +71,26 @@
 
 
 def address(text: object, what: str) -> Address:
-    """Read `HOST:PORT`, with an IPv6 host in brackets. Raises ConfigError, which names `what`."""
+    """Read `HOST:PORT`, with an IPv6 host in brackets. Raises SettingError for the field `what`."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
-        raise ConfigError(f"{what}: '{text}' is not HOST:PORT")
+        raise SettingError(what, f"'{text}' is not HOST:PORT")
     return host.strip("[]"), int(port)
 
 
 def load(environment: Mapping[str, str]) -> Config:
     """Read the file that LB_CONFIG names; the other variables override it. Raises ConfigError."""
     if "LB_CONFIG" not in environment:
-        raise ConfigError("LB_CONFIG: not set; it names the relay's JSON file")
+        raise SettingError("LB_CONFIG", "not set; it names the relay's JSON file")
     path = Path(environment["LB_CONFIG"])
     try:
         document = json.loads(path.read_bytes())
     except OSError as error:
-        raise ConfigError(f"LB_CONFIG: {path}: {error.strerror}") from None
+        raise SettingError("LB_CONFIG", f"{path}: {error.strerror}") from None
     except ValueError as error:
-        raise ConfigError(f"LB_CONFIG: {path}: not JSON: {error}") from None
+        raise SettingError("LB_CONFIG", f"{path}: not JSON: {error}") from None
     if not isinstance(document, dict) or not isinstance(document.get("settings"), dict):
-        raise ConfigError("settings: missing")
+        raise SettingError("settings", "missing")
     return parse(document, environment)
 
 
@@ -100,7 +112,7 @@
     try:
         settings, report_names = simulator_wire.settings(info)
     except (simulator_wire.WireError, ValueError, TypeError) as error:
-        raise ConfigError(f"settings: {error}") from None
+        raise SettingError("settings", str(error)) from None
     limits = document.get("limits") or {}
     family = info.get("familyInfo") or {}
     known = document.get("known")
@@ -111,7 +123,7 @@
         settings = replace(settings, processes=PROCESSES_SHARING_LISTENER)
     sockets = int(limits.get("sockets", DEFAULT_SOCKETS))
     if sockets < 1:
-        raise ConfigError(f"limits.sockets: '{sockets}' is not above 0")
+        raise SettingError("limits.sockets", f"'{sockets}' is not above 0")
     return Config(
         name=environment.get("LB_NAME") or str(document.get("name", "relay")),
         listen=address(environment.get("LB_LISTEN") or document.get("listen"), "LB_LISTEN"),
@@ -142,7 +154,7 @@
     if not text:
         return None
     if not (text.isascii() and text.isdigit()):
-        raise ConfigError(f"LB_SOCKET_FD: '{text}' is not the number of a descriptor")
+        raise SettingError("LB_SOCKET_FD", f"'{text}' is not the number of a descriptor")
     return int(text)
 
 
@@ -152,7 +164,7 @@
     try:
         return int(str(value), 16)
     except ValueError:
-        raise ConfigError(f"seed: '{value}' is neither a number nor hex digits") from None
+        raise SettingError("seed", f"'{value}' is neither a number nor hex digits") from None
 
 
 def _check(info: dict[str, Any]) -> None:
@@ -162,9 +174,9 @@
         where = f"settings.grades[{n}]"
         name = request_class.get("name")
         if not isinstance(name, str) or not CLASS_NAME.fullmatch(name):
-            raise ConfigError(f"{where}.name: {name!r} is no name of a class")
+            raise SettingError(f"{where}.name", f"{name!r} is no name of a class")
         if name in seen:
-            raise ConfigError(f"{where}.name: '{name}' stands twice")
+            raise SettingError(f"{where}.name", f"'{name}' stands twice")
         seen.add(name)
         for key in ("aimUs", "deadlineUs"):
             _check_above_0(request_class.get(key), f"{where}.{key}")
@@ -177,7 +189,7 @@
 def _check_above_0(value: object, where: str, whole: bool = False) -> None:
     is_number = isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value)
     if not is_number or value < 1 or (whole and value != int(value)):  # type: ignore[operator, call-overload]
-        raise ConfigError(f"{where}: {value!r} is not a number above 0")
+        raise SettingError(where, f"{value!r} is not a number above 0")
 
 
 def missing_key(document: Any, before: Any, where: str = "") -> str:
--- a/gradefront/listening.py
+++ b/gradefront/listening.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from .config import Config, ConfigError
+from .config import Config, SettingError
 from .net.client_protocol import ClientProtocolFactory
 from .net.reactor import Reactor
 from .state.handover_receiver import HandoverReceiver
@@ -21,7 +21,7 @@
 def inherited_listener(fd: int) -> socket.socket:
     """The listener that the platform holds under descriptor `fd`, under a descriptor of this process.
 
-    Raises ConfigError where `fd` is no listening IPv4 TCP socket.
+    Raises SettingError where `fd` is no listening IPv4 TCP socket.
     """
     try:
         listener = socket.socket(fileno=os.dup(fd))
@@ -29,7 +29,7 @@
             listener.close()
             raise OSError("not a TCP socket that listens")
     except OSError as error:
-        raise ConfigError(f"LB_SOCKET_FD: {fd}: {error.strerror or error}") from None
+        raise SettingError("LB_SOCKET_FD", f"{fd}: {error.strerror or error}") from None
     # All holders of a listener share this flag. Prevents a wait for a client that another process has accepted.
     listener.setblocking(False)
     return listener
--- a/gradefront/reload.py
+++ b/gradefront/reload.py
@@ -9,7 +9,7 @@
 
 from balancer.settings import Settings
 
-from .config import Address, Config, ConfigError, load, missing_key
+from .config import Address, Config, ConfigError, SettingError, load, missing_key
 from .core.request_classes import RequestClassTable, TooManyClasses
 from .net.client_protocol import ClientProtocolFactory
 from .net.endpoint_list import EndpointList
@@ -78,7 +78,7 @@
         current = self.config
         loaded = load(os.environ)
         if missing := missing_key(loaded.document, current.document):
-            raise ConfigError(f"{missing}: missing")
+            raise SettingError(missing, "missing")
         request_classes, settings = self.core.prepare_settings(loaded.settings, loaded.class_names)
         config = replace(
             loaded,
--- a/gradefront/startup.py
+++ b/gradefront/startup.py
@@ -12,7 +12,7 @@
 
 from .admin.calls import admin_calls
 from .admin.server import AdminServer
-from .config import Config, ConfigError
+from .config import Config, ConfigError, SettingError
 from .core.relay import RelayCore
 from .fleet.switch import fleet_file
 from .net.backend_connection import LineBackendConnector
@@ -59,11 +59,11 @@
 
 
 def apply_known_endpoints(config: Config, endpoint_list: EndpointList) -> None:
-    """Begin with the endpoint list that the configuration gives. Raises ConfigError."""
+    """Begin with the endpoint list that the configuration gives. Raises SettingError."""
     try:
         endpoint_list.apply(config.known, whole=True)
     except ValueError as error:
-        raise ConfigError(f"known: {error}") from None
+        raise SettingError("known", str(error)) from None
 
 
 def build_client_factory(
@@ -95,11 +95,11 @@
 
 
 def start_admin_server(config: Config, core: RelayCore, reactor: Reactor) -> Any:
-    """The listening port of the admin interface; None where none is configured. Raises ConfigError."""
+    """The listening port of the admin interface; None where none is configured. Raises SettingError."""
     if not config.admin:
         return None
     host, port = config.admin
     try:
         return reactor.listenTCP(port, AdminServer(core, admin_calls(core)), ADMIN_BACKLOG, host)
     except CannotListenError as error:
-        raise ConfigError(f"LB_ADMIN: the operators' door: {error}") from None
+        raise SettingError("LB_ADMIN", f"the operators' door: {error}") from None
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -20,7 +20,7 @@
 from lab.stand_ins import LineDevice, settings, soon
 
 from .helper import Bench
-from .test_service import town
+from .test_service import running_service
 
 
 class Wire(StringTransport):
@@ -42,30 +42,30 @@
 
 
 class Callers:
-    """A door, and callers at it."""
+    """An admin server and its callers."""
 
     def __init__(self) -> None:
         self.bench = Bench()
-        self.door = AdminServer(
+        self.server = AdminServer(
             self.bench.core,
             {"PING": lambda: ["ok"], "LAMEDUCK": lambda: ["ok lame duck"], "BREAK": lambda: [str(1 // 0)]},
         )
 
-    def come(self) -> AdminProtocol | None:
-        line = self.door.buildProtocol(None)
+    def connect(self) -> AdminProtocol | None:
+        line = self.server.buildProtocol(None)
         if line:
             cast(Any, line).makeConnection(cast(Any, Wire)())
         return line
 
-    def say(self, *parts: bytes) -> bytes:
-        line = self.come()
+    def call(self, *parts: bytes) -> bytes:
+        line = self.connect()
         assert line
         for part in parts:
             cast(Any, line).dataReceived(part)
-        said = cast(bytes, line.wire.value())
-        assert line.wire.disconnecting == bool(said)
+        answer = cast(bytes, line.wire.value())
+        assert line.wire.disconnecting == bool(answer)
         line.connectionLost()
-        return said
+        return answer
 
 
 @given(
@@ -91,26 +91,26 @@
     for cut in cuts:
         parts.append(call[at : at + cut])
         at += cut
-    answer = callers.say(*parts, call[at:])
-    assert answer == callers.say(call) == callers.say(*(bytes([b]) for b in call))
+    answer = callers.call(*parts, call[at:])
+    assert answer == callers.call(call) == callers.call(*(bytes([b]) for b in call))
     assert answer.count(b"\r\n") == 1 and answer.split()[0] in (b"ok", b"fail")
     assert answer.startswith(b"ok") == call.startswith((b"PING\r", b"PING\n", b"LAME"))
 
 
-def test_who_holds_the_door_without_a_call_shuts_nobody_out() -> None:
+def test_connections_without_a_call_lock_nobody_out() -> None:
     callers = Callers()
-    held = [callers.come() for _ in range(60)]
-    assert sum(line is not None for line in held) == MAX_CALLERS == len(callers.door.callers)
+    held = [callers.connect() for _ in range(60)]
+    assert sum(line is not None for line in held) == MAX_CALLERS == len(callers.server.callers)
     callers.bench.wait(300_000)
-    for line in list(callers.door.callers)[CROWDED_CALLERS:]:
+    for line in list(callers.server.callers)[CROWDED_CALLERS:]:
         line.connectionLost()
     for _ in range(30):
-        assert callers.say(b"PING\r\n") == b"ok\r\n"
-        callers.come()
+        assert callers.call(b"PING\r\n") == b"ok\r\n"
+        callers.connect()
         callers.bench.wait(300_000)
-        assert len(callers.door.callers) <= MAX_CALLERS
+        assert len(callers.server.callers) <= MAX_CALLERS
     callers.bench.wait(CALL_TIMEOUT_US + 10_000)
-    assert all(line.wire.value().startswith(b"fail") for line in callers.door.callers), "silence ends too"
+    assert all(line.wire.value().startswith(b"fail") for line in callers.server.callers), "silence ends too"
 
 
 def test_figures_are_there_from_the_start_and_labels_can_not_break_the_form() -> None:
@@ -128,9 +128,9 @@
     assert render_metrics(counters, ['q"\\\n', 'q"\\\n'], {})[0] == 'svc_answered_total{group="q\\"\\\\\\n"} 1'
 
 
-def test_the_program_tells_its_figures_and_is_emptied_by_call(tmp_path: Path) -> None:
+def test_the_program_reports_its_figures_and_is_drained_by_call(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["UP r-1"], settings(probes=True), admin=True) as here:
+        async with running_service(tmp_path, ["UP r-1"], settings(probes=True), admin=True) as here:
             relay = here.relay
             assert await relay.call("PING") == ["ok serving"]
             device = await here.device()
@@ -138,10 +138,10 @@
             assert await device.line() == "UP r-1"
             silent = await LineDevice.connect(relay.door)
             mute = await here.device()  # a crowd of these is not what the relay serves
-            told = await relay.figures()
-            assert told['svc_answered_total{group="visit-checkin"}'] == told["svc_sends_total"] == 1
-            assert told['svc_answered_total{group="roster-feed"}'] == told["svc_cluster_unhealthy"] == 0
-            assert told["svc_current"] == told["svc_cluster_size"] == 1
+            figures = await relay.figures()
+            assert figures['svc_answered_total{group="visit-checkin"}'] == figures["svc_sends_total"] == 1
+            assert figures['svc_answered_total{group="roster-feed"}'] == figures["svc_cluster_unhealthy"] == 0
+            assert figures["svc_current"] == figures["svc_cluster_size"] == 1
             assert await relay.call("LAMEDUCK") == await relay.call("LAMEDUCK") == ["ok lame duck"]
             assert await relay.call("PING") == ["fail lame duck"]
             assert await (await here.device()).ask("PING") == "ERR"
@@ -162,9 +162,9 @@
     asyncio.run(play())
 
 
-def test_a_door_that_can_not_be_bound_is_a_clear_error_at_the_start(tmp_path: Path) -> None:
+def test_an_admin_address_that_can_not_be_bound_is_a_clear_error_at_the_start(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, [], admin=True) as here:
+        async with running_service(tmp_path, [], admin=True) as here:
             environment = {
                 **os.environ,
                 "LB_CONFIG": str(tmp_path / "config.json"),
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -21,9 +21,12 @@
         command(["ids", "decode", "--key", KEY, "--server-id-length", "3", "--nonce-length", "4", "0720b1d07b359d3c"])
         == 0
     )
-    told = json.loads(capsys.readouterr().out)
-    assert told == {"config_id": 0, "server_id": "ed793a", "nonce": "ee080dbf"}
-    assert command(["ids", "encode", "--key", KEY, "--server-id", told["server_id"], "--nonce", told["nonce"]]) == 0
+    decoded = json.loads(capsys.readouterr().out)
+    assert decoded == {"config_id": 0, "server_id": "ed793a", "nonce": "ee080dbf"}
+    assert (
+        command(["ids", "encode", "--key", KEY, "--server-id", decoded["server_id"], "--nonce", decoded["nonce"]])
+        == 0
+    )
     assert json.loads(capsys.readouterr().out)["cid"] == "0720b1d07b359d3c"
     assert command(["ids", "decode", "--server-id-length", "3", "--nonce-length", "5", "0831441a9c69c27512"]) == 0
     assert json.loads(capsys.readouterr().out)["server_id"] == "31441a"
@@ -52,47 +55,53 @@
 )
 def test_bad_input_is_one_line_and_status_2(bad: list[str], capsys: pytest.CaptureFixture[str]) -> None:
     assert command(bad) == 2
-    told = capsys.readouterr()
-    assert told.err.startswith("gradefront: ") and told.err.count("\n") == 1 and not told.out.startswith("{")
-    assert KEY not in told.err
+    printed = capsys.readouterr()
+    assert printed.err.startswith("gradefront: ") and printed.err.count("\n") == 1 and not printed.out.startswith("{")
+    assert KEY not in printed.err
 
 
 def test_check_reads_all_files_and_names_file_field_and_value(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     relay, quic = tmp_path / "relay.json", tmp_path / "quic.json"
-    told = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f", "settings": settings()}
+    document = {
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "seed": "1f",
+        "settings": settings(),
+    }
     backend = {"server_id": "0001", "address": "127.0.0.1:5", "reset_key": "00ff"}
     file = {
         "listen": {"visit-checkin": "127.0.0.1:0"},
         "boxes": {"a": backend},
         "ids": [{"config_id": 1, "server_id_length": 2, "nonce_length": 5, "key_file": "ids.key"}],
     }
-    relay.write_text(json.dumps(told))
+    relay.write_text(json.dumps(document))
     (tmp_path / "ids.key").write_text(KEY)
     os.chmod(tmp_path / "ids.key", 0o600)
 
     def check(**change: object) -> tuple[int, str]:
         quic.write_text(json.dumps({**file, **change}))
         status = command(["check", "--config", str(relay), "--quic", str(quic)])
-        said = capsys.readouterr()
-        return status, said.out + said.err
+        printed = capsys.readouterr()
+        return status, printed.out + printed.err
 
     assert check()[0] == 0
-    status, said = check(most_waiting=-1)
-    assert status == 2 and "quic.json: most_waiting: " in said and "-1" in said
+    status, printed = check(most_waiting=-1)
+    assert status == 2 and "quic.json: most_waiting: " in printed and "-1" in printed
     os.chmod(tmp_path / "ids.key", 0o644)
-    status, said = check()
-    assert status == 2 and "ids[0].key_file: 'ids.key': others may read it" in said and KEY not in said
-    relay.write_text(json.dumps({**told, "seed": "nothex"}))
-    status, said = check()
-    assert status == 2 and "relay.json: seed: 'nothex'" in said
+    status, printed = check()
+    assert status == 2 and "ids[0].key_file: 'ids.key': others may read it" in printed and KEY not in printed
+    relay.write_text(json.dumps({**document, "seed": "nothex"}))
+    status, printed = check()
+    assert status == 2 and "relay.json: seed: 'nothex'" in printed
 
 
 def test_help_names_every_verb_and_shells_complete_them(capsys: pytest.CaptureFixture[str]) -> None:
     assert command(["--help"]) == 0
-    told = capsys.readouterr().out
-    assert all(f"  {verb} " in told for verb in VERBS) and "Examples:" in told
+    help_text = capsys.readouterr().out
+    assert all(f"  {verb} " in help_text for verb in VERBS) and "Examples:" in help_text
     for verb in VERBS:
         assert command([verb, "--help"]) == 0, verb
     capsys.readouterr()
@@ -108,5 +117,5 @@
         " ('click', 'msgspec', 'netaddr', 'pytricia', 'aioquic', 'lab')"
         " or m.startswith(('gradefront.quic.', 'gradefront.routing', 'gradefront.cli'))])"
     )
-    told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
-    assert told.strip() == "['gradefront.quic.switch']"
+    imported = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
+    assert imported.strip() == "['gradefront.quic.switch']"
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -10,7 +10,7 @@
 
 from lab.stand_ins import settings
 
-from .test_service import town
+from .test_service import running_service
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -25,7 +25,7 @@
 
 def test_the_program_starts_no_other_and_opens_no_unix_socket(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["UP r-1"], settings(probes=True), admin=True) as here:
+        async with running_service(tmp_path, ["UP r-1"], settings(probes=True), admin=True) as here:
             device = await here.device()
             device.open()
             assert await device.line() == "UP r-1"
--- a/tests/test_moments_stop.py
+++ b/tests/test_moments_stop.py
@@ -36,7 +36,7 @@
     loop.until(lambda: late.read().endswith(b"\r\n"))
     assert late.got == b"BUSY\r\n"
     loop.wait(400_000)
-    assert not backend.called, "a request read after the shutdown was sent on"
+    assert not backend.called, "a request read after the shutdown was forwarded"
     assert loop.stopped and late.read() == b"BUSY\r\n" and late.ended and not late.reset
     assert resting.read() and resting.ended and not resting.reset
 
@@ -75,7 +75,7 @@
     assert b"OPEN" not in at_backend.read() and at_backend.ended
 
 
-def test_what_stands_is_told_though_a_line_of_it_comes_in_that_instant(tmp_path: Path) -> None:
+def test_what_stands_is_notified_though_a_line_of_it_comes_in_that_instant(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client, _ = loop.standing(backend)
@@ -93,7 +93,7 @@
     assert loop.stopped
 
 
-def test_a_device_that_rests_at_the_door_until_the_end_is_ended_in_order(tmp_path: Path) -> None:
+def test_a_client_without_a_request_until_the_end_is_ended_in_order(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     loop.leave()
@@ -122,14 +122,14 @@
     loop.wait(200_000)
     began = loop.now_us
     loop.leave()
-    told = list[int]()
+    notified = list[int]()
     while not loop.stopped:
         loop.wait(50_000)
-        if len(told) == 4:
+        if len(notified) == 4:
             loop.leave()
-        told.append(sum(b"MOVE" in c.read() for c in clients))
+        notified.append(sum(b"MOVE" in c.read() for c in clients))
     assert loop.stopped - began <= 1_500_000 - 150_000
-    assert max(b - a for a, b in zip(told, told[1:], strict=False)) <= 4, "spread over the time that there is"
+    assert max(b - a for a, b in zip(notified, notified[1:], strict=False)) <= 4, "spread over the time that there is"
     assert all(c.read().endswith(b"MOVE\r\n") and not c.reset for c in clients)
 
 
@@ -145,8 +145,8 @@
         loop.core.lifecycle.lame_duck()
         loop.wait(300_000, 20_000)
         loop.core.lifecycle.rejoin()
-    told = {**loop.told, "settings": settings(deadline_ms=1000)} if before == "a new file" else loop.told
-    (tmp_path / "config.json").write_text(json.dumps(told) if before != "a broken file" else "{")
+    document = {**loop.told, "settings": settings(deadline_ms=1000)} if before == "a new file" else loop.told
+    (tmp_path / "config.json").write_text(json.dumps(document) if before != "a broken file" else "{")
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
     if before == "an old file":
         loop.relay.reload()  # in the turn in which the signal comes
@@ -154,7 +154,7 @@
     loop.leave()
     if "file" in before:
         loop.relay.reload()
-        (tmp_path / "config.json").write_text(json.dumps({**told, "discovery": f"127.0.0.1:{Backend().port}"}))
+        (tmp_path / "config.json").write_text(json.dumps({**document, "discovery": f"127.0.0.1:{Backend().port}"}))
         loop.relay.reload()
     loop.open(client)
     if before == "no list":
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -20,7 +20,7 @@
 OPEN = Device.OPEN
 
 
-class Town:
+class RunningService:
     """Backends, discovery, the program, and devices that come to it."""
 
     def __init__(self, backends: list[StandInBackend], discovery: Discovery, relay: Program) -> None:
@@ -31,28 +31,28 @@
 
 
 @asynccontextmanager
-async def town(
+async def running_service(
     folder: Path,
     answers: list[str | None],
-    told: dict[str, Any] | None = None,
+    given: dict[str, Any] | None = None,
     wait: bool = True,
     admin: bool = False,
-) -> AsyncIterator[Town]:
+) -> AsyncIterator[RunningService]:
     backends = [StandInBackend(lambda line, answer=answer: answer) for answer in answers]  # type: ignore[misc]
     discovery = Discovery()
     for n, backend in enumerate(backends):
         discovery.add(f"box-{n}", await backend.open())
-    async with program(folder, discovery, told or settings(), admin=admin) as relay:
+    async with program(folder, discovery, given or settings(), admin=admin) as relay:
         if wait:
             await soon(discovery.asked.wait())
-        yield Town(backends, discovery, relay)
+        yield RunningService(backends, discovery, relay)
         for backend in backends:
             backend.server.close()
 
 
-def test_a_visit_is_passed_through_unchanged_both_ways(tmp_path: Path) -> None:
+def test_a_connection_is_passed_through_unchanged_both_ways(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["UP r-77"], settings(probes=True)) as here:
+        async with running_service(tmp_path, ["UP r-77"], settings(probes=True)) as here:
             assert await (await here.device()).ask("PING") == "PONG"
             device = await here.device()
             device.open(more=",again=1,x=odd")
@@ -74,14 +74,14 @@
     asyncio.run(play())
 
 
-def test_a_refused_visit_goes_elsewhere_and_a_full_fleet_is_answered_with_a_time(tmp_path: Path) -> None:
+def test_a_rejected_request_goes_elsewhere_and_a_full_fleet_is_answered_with_a_time(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["BUSY", "UP r-1"], settings(aim_ms=30, deadline_ms=4000)) as here:
+        async with running_service(tmp_path, ["BUSY", "UP r-1"], settings(aim_ms=30, deadline_ms=4000)) as here:
             while not here.backends[0].first_lines:  # the first pick is random: come until it was the full one
                 device = await here.device()
                 device.open(d=4000)
                 assert await device.line() == "UP r-1"
-        async with town(tmp_path, ["BUSY"] * 6) as here:
+        async with running_service(tmp_path, ["BUSY"] * 6) as here:
             device = await here.device()
             began = time.monotonic()
             device.open()
@@ -98,7 +98,7 @@
 
 def test_silence_is_answered_before_the_client_gives_up(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, [None] * 3) as here:
+        async with running_service(tmp_path, [None] * 3) as here:
             device = await here.device()
             began = time.monotonic()
             device.open(d=700)
@@ -112,7 +112,7 @@
 
 def test_nonsense_ends_one_connection_and_never_the_program(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["UP r-1"]) as here:
+        async with running_service(tmp_path, ["UP r-1"]) as here:
             standing = await here.device()
             standing.open()
             assert await standing.line() == "UP r-1"
@@ -146,9 +146,9 @@
     asyncio.run(play())
 
 
-def test_a_dead_box_ends_its_connections_at_once(tmp_path: Path) -> None:
+def test_a_dead_backend_ends_its_connections_at_once(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["UP r-1"]) as here:
+        async with running_service(tmp_path, ["UP r-1"]) as here:
             device = await here.device()
             device.open()
             assert await device.line() == "UP r-1"
@@ -160,9 +160,9 @@
     asyncio.run(play())
 
 
-def test_a_visit_from_before_goes_to_its_own_box_only(tmp_path: Path) -> None:
+def test_a_connection_from_before_goes_to_its_own_backend_only(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["UP r-0", "UP r-1", "UP r-2"]) as here:
+        async with running_service(tmp_path, ["UP r-0", "UP r-1", "UP r-2"]) as here:
             for n in (1, 2, 1):
                 device = await here.device()
                 device.open(more=f",at=box-{n}")
@@ -172,9 +172,9 @@
     asyncio.run(play())
 
 
-def test_not_ready_without_any_box(tmp_path: Path) -> None:
+def test_not_ready_without_any_backend(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, [], wait=False) as here:
+        async with running_service(tmp_path, [], wait=False) as here:
             assert await (await here.device()).ask("PING") == "ERR"
 
     asyncio.run(play())
@@ -182,7 +182,7 @@
 
 def test_a_planned_stop_moves_what_stands_between_whole_lines_and_answers_on(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["UP r-1"]) as here:
+        async with running_service(tmp_path, ["UP r-1"]) as here:
             standing = [await here.device() for _ in range(20)]
             for device in standing:
                 device.open()
@@ -194,12 +194,12 @@
             late.open()
             assert await late.line() == "UP r-1", "clients that the front still sends are served"
 
-            async def told(device: Device) -> float:
+            async def notified(device: Device) -> float:
                 assert await device.ask("before") == "re:before"
                 assert await device.line() == "MOVE" and await device.line() == ""
                 return time.monotonic() - began
 
-            times = sorted(await asyncio.gather(*(told(d) for d in [*standing, late])))
+            times = sorted(await asyncio.gather(*(notified(d) for d in [*standing, late])))
             assert times[0] > 0.6 and times[-1] - times[0] > 0.5, "spread over the time there is"
             assert await here.relay.stop() == 0 and time.monotonic() - began < 3.7 + BUSY_S
             assert any("counters" in line for line in here.relay.log)
@@ -209,7 +209,7 @@
 
 def test_a_watch_that_falls_silent_is_asked_for_again(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["UP r-1", "UP r-2"]) as here:
+        async with running_service(tmp_path, ["UP r-1", "UP r-2"]) as here:
             here.discovery.asked.clear()
             here.discovery.silent = True
             began = time.monotonic()
@@ -234,7 +234,7 @@
         discovery.members["old"]["phase"] = "DRAINING"  # the agent has it before the process starts
         discovery.held = True
         async with program(tmp_path, discovery, {**settings(), "discovery": "push"}, known=known) as relay:
-            here = Town([old, new], discovery, relay)
+            here = RunningService([old, new], discovery, relay)
             await soon(discovery.called.wait())
             assert await (await here.device()).ask("PING") == "ERR", "the agent has not spoken yet"
             discovery.release()
@@ -271,7 +271,7 @@
 
 def test_a_new_configuration_moves_the_watch_at_once_and_nonsense_changes_nothing(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["UP r-0", "UP r-1"]) as here:
+        async with running_service(tmp_path, ["UP r-0", "UP r-1"]) as here:
             device = await here.device()
             device.open()
             assert (await device.line()).startswith("UP")
@@ -312,7 +312,7 @@
     asyncio.run(play())
 
 
-def test_an_answer_reaches_the_device_though_the_box_resets_right_after_it(tmp_path: Path) -> None:
+def test_an_answer_reaches_the_device_though_the_backend_resets_right_after_it(tmp_path: Path) -> None:
     class Breaking(StandInBackend):
         async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readline()
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -1,4 +1,4 @@
-"""Other settings under way: what is taken, what is turned down, and what stands on old rules."""
+"""Settings that change while the relay serves: what is applied, what is rejected, and what keeps old rules."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
     TimerFired,
 )
 from balancer.settings import Idempotency
-from gradefront.config import ConfigError, missing_key, parse
+from gradefront.config import SettingError, missing_key, parse
 from gradefront.core import request_classes
 from gradefront.core.attempt_error import Cause
 from gradefront.core.request_classes import RequestClassTable, TooManyClasses
 from lab.stand_ins import Discovery, settings, soon
 
 from .helper import CLASS, SETTINGS, Bench
-from .test_service import replace_config, town
+from .test_service import replace_config, running_service
 
 FILE: dict[str, Any] = {
     "name": "n0",
@@ -45,8 +45,8 @@
 
 
 def broken(path: str, value: object) -> dict[str, Any]:
-    told = copy.deepcopy(FILE)
-    at: Any = told
+    document = copy.deepcopy(FILE)
+    at: Any = document
     *keys, last = path.split(".")
     for key in keys:
         at = at[int(key) if key.isdigit() else key]
@@ -54,15 +54,16 @@
         del at[last]
     else:
         at[last] = value
-    return told
+    return document
 
 
 @pytest.mark.parametrize("value", [0, -1, True, "4", "", float("nan"), float("inf"), [], {}, 0.5])
 @pytest.mark.parametrize("path", ["grades.1.deadlineUs", "grades.0.aimUs", "permissions.maxAttempts"])
-def test_a_time_or_limit_that_is_no_number_above_0_is_named_and_turned_down(path: str, value: object) -> None:
-    with pytest.raises(ConfigError) as error:
+def test_a_time_or_limit_that_is_no_number_above_0_is_named_and_rejected(path: str, value: object) -> None:
+    with pytest.raises(SettingError) as error:
         parse(broken(f"settings.{path}", value), {})
     assert path.rpartition(".")[2] in str(error.value)
+    assert error.value.field.replace("[", ".").replace("]", "") == f"settings.{path}"
 
 
 @pytest.mark.parametrize(
@@ -91,7 +92,7 @@
     )
 
 
-def test_a_class_keeps_its_number_while_a_visit_holds_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_class_keeps_its_number_while_a_connection_holds_it(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(request_classes, "MOST", 3)
     slow = replace(CLASS, deadline_us=9)
     book = RequestClassTable().extended(("a", "b"), (CLASS, CLASS), ())
@@ -103,11 +104,11 @@
         book.extended(("c", "d"), (CLASS, CLASS), {0, 1, 2})
 
 
-def test_open_visits_keep_the_rules_under_which_they_came() -> None:
+def test_open_connections_keep_the_rules_in_force_at_their_start() -> None:
     bench = Bench()
     old, _ = bench.arrive()
-    told = replace(SETTINGS, classes=(replace(CLASS, idempotency=Idempotency.NOT_IDEMPOTENT),), max_attempts=1)
-    book, merged = bench.core.prepare_settings(told, ("visit-checkin",))
+    changed = replace(SETTINGS, classes=(replace(CLASS, idempotency=Idempotency.NOT_IDEMPOTENT),), max_attempts=1)
+    book, merged = bench.core.prepare_settings(changed, ("visit-checkin",))
     assert book.numbers() == {"visit-checkin": 1} and merged.classes[0] == CLASS
     bench.core.apply_settings(book, merged, True)
     new, client = bench.arrive()
@@ -126,8 +127,8 @@
     assert client.told == ["fail"]
 
 
-def test_the_module_counts_the_rounds_of_a_request_by_the_settings_it_came_under() -> None:
-    def rounds(first: bool) -> int:
+def test_the_module_counts_the_attempts_of_a_request_by_the_settings_at_its_start() -> None:
+    def attempts(first: bool) -> int:
         b = Balancer(SETTINGS, 1)
         b.handle(0, EndpointListUpdate(tuple(Endpoint(f"s{n}") for n in range(9))))
         change = SettingsChanged(replace(SETTINGS, max_attempts=1))
@@ -144,12 +145,12 @@
                 todo += b.handle(now, TimerFired(action.timer_id))
         return starts
 
-    assert rounds(first=False) == 1 < rounds(first=True) <= 4
+    assert attempts(first=False) == 1 < attempts(first=True) <= 4
 
 
 def test_the_program_takes_new_classes_and_nothing_of_a_broken_file(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["UP r-1"], settings(), admin=True) as here:
+        async with running_service(tmp_path, ["UP r-1"], settings(), admin=True) as here:
             relay = here.relay
 
             async def reload_and_await(expected: str) -> None:
@@ -185,11 +186,11 @@
             dropped.open()
             assert await dropped.line() == "ERR"
             assert await old.ask("still") == "re:still"
-            told = await relay.figures()
-            assert told["svc_conf_invalid_total"] == 4 and told["svc_conf_loaded_total"] == 1
-            assert told['svc_answered_total{group="night-call"}'] == 1
-            assert told['svc_answered_total{group="visit-checkin"}'] == 1, "a dropped class keeps its counts"
-            assert told['svc_errored_total{group="visit-checkin"}'] == 1
+            figures = await relay.figures()
+            assert figures["svc_conf_invalid_total"] == 4 and figures["svc_conf_loaded_total"] == 1
+            assert figures['svc_answered_total{group="night-call"}'] == 1
+            assert figures['svc_answered_total{group="visit-checkin"}'] == 1, "a dropped class keeps its counts"
+            assert figures['svc_errored_total{group="visit-checkin"}'] == 1
             moved.server.close()
 
     asyncio.run(play())
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -15,8 +15,8 @@
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
 
 
-def told(site: dict[str, Any]) -> dict[str, Any]:
-    """The settings that a relay of the site is told, in the platform's form."""
+def platform_settings(site: dict[str, Any]) -> dict[str, Any]:
+    """The settings that a relay of the site is given, in the platform's form."""
     tier, allow, rules = site["tier"][0], site["allow"], site["rules"]
     return {
         "grades": [
@@ -62,7 +62,14 @@
 ) -> None:
     site = tomllib.loads((SITES / f"{name}.toml").read_text())
     config = parse(
-        {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f", "settings": told(site)}, {}
+        {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": "127.0.0.1:1",
+            "seed": "1f",
+            "settings": platform_settings(site),
+        },
+        {},
     )
     assert (config.settings.max_attempts, config.settings.polls_endpoint_list) == (attempts, asked)
     assert len(config.class_names) == classes and len(config.tenants) == tenants
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -29,12 +29,12 @@
 
 
 @pytest.mark.parametrize("fd", ["x", "-1", "٤", "4 "])
-def test_a_descriptor_that_is_no_number_is_told(fd: str) -> None:
+def test_a_descriptor_that_is_no_number_is_named(fd: str) -> None:
     with pytest.raises(ConfigError, match="LB_SOCKET_FD"):
         parse(CONFIG.document, {"LB_SOCKET_FD": fd})
 
 
-def test_a_descriptor_that_does_not_listen_is_told() -> None:
+def test_a_descriptor_that_does_not_listen_is_named() -> None:
     with socket.socket() as plain, socket.socket(socket.AF_INET6) as six:
         six.listen()
         for fd in (plain.fileno(), six.fileno(), 999):
@@ -51,21 +51,25 @@
         bench.core.lifecycle.await_endpoint_list()
         began = bench.now
         bench.core.on_endpoint_list(EndpointListUpdate((Endpoint("box-1"),)))
-        assert not bench.core.lifecycle.accepts_clients, "a list from before may name boxes that have left"
+        assert not bench.core.lifecycle.accepts_clients, "a list from before may name backends that have left"
         bench.wait(min(news_us, 5_000_000))
         bench.core.lifecycle.on_fresh_endpoint_list()
         assert bench.core.lifecycle.accepts_clients and len(opened) == 1 and opened[0] - began <= ready_us
 
 
-def test_a_replaced_process_tells_its_clients_from_the_start() -> None:
+def test_a_replaced_process_migrates_its_clients_from_the_start() -> None:
     bench = Bench()
     clients = [bench.standing()[1] for _ in range(30)]
     bench.core.lifecycle.leave(lambda: None, replaced=True)
-    told = []
+    migrated = []
     for _ in range(22):
         bench.wait(100_000)
-        told.append(sum("move" in c.told for c in clients))
-    assert told[1] > 0 and told[-1] == 30 and max(b - a for a, b in zip(told, told[1:], strict=False)) <= 4
+        migrated.append(sum("move" in c.told for c in clients))
+    assert (
+        migrated[1] > 0
+        and migrated[-1] == 30
+        and max(b - a for a, b in zip(migrated, migrated[1:], strict=False)) <= 4
+    )
 
 
 def test_a_bad_descriptor_is_a_clear_error_at_the_start(tmp_path: Path) -> None:
@@ -86,7 +90,7 @@
     asyncio.run(play())
 
 
-LEFT = ConnectionSnapshot(
+SNAPSHOT = ConnectionSnapshot(
     "9b1f03aa5c7e2d41",
     "visit-checkin",
     {"aim_us": 1},
@@ -102,9 +106,9 @@
 )
 
 
-def test_a_description_is_read_as_it_was_written_and_nonsense_is_told() -> None:
-    assert read(write(LEFT), 2_000_000) == LEFT
-    good = json.loads(write(LEFT))
+def test_a_description_is_read_as_it_was_written_and_nonsense_is_an_error() -> None:
+    assert read(write(SNAPSHOT), 2_000_000) == SNAPSHOT
+    good = json.loads(write(SNAPSHOT))
     for name, value in (
         ("version", 0),
         ("box", 3),
@@ -119,12 +123,12 @@
     ):
         with pytest.raises(FormError):
             read(json.dumps({**good, name: value}).encode(), 2_000_000)
-    for cut in range(0, len(write(LEFT)) - 1, 7):
+    for cut in range(0, len(write(SNAPSHOT)) - 1, 7):
         with pytest.raises(FormError):
-            read(write(LEFT)[:cut], 2_000_000)
+            read(write(SNAPSHOT)[:cut], 2_000_000)
 
 
-class Handing:
+class Upgrade:
     """An old and a new process of one relay, with what a folder of earlier ones holds."""
 
     def __init__(self, folder: Path, shared: bool = True) -> None:
@@ -134,7 +138,7 @@
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=512)
         self.stack = AsyncExitStack()
 
-    async def __aenter__(self) -> Handing:
+    async def __aenter__(self) -> Upgrade:
         self.discovery.add("box-0", await self.backend.open())
         return self
 
@@ -143,13 +147,13 @@
         self.listener.close()
         self.backend.server.close()
 
-    async def start(self, name: str, told: dict[str, Any] | None = None) -> Program:
+    async def start(self, name: str, given: dict[str, Any] | None = None) -> Program:
         (self.folder / name).mkdir()
         process = await self.stack.enter_async_context(
             program(
                 self.folder / name,
                 self.discovery,
-                told or settings(deadline_ms=4000),
+                given or settings(deadline_ms=4000),
                 admin=True,
                 listener=self.listener,
                 shared=self.shared,
@@ -165,12 +169,12 @@
         return device
 
 
-def test_an_upgrade_under_load_turns_nobody_back(tmp_path: Path) -> None:
+def test_an_upgrade_under_load_rejects_nobody(tmp_path: Path) -> None:
     async def play() -> None:
         outcomes: Counter[str] = Counter()
 
         async def device(port: int) -> None:
-            """Comes, is served until it is told to move, comes again: an answer each time."""
+            """Comes, is served until it is notified to move, comes again: an answer each time."""
             for _ in range(2):
                 one = await LineDevice.connect(port)
                 one.open(d=4000)
@@ -178,12 +182,12 @@
                 outcomes[await one.line()] += 1
                 one.writer.close()
 
-        async with Handing(tmp_path, shared=False) as here:
-            told = settings(aim_ms=1000, deadline_ms=4000)
-            old = await here.start("old", told)
+        async with Upgrade(tmp_path, shared=False) as here:
+            given = settings(aim_ms=1000, deadline_ms=4000)
+            old = await here.start("old", given)
             port = old.ports[0]
             devices = [asyncio.ensure_future(device(port)) for _ in range(20)]
-            new = await here.start("new", told)
+            new = await here.start("new", given)
             assert await new.call("PING") == await old.call("PING") == ["ok serving"]
             old.process.send_signal(signal.SIGTERM)
             for _ in range(20):
@@ -194,7 +198,7 @@
                 assert (await old.call("LAMEDUCK"))[:1] in ([], ["ok leaving"])
             assert await old.stop() == 0
             assert (await new.figures())["svc_current"] >= 20
-            third = await here.start("third", told)  # an upgrade right after another
+            third = await here.start("third", given)  # an upgrade right after another
             assert await new.stop() == 0
             third.process.send_signal(signal.SIGTERM)
             assert await third.stop() == 0
@@ -206,7 +210,7 @@
 
 def test_a_process_that_could_not_have_the_name_holds_its_clients_and_its_listener(tmp_path: Path) -> None:
     async def play() -> None:
-        async with Handing(tmp_path) as here:
+        async with Upgrade(tmp_path) as here:
             here.shared = tmp_path / "a folder in which no file can be made"
             alone = await here.start("alone")
             standing = await here.standing(alone)
@@ -221,10 +225,10 @@
     asyncio.run(play())
 
 
-def test_standing_visits_go_to_the_next_process_and_nobody_moves(tmp_path: Path) -> None:
+def test_established_connections_go_to_the_next_process_and_nobody_moves(tmp_path: Path) -> None:
     async def play() -> None:
         (tmp_path / SOCKET_NAME).write_text("left by somebody")
-        async with Handing(tmp_path) as here:
+        async with Upgrade(tmp_path) as here:
             old = await here.start("old")
             devices = [await here.standing(old) for _ in range(30)]
             for n, device in enumerate(devices):
@@ -253,7 +257,7 @@
 
 def test_an_upgrade_in_the_midst_of_a_drain_keeps_what_still_stands(tmp_path: Path) -> None:
     async def play() -> None:
-        async with Handing(tmp_path) as here:
+        async with Upgrade(tmp_path) as here:
             old = await here.start("old")
             device = await here.standing(old)
             new = await here.start("new")
@@ -268,7 +272,7 @@
 
 def test_a_process_that_nobody_replaces_takes_clients_to_the_last(tmp_path: Path) -> None:
     async def play() -> None:
-        async with Handing(tmp_path) as here:
+        async with Upgrade(tmp_path) as here:
             alone = await here.start("alone")
             alone.process.send_signal(signal.SIGTERM)
             await alone.line("leaving: 0 visits")
@@ -280,9 +284,9 @@
     asyncio.run(play())
 
 
-def test_a_next_process_that_breaks_off_leaves_the_visits_where_they_are(tmp_path: Path) -> None:
+def test_a_next_process_that_breaks_off_leaves_the_connections_where_they_are(tmp_path: Path) -> None:
     async def play() -> None:
-        async with Handing(tmp_path) as here:
+        async with Upgrade(tmp_path) as here:
             old = await here.start("old")
             device = await here.standing(old)
             (tmp_path / SOCKET_NAME).unlink()
@@ -300,7 +304,7 @@
 
 def test_a_next_process_that_dies_among_many_takes_only_what_it_had_been_given(tmp_path: Path) -> None:
     async def play() -> None:
-        async with Handing(tmp_path) as here:
+        async with Upgrade(tmp_path) as here:
             old = await here.start("old")
             devices = [await here.standing(old) for _ in range(40)]
             (tmp_path / SOCKET_NAME).unlink()
@@ -328,12 +332,12 @@
 
 def test_nonsense_from_a_process_before_ends_nothing_here(tmp_path: Path) -> None:
     async def play() -> None:
-        async with Handing(tmp_path) as here:
+        async with Upgrade(tmp_path) as here:
             new = await here.start("new")
             with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as call, socket.socket() as other:
                 call.connect(str(tmp_path / SOCKET_NAME))
                 socket.send_fds(call, [b"{}"], [other.fileno()] * 2)
-                socket.send_fds(call, [write(LEFT)], [other.fileno()])
+                socket.send_fds(call, [write(SNAPSHOT)], [other.fileno()])
                 call.send(b"\0" * 60_000)
             await new.line("connections were handed over so far")
             counts = await new.counters()
