--- a/gradefront/reload.py
+++ b/gradefront/reload.py
@@ -9,7 +9,7 @@
 
 from balancer.settings import Settings
 
-from .config import Address, Config, ConfigError, lacks, load
+from .config import Address, Config, ConfigError, SettingError, load, missing_key
 from .core.request_classes import RequestClassTable, TooManyClassesError
 from .net.client_protocol import ClientProtocolFactory
 from .net.endpoint_list import EndpointList
@@ -77,8 +77,8 @@
         """Read and check the files; changes nothing. Raises ConfigError and TooManyClassesError."""
         current = self.config
         loaded = load(os.environ)
-        if missing := lacks(loaded.given, current.given):
-            raise ConfigError(f"{missing}: missing")
+        if missing := missing_key(loaded.document, current.document):
+            raise SettingError(missing, "missing")
         request_classes, settings = self.core.prepare_settings(loaded.settings, loaded.class_names)
         config = replace(
             loaded,
