--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -14,7 +14,7 @@
 from collections import defaultdict
 from pathlib import Path
 
-from lab.stand_ins import HERE, Discovery, LineDevice, StandInBackend, program, settings, soon
+from lab.stand_ins import CHECKOUT, Discovery, LineDevice, StandInBackend, program, settings, soon
 
 from .quic_flood import cpu_s, resident_kb
 
@@ -70,4 +70,4 @@
 
 
 if __name__ == "__main__":
-    asyncio.run(main([HERE, *(Path(name).resolve() for name in sys.argv[1:])]))
+    asyncio.run(main([CHECKOUT, *(Path(name).resolve() for name in sys.argv[1:])]))
--- a/benchmarks/scrape.py
+++ b/benchmarks/scrape.py
@@ -39,7 +39,7 @@
 
     async def talk(device: LineDevice) -> None:
         while time.monotonic() < until:
-            device.say("x")
+            device.write_line("x")
             await device.line()
             await asyncio.sleep(TALK_S)
 
@@ -60,10 +60,10 @@
 
 async def scrape(relay: Program, until: float, took: list[float]) -> None:
     """Read the figures again and again, beside callers that only hold the door (for the 3 s that it bears them)."""
-    holders = [await asyncio.open_connection("127.0.0.1", relay.door) for _ in range(HOLDERS)]
+    holders = [await asyncio.open_connection("127.0.0.1", relay.admin_port) for _ in range(HOLDERS)]
     while time.monotonic() < until:
         began = time.monotonic()
-        await relay.figures()
+        await relay.metrics()
         took.append(time.monotonic() - began)
         await asyncio.sleep(SCRAPE_S)
     for _, writer in holders:
--- a/lab/conform/cases_paths.py
+++ b/lab/conform/cases_paths.py
@@ -210,11 +210,11 @@
 @asynccontextmanager
 async def told(place: Place, backend: Any, phase: str) -> AsyncIterator[None]:
     """The endpoint list tells this of a backend; afterwards that it serves, and the relay knows that it does."""
-    place.discovery.tell(backend.name, phase)
+    place.discovery.publish(backend.name, phase)
     try:
         yield
     finally:
-        place.discovery.tell(backend.name, "SERVING")
+        place.discovery.publish(backend.name, "SERVING")
         probe = await place.client()
         while True:
             probe.say(backend.new_id())
--- a/lab/conform/quic.py
+++ b/lab/conform/quic.py
@@ -278,7 +278,7 @@
             "address": f"127.0.0.1:{backend.port}",
         }
     with tempfile.TemporaryDirectory() as folder:
-        async with program(Path(folder), discovery, settings(aim_ms=150, deadline_ms=1200), file) as relay:
+        async with program(Path(folder), discovery, settings(objective_ms=150, deadline_ms=1200), file) as relay:
             await asyncio.wait_for(discovery.asked.wait(), HEAR_S)
             await relay.line("box list from")
             place.relay = relay
--- a/lab/crowd.py
+++ b/lab/crowd.py
@@ -14,36 +14,36 @@
 
 from .fault_proxy import FaultProxy, Faults
 from .slow_start_oracle import Fall, SlowStartRules, WarmingBackend, WarmUp
-from .stand_ins import BUSY_S, PATIENCE_S, Discovery, LineDevice, Program, program, settings
+from .stand_ins import BUSY_S, HANG_TIMEOUT_S, Discovery, LineDevice, Program, program, settings
 
-AIM_MS, DEADLINE_MS = 800, 4800
-LOOK_S = 0.02  # between two looks at a count
-RETURN_S = (0.058, 0.9)  # clients come back so long after a break
-KILL_S = 3.7  # from SIGTERM: the longest deadline, 3 s at most, and 0.7 s
-NO_ADVICE_S = 0.3  # and so long after a rejection without advice
+OBJECTIVE_MS, DEADLINE_MS = 800, 4800
+POLL_S = 0.02  # between two looks at a count
+RECONNECT_S = (0.058, 0.9)  # range of the wait after a break
+KILL_AFTER_S = 3.7  # from SIGTERM: the longest deadline, 3 s at most, and 0.7 s
+NO_RETRY_AFTER_S = 0.3  # wait after a rejection without a Retry-After
 
 
 @dataclass(frozen=True)
 class Scene:
-    """What is played."""
+    """The parameters of one run. Shares are from 0 to 1."""
 
     relays: int = 6
-    warm: int = 6
-    cold: int = 3
-    cold_age_s: float = 5.0  # of warming backends as the relays start
-    fills: float = 50.0  # mean connections that fill a backend
-    work: float = 5_600.0  # of a connection, as backends tell it: microseconds a second
-    short: float = 0.0  # the part of connections that backends end soon
+    warm: int = 6  # backends
+    warming: int = 3  # backends
+    warming_age_s: float = 5.0  # as the relays start
+    full_connections: float = 50.0  # mean connections that fill a backend
+    work: float = 5_600.0  # of a connection, as backends report it, in microseconds a second
+    short_share: float = 0.0  # of connections, that backends end soon
     rules: SlowStartRules = field(default_factory=SlowStartRules)
     seed: int = 1
     faults: Faults = field(default_factory=Faults)
-    lag_s: float = 0.0  # by which reports of load are late
-    spread: float = 0.0  # of what fills a backend, up and down
-    line_s: float = 0.4  # between two lines of a client that is served
+    lag_s: float = 0.0  # of load reports
+    spread: float = 0.0  # of `full_connections`, up and down
+    line_s: float = 0.4  # between two lines of a served client
 
 
 class Fleet:
-    """Relays, backends, discovery and clients of one scene. Used as a context."""
+    """Relays, backends, discovery and clients of one scene, as an async context manager."""
 
     def __init__(self, scene: Scene, folder: Path) -> None:
         self.scene = scene
@@ -54,23 +54,23 @@
         self.warm_ups: list[WarmUp] = []
         self.relays: dict[str, Program] = {}
         self.sent_by: dict[str, str] = {}  # the relay that got a request, by its id
-        self.answers: Counter[str] = Counter()
-        self.standing = 0
+        self.answers: Counter[str] = Counter()  # by first word
+        self.served_clients = 0
         self.clients: set[asyncio.Task[None]] = set()
-        self.reading: list[asyncio.Task[None]] = []  # the logs of all processes
+        self.log_readers: list[asyncio.Task[None]] = []
         self.stack = AsyncExitStack()
         self.starts = count()
         self.ports: dict[str, int] = {}
         self.proxies: dict[str, FaultProxy] = {}
         self.killed_relays: set[int] = set()  # ports of processes that were killed outright
-        self.violations: list[str] = []  # what relays owed their clients and did not keep
+        self.violations: list[str] = []  # promises to clients that relays broke
 
     async def __aenter__(self) -> Fleet:
         scene = self.scene
         for number in range(scene.warm):
             await self.add_backend(f"warm-{number}", 0.0)
-        for number in range(scene.cold):
-            await self.add_backend(f"cold-{number}", time.time() - scene.cold_age_s)
+        for number in range(scene.warming):
+            await self.add_backend(f"cold-{number}", time.time() - scene.warming_age_s)
         await asyncio.gather(*(self.start_relay(f"n{number}") for number in range(scene.relays)))
         return self
 
@@ -79,30 +79,30 @@
         while left:  # again and again: a wait that ends in the very moment may swallow the cancellation
             for client in left:
                 client.cancel()
-            _, left = await asyncio.wait(left, timeout=LOOK_S)
+            _, left = await asyncio.wait(left, timeout=POLL_S)
         for name in list(self.backends):
             self.kill_backend(name)
         await self.stack.aclose()
-        await asyncio.gather(*self.reading, return_exceptions=True)  # to their ends: a full pipe would hold them
+        await asyncio.gather(*self.log_readers, return_exceptions=True)  # to their ends: a full pipe would hold them
 
     # ---- backends
 
     async def add_backend(self, name: str, started_s: float) -> None:
-        """A backend begins to serve, or comes back under its name; relays are told. 0: it started long ago."""
+        """Starts a backend, or starts it again under its name, and notifies relays. 0: it started long ago."""
         scene = self.scene
-        fills = scene.fills * self.random.uniform(1 - scene.spread, 1 + scene.spread)
-        warm_up = WarmUp(name, scene.rules, started_s, fills)
+        full_connections = scene.full_connections * self.random.uniform(1 - scene.spread, 1 + scene.spread)
+        warm_up = WarmUp(name, scene.rules, started_s, full_connections)
         reply = f"UP {name}\r\nLOAD {scene.work}"
         backend = self.backends[name] = WarmingBackend(warm_up, time.time, self._sender, reply)
-        backend.short, backend.lag_s = scene.short, scene.lag_s
+        backend.short_share, backend.lag_s = scene.short_share, scene.lag_s
         self.warm_ups.append(warm_up)
         proxy = self.proxies[name] = FaultProxy(await backend.open(), scene.faults, self.random.getrandbits(30))
         self.discovery.add(name, await proxy.open())
         self.discovery.members[name]["up_since_ms"] = int(started_s * 1000)
-        self.discovery.tell(name, "SERVING")
+        self.discovery.publish(name, "SERVING")
 
     def kill_backend(self, name: str) -> None:
-        """It ends without a word; discovery does not know yet."""
+        """Ends a backend at once; discovery does not know yet."""
         self.proxies[name].close()
         self.backends[name].kill()
 
@@ -111,23 +111,23 @@
 
     @property
     def falls(self) -> list[Fall]:
-        """Falls that break the rule."""
+        """The falls that break the rule."""
         return [warm_up.fall for warm_up in self.warm_ups if warm_up.fall and warm_up.fall.breaks_rule]
 
     # ---- relays
 
     async def start_relay(self, name: str) -> None:
-        """Start a relay's process."""
+        """Starts a relay's process."""
         scene = self.scene
         home = self.folder / f"{name}-{next(self.starts)}"
         home.mkdir()
-        told = settings(AIM_MS, DEADLINE_MS, probes=True)
-        told["rules"] |= scene.rules.settings()
-        told["fleetSize"] = scene.relays
-        told["position"] = int(name.removeprefix("n"))
-        relay = await self.stack.enter_async_context(program(home, self.discovery, told, name=name))
+        platform_settings = settings(OBJECTIVE_MS, DEADLINE_MS, probes=True)
+        platform_settings["rules"] |= scene.rules.settings()
+        platform_settings["fleetSize"] = scene.relays
+        platform_settings["position"] = int(name.removeprefix("n"))
+        relay = await self.stack.enter_async_context(program(home, self.discovery, platform_settings, name=name))
         self.relays[name], self.ports[name] = relay, relay.ports[0]
-        self.reading.append(asyncio.ensure_future(self._read_log(relay)))
+        self.log_readers.append(asyncio.ensure_future(self._read_log(relay)))
 
     async def _read_log(self, relay: Program) -> None:
         assert relay.process.stderr
@@ -135,18 +135,20 @@
             relay.log.append(raw.decode().rstrip())
 
     async def restart_relay(self, name: str, number: signal.Signals) -> None:
-        """End a relay's process by a signal, and start it again under its name. Who is told to end is killed at the
-        earliest moment that the protocol allows."""
+        """Ends a relay's process by a signal, and starts it again under its name.
+
+        After SIGTERM it is killed at the earliest moment that the protocol allows.
+        """
         relay = self.relays.pop(name)
         if number is signal.SIGKILL:
             self.killed_relays.add(self.ports.pop(name))
         relay.process.send_signal(number)
         try:
-            status = await asyncio.wait_for(relay.process.wait(), KILL_S + BUSY_S)
+            status = await asyncio.wait_for(relay.process.wait(), KILL_AFTER_S + BUSY_S)
             if number is signal.SIGTERM and status:
                 self.violations.append(f"{name} ended with status {status}")
         except TimeoutError:
-            self.violations.append(f"{name} was there still {KILL_S + BUSY_S} s after SIGTERM")
+            self.violations.append(f"{name} was there still {KILL_AFTER_S + BUSY_S} s after SIGTERM")
             relay.process.kill()
             await relay.process.wait()
         self.ports.pop(name, None)
@@ -154,8 +156,8 @@
 
     # ---- clients
 
-    def come(self, clients: int, within_s: float) -> None:
-        """So many clients come, spread over a time, and stay until the end."""
+    def start_clients(self, clients: int, within_s: float) -> None:
+        """Starts clients, spread evenly over a time in seconds; they stay until the end."""
         for _ in range(clients):
             task = asyncio.ensure_future(self._client(self.random.uniform(0, within_s)))
             self.clients.add(task)
@@ -164,46 +166,46 @@
         is_reconnect = False
         while True:
             await asyncio.sleep(wait_s)
-            wait_s = self.random.uniform(*RETURN_S)
+            wait_s = self.random.uniform(*RECONNECT_S)
             if not self.ports:
                 continue
             name = self.random.choice(sorted(self.ports))
             with suppress(ConnectionError):
-                wait_s = await self._ask(name, is_reconnect, wait_s)
+                wait_s = await self._connect(name, is_reconnect, wait_s)
             is_reconnect = True
 
-    async def _ask(self, relay: str, is_reconnect: bool, wait_s: float) -> float:
-        """One connection, to its end; how long the client waits then."""
+    async def _connect(self, relay: str, is_reconnect: bool, wait_s: float) -> float:
+        """Makes one connection, to its end. Returns the seconds that the client waits then."""
         port = self.ports[relay]
         device = await LineDevice.connect(port)
         try:
             self.sent_by[f"{device.id:016x}"] = relay
-            began = time.monotonic()
+            began_s = time.monotonic()
             device.open(d=DEADLINE_MS, more=",again=1" if is_reconnect else "")
-            answer = await self._answer(device)
+            answer = await self._final_answer(device)
             self.answers[answer.split()[0] if answer else "nothing"] += 1
-            late = time.monotonic() - began > DEADLINE_MS / 1000 + BUSY_S
+            late = time.monotonic() - began_s > DEADLINE_MS / 1000 + BUSY_S
             if (late or not answer) and port not in self.killed_relays:
                 self.violations.append(f"{relay}: request {device.id:016x} got {answer!r}, late: {late}")
             if answer.startswith("UP"):
-                await self._served(device, answer[3:], port)
+                await self._stay(device, answer[3:], port)
             elif answer.startswith("BUSY "):
                 return float(answer.split()[1]) / 1000
             elif answer:
-                return NO_ADVICE_S
+                return NO_RETRY_AFTER_S
             return wait_s
         finally:
             device.writer.close()
 
-    async def _answer(self, device: LineDevice) -> str:
-        """The final answer; nothing where the connection is cut."""
+    async def _final_answer(self, device: LineDevice) -> str:
+        """The final answer, "" where the connection is cut."""
         with suppress(ConnectionError):
             return await device.line()
         return ""
 
-    async def _served(self, device: LineDevice, backend: str, port: int) -> None:
-        """Send a line now and then until the connection's end, and see that the end is an orderly one."""
-        self.standing += 1
+    async def _stay(self, device: LineDevice, backend: str, port: int) -> None:
+        """Sends a line now and then until the connection's end, and checks that the end is an orderly one."""
+        self.served_clients += 1
         warm_up = self.backends[backend].warm_up
         sending = asyncio.ensure_future(self._send_lines(device))
         moved = False
@@ -213,7 +215,7 @@
                     moved = moved or line in (b"MOVE\r\n", b"BYE\r\n")
         finally:
             sending.cancel()
-            self.standing -= 1
+            self.served_clients -= 1
         alive = self.backends[backend].warm_up is warm_up and not self.proxies[backend].closed
         if not moved and alive and port not in self.killed_relays:
             self.violations.append(f"a connection to {backend}, which serves, was cut off without MOVE")
@@ -222,10 +224,10 @@
         with suppress(ConnectionError):
             while True:
                 await asyncio.sleep(self.scene.line_s)
-                device.say("hello")
+                device.write_line("hello")
 
-    async def stand(self, clients: int) -> None:
-        """Wait until so many clients are served."""
-        async with asyncio.timeout(PATIENCE_S):
-            while self.standing < clients:
-                await asyncio.sleep(LOOK_S)
+    async def wait_until_served(self, clients: int) -> None:
+        """Waits until so many clients are served at once. Raises TimeoutError after HANG_TIMEOUT_S."""
+        async with asyncio.timeout(HANG_TIMEOUT_S):
+            while self.served_clients < clients:
+                await asyncio.sleep(POLL_S)
--- a/lab/fault_proxy.py
+++ b/lab/fault_proxy.py
@@ -1,6 +1,6 @@
-"""A TCP proxy that fails on purpose: connections that come up late, are reset before or under a request, or dribble.
+"""A TCP proxy with faults: connections that are late, are reset before or during a request, or dribble.
 
-It stands between relays and one backend. What a connection suffers is drawn from a seed when it comes.
+It stands between relays and one backend. A connection's faults are drawn from a seed as it is accepted.
 """
 
 from __future__ import annotations
@@ -11,23 +11,24 @@
 from dataclasses import dataclass
 from random import Random
 
-PIECE = 7  # bytes: of a line that dribbles
-PIECE_S = 0.004
+PIECE_BYTES = 7  # of a line that dribbles
+PIECE_INTERVAL_S = 0.004
+READ_BYTES = 65536
 
 
 @dataclass(frozen=True)
 class Faults:
-    """Chances, from 0 to 1, and times in seconds."""
+    """Probabilities from 0 to 1, and times in seconds."""
 
-    late: float = 0.0  # nothing is passed on for up to `late_s`
+    late: float = 0.0  # nothing is forwarded for up to `late_s`
     late_s: float = 0.12
-    reset_before: float = 0.0  # reset as soon as it stands
-    reset_under: float = 0.0  # reset once the request has been passed on
+    reset_before: float = 0.0  # reset as soon as it is accepted
+    reset_under: float = 0.0  # reset once the request has been forwarded
     dribble: float = 0.0  # the backend's first answer comes in pieces
 
 
 class FaultProxy:
-    """One backend's proxy."""
+    """The proxy of the backend at `port`."""
 
     def __init__(self, port: int, faults: Faults, seed: int) -> None:
         self.target = port
@@ -38,12 +39,12 @@
         self.closed = False
 
     async def open(self) -> int:
-        """Listen; the port."""
+        """Listens. Returns the port."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return int(self.server.sockets[0].getsockname()[1])
 
     def close(self) -> None:
-        """Vanish, with all connections."""
+        """Stops listening and resets all connections."""
         self.closed = True
         self.server.close()
         for writer in list(self.links):
@@ -82,29 +83,29 @@
             if dribble:
                 self.counts["dribbled"] += 1
                 await _dribble(await there_reader.readuntil(b"\n"), writer)
-            await _both(_pass(reader, there), _pass(there_reader, writer))
+            await _until_either_ends(_forward(reader, there), _forward(there_reader, writer))
         finally:
             there.close()
 
 
 async def _dribble(line: bytes, writer: asyncio.StreamWriter) -> None:
-    """Pass a line on in pieces."""
-    for at in range(0, len(line), PIECE):
-        writer.write(line[at : at + PIECE])
+    """Forwards a line in pieces."""
+    for at in range(0, len(line), PIECE_BYTES):
+        writer.write(line[at : at + PIECE_BYTES])
         await writer.drain()
-        await asyncio.sleep(PIECE_S)
+        await asyncio.sleep(PIECE_INTERVAL_S)
 
 
-async def _pass(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Pass all on, to the end."""
-    while data := await reader.read(65536):
+async def _forward(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Forwards all, to the end."""
+    while data := await reader.read(READ_BYTES):
         writer.write(data)
         await writer.drain()
 
 
-async def _both(*ways: object) -> None:
-    """Run both ways until one of them ends."""
-    tasks = [asyncio.ensure_future(way) for way in ways]  # type: ignore[call-overload]
+async def _until_either_ends(*directions: object) -> None:
+    """Runs both directions until one of them ends."""
+    tasks = [asyncio.ensure_future(direction) for direction in directions]  # type: ignore[call-overload]
     try:
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     finally:
--- a/lab/flood.py
+++ b/lab/flood.py
@@ -1,4 +1,4 @@
-"""Initials under made-up addresses: what a flood sends. Open loop, from loopback addresses nobody else uses.
+"""A flood of QUIC Initials from made-up loopback addresses, at a fixed rate whatever comes back.
 
 `python -m lab.flood HOST PORT RATE SECONDS [SOURCES]` prints how many were sent, as one JSON object.
 """
@@ -19,10 +19,11 @@
 from gradefront.quic.initials import open_initial, seal_initial
 
 STEP_S = 0.002
+PAYLOAD_BYTES = 1_162
 
 
 class Forge:
-    """Makes sound Initials of real clients, each with an id of its own, for the price of one encryption."""
+    """Makes valid Initials of clients, each with an id of its own, at the cost of one encryption."""
 
     def __init__(self) -> None:
         client = QuicConnection(configuration=QuicConfiguration(is_client=True, server_name="box.careshift.example"))
@@ -32,16 +33,16 @@
         assert opened
         self.client_id = packet.from_id
         frames = b"".join(b"\x06" + varint(at) + varint(len(text)) + text for at, text in opened.crypto)
-        self.payload = frames.ljust(1_162, b"\x00")
+        self.payload = frames.ljust(PAYLOAD_BYTES, b"\x00")
 
     def make(self, first_id: bytes = b"", token: bytes = b"") -> bytes:
-        """One datagram."""
+        """One datagram, with a random id unless one is given."""
         first_id = first_id or os.urandom(8)
         return seal_initial(V1, first_id, first_id, self.client_id, self.payload, from_client=True, token=token)
 
 
 def sources(count: int, rng: random.Random) -> list[socket.socket]:
-    """Sockets at loopback addresses, each of a network of its own."""
+    """Sockets at random loopback addresses, each of a network of its own."""
     made = []
     for _ in range(count):
         one = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -52,22 +53,22 @@
 
 
 def flood(front: tuple[str, int], rate: float, seconds: float, count: int, seed: int = 1) -> dict[str, float]:
-    """Send on time, whatever comes back. Sockets are many more than a second's datagrams from each."""
+    """Sends `rate` datagrams a second from `count` sockets. Returns counts of sent and not taken, and the rate."""
     rng = random.Random(seed)
-    forge, ways = Forge(), sources(count, rng)
-    began = time.monotonic()
+    forge, sockets = Forge(), sources(count, rng)
+    began_s = time.monotonic()
     sent = lost = 0
-    while (passed := time.monotonic() - began) < seconds:
-        while sent < passed * rate:
+    while (elapsed_s := time.monotonic() - began_s) < seconds:
+        while sent < elapsed_s * rate:
             try:
-                ways[rng.randrange(count)].sendto(forge.make(), front)
+                sockets[rng.randrange(count)].sendto(forge.make(), front)
             except OSError:
                 lost += 1
             sent += 1
-        time.sleep(STEP_S)  # a pace, not a wait for something
-    for one in ways:
+        time.sleep(STEP_S)
+    for one in sockets:
         one.close()
-    return {"sent": sent, "not_taken": lost, "rate": round(sent / (time.monotonic() - began), 1)}
+    return {"sent": sent, "not_taken": lost, "rate": round(sent / (time.monotonic() - began_s), 1)}
 
 
 if __name__ == "__main__":
--- a/lab/quic.py
+++ b/lab/quic.py
@@ -30,7 +30,7 @@
 
 FORM = IdForm(0, 2, 9)
 KEY = bytes(range(16))
-Where = tuple[str, int]
+Address = tuple[str, int]
 
 
 @cache
@@ -51,24 +51,26 @@
 
 
 class Endpoint:
-    """One connection and its timer, on either side."""
+    """One side of a connection, and its timer."""
 
     def __init__(self, connection: QuicConnection) -> None:
         self.connection = connection
         self.timer: asyncio.TimerHandle | None = None
         self.texts: dict[int, bytes] = {}
 
-    def send(self, datagram: bytes, to: Where) -> None:
+    def send(self, datagram: bytes, to: Address) -> None:
+        """Sends a datagram."""
         raise NotImplementedError
 
     def stream(self, stream_id: int, text: bytes) -> None:
+        """Called with all that came on a stream, at its end."""
         raise NotImplementedError
 
     def terminated(self, event: events.ConnectionTerminated) -> None:
-        """The connection is over."""
+        """Called at the end of the connection."""
 
     def transmit(self) -> None:
-        """Handle what happened, send what is due, set the timer."""
+        """Handles events, sends datagrams that are due, and sets the timer."""
         loop = asyncio.get_running_loop()
         while event := self.connection.next_event():
             if isinstance(event, events.StreamDataReceived):
@@ -109,7 +111,7 @@
         ours._host_cids[0] = QuicConnectionId(an_id, 0, reset_token(KEY, an_id), True)
         ours.host_cid = ours._local_initial_source_connection_id = an_id
         ours._replenish_connection_ids = self._replenish
-        self.addresses: set[Where] = set()
+        self.addresses: set[Address] = set()
 
     def _replenish(self) -> None:
         """Give out ids that name this backend."""
@@ -121,18 +123,23 @@
         for known in ours._host_cids:
             self.backend.by_id[known.cid] = self
 
-    def send(self, datagram: bytes, to: Where) -> None:
+    def send(self, datagram: bytes, to: Address) -> None:
+        """Sends a datagram, unless the backend is closed."""
         if not self.backend.wire.is_closing():
             self.backend.wire.sendto(datagram, to)
 
     def stream(self, stream_id: int, text: bytes) -> None:
+        """Answers a request with this backend's name."""
         self.backend.asked[text] += 1
         self.connection.send_stream_data(stream_id, self.backend.name.encode() + b" has " + text, end_stream=True)
 
 
 class QuicBackend(asyncio.DatagramProtocol):
-    """A backend that speaks QUIC. `mood`: serve, refuse, fail, or silent (what comes is kept). With
-    `token_keys` (by sequence: key and IV in hex) it reads the relay's Retry tokens."""
+    """A backend that speaks QUIC.
+
+    `mood` is serve, refuse, fail, or silent, which keeps all datagrams. With `token_keys` (by sequence: key and IV in
+    hex) it reads the relay's Retry tokens.
+    """
 
     def __init__(
         self, name: str, server_id: bytes, mood: str = "serve", token_keys: dict[Any, tuple[Any, Any]] | None = None
@@ -150,21 +157,24 @@
         self.initials: list[float] = []  # each datagram; a client's retransmits are part of one attempt
         self.tried: set[bytes] = set()
         self.asked: Counter[bytes] = Counter()
-        self.kept: list[tuple[bytes, Where]] = []
+        self.kept: list[tuple[bytes, Address]] = []
 
     async def open(self) -> None:
+        """Listens on a loopback port."""
         loop = asyncio.get_running_loop()
         self.wire, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=("127.0.0.1", 0))
         self.port = self.wire.get_extra_info("sockname")[1]
 
-    def told(self) -> dict[str, str]:
-        """Its entry in the front's file."""
+    def file_entry(self) -> dict[str, str]:
+        """This backend's entry in the front's file."""
         return {"server_id": self.server_id.hex(), "reset_key": KEY.hex(), "address": f"127.0.0.1:{self.port}"}
 
     def new_id(self) -> bytes:
+        """A connection id that names this backend."""
         return FORM.make(self.server_id)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
+        """Answers by the backend's mood."""
         header = pull_quic_header(Buffer(data=data), host_cid_length=FORM.length)
         first = header.packet_type is QuicPacketType.INITIAL and header.destination_cid not in self.by_id
         if first:
@@ -201,7 +211,7 @@
         return Served(self, header.destination_cid)
 
     def wake(self) -> None:
-        """Serve at last what was kept."""
+        """Serves from now on, first what was kept."""
         self.mood = "serve"
         kept, self.kept = self.kept, []
         for data, addr in kept:
@@ -235,7 +245,7 @@
         "on": True,
         "listen": {"visit-checkin": "127.0.0.1:0"},
         **({} if "ids" in more else older),
-        "boxes": {backend.name: backend.told() for backend in backends},
+        "boxes": {backend.name: backend.file_entry() for backend in backends},
         **more,
     }
 
@@ -243,7 +253,7 @@
 class Device(Endpoint, asyncio.DatagramProtocol):
     """A client. `hop` changes its source port."""
 
-    def __init__(self, front: Where, first_id: bytes | None = None) -> None:
+    def __init__(self, front: Address, first_id: bytes | None = None) -> None:
         super().__init__(
             QuicConnection(
                 configuration=QuicConfiguration(
@@ -259,13 +269,13 @@
         self.waiting: dict[int, asyncio.Future[bytes]] = {}
         self.over: asyncio.Future[events.ConnectionTerminated] = asyncio.get_running_loop().create_future()
         self.reset: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        self.heard = 0
-        self.first_heard = 0.0
+        self.received = 0
+        self.first_received_s = 0.0
         self.calm = asyncio.Event()
         self.wire: Any = None
 
     async def hop(self, fresh: bool = False) -> None:
-        """Take a new source port, and with `fresh` a new connection id at the same time."""
+        """Takes a new source port, and with `fresh` a new connection id at the same time."""
         if self.wire:
             # What is out on the old path may be lost with it. Hop after hop that adds up, on both sides, to more than
             # a backend may send to an address that it has not validated yet (RFC 9000 8.1): it would wait.
@@ -286,7 +296,7 @@
         (self.calm.clear if any(s.ack_eliciting_in_flight for s in self.connection._loss.spaces) else self.calm.set)()
 
     async def start(self) -> None:
-        """Send the first Initial."""
+        """Sends the first Initial."""
         await self.hop()
         self.connection.connect(self.front, asyncio.get_running_loop().time())
         self.transmit()
@@ -300,20 +310,24 @@
         answer: bytes = await soon(self.waiting[stream_id])
         return answer
 
-    def send(self, datagram: bytes, to: Where) -> None:
+    def send(self, datagram: bytes, to: Address) -> None:  # noqa: ARG002 - all goes to the front
+        """Sends a datagram to the front."""
         self.wire.sendto(datagram, self.front)
 
     def stream(self, stream_id: int, text: bytes) -> None:
+        """Hands an answer to whoever asked."""
         self.answers.setdefault(stream_id, []).append(text)
         self.waiting[stream_id].set_result(text)  # raises on a second answer
 
     def terminated(self, event: events.ConnectionTerminated) -> None:
+        """Keeps how the connection ended."""
         if not self.over.done():
             self.over.set_result(event)
 
-    def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.heard += 1
-        self.first_heard = self.first_heard or time.monotonic()
+    def datagram_received(self, data: bytes, addr: Any) -> None:  # noqa: ARG002 - asyncio's signature
+        """Notices a stateless reset, and leaves all else to the connection."""
+        self.received += 1
+        self.first_received_s = self.first_received_s or time.monotonic()
         known: Any = self.connection
         tokens = [known._peer_cid.stateless_reset_token]
         tokens += [c.stateless_reset_token for c in known._peer_cid_available]
@@ -325,7 +339,7 @@
         self.transmit()
 
     def close(self) -> None:
-        """Give everything back."""
+        """Closes the socket, without a word to the peer."""
         if self.timer:
             self.timer.cancel()
         self.wire.close()
--- a/lab/soak.py
+++ b/lab/soak.py
@@ -2,7 +2,7 @@
 
 `python -m lab.soak FIRST COUNT` plays so many seeds and prints a line for each; its status is 1 if any of them broke
 a rule. What is drawn: the fleet, the settings, a crowd, late and reset connections, signals in series, backends that
-end and come back under their names.
+end and start again under their names.
 """
 
 from __future__ import annotations
@@ -20,42 +20,44 @@
 from .fault_proxy import Faults
 from .slow_start_oracle import SlowStartRules
 
-PLAY_S = 8.0  # from the moment when the first clients are served
+RUN_S = 8.0  # from the moment when the first clients are served
 SIGNALS = (signal.SIGTERM, signal.SIGKILL, signal.SIGHUP)
-LONG_S = 90.0  # a run that takes longer hangs
-PARALLEL = 2  # runs at a time: more would make a machine late that has other work, too
+HANG_TIMEOUT_S = 90.0  # of a run
+PARALLEL = 2  # more runs at a time would be late on a machine with other work
+SIGNALS_PROBABILITY = 0.7
+CROWD_PROBABILITY = 0.6
 
 
 @dataclass(frozen=True)
 class Verdict:
-    """What one run showed."""
+    """The result of one run: the rules that it broke, answers by first word."""
 
     seed: int
     scene: Scene
     broken: tuple[str, ...]
     answers: dict[str, int]
-    most_used: float  # the highest part of what a backend in slow start bears that one was sent
+    max_used_share: float  # of what a backend in slow start is allowed, the most that one was sent
 
     def __str__(self) -> str:
         kept = "; ".join(self.broken) or "kept"
         return (
             f"seed {self.seed}: {self.scene.relays} relays, multiple {self.scene.rules.multiple:.1f},"
-            f" warm after {self.scene.rules.warm_s:.0f} s: {kept}; {self.answers}, used {self.most_used:.2f}"
+            f" warm after {self.scene.rules.warm_s:.0f} s: {kept}; {self.answers}, used {self.max_used_share:.2f}"
         )
 
 
 def scene_of(seed: int) -> Scene:
-    """The scene of a seed."""
+    """The scene of a seed. The order of the draws is part of it."""
     random = Random(seed)
     warm_s = random.uniform(15, 60)
     return Scene(
         relays=random.choice((2, 3, 4, 6, 8)),
         warm=random.randint(4, 7),
-        cold=random.randint(1, 3),
-        cold_age_s=random.uniform(0, 0.5) * warm_s,
-        fills=random.uniform(30, 80),
+        warming=random.randint(1, 3),
+        warming_age_s=random.uniform(0, 0.5) * warm_s,
+        full_connections=random.uniform(30, 80),
         work=random.choice((5_600.0, 80_000.0)),
-        short=random.choice((0.0, 0.0, 0.5, 1.0)),
+        short_share=random.choice((0.0, 0.0, 0.5, 1.0)),
         rules=SlowStartRules(random.uniform(0.05, 0.35), warm_s, random.uniform(1.5, 3.5), random.choice((0.5, 1.0))),
         seed=seed,
         lag_s=random.choice((0.0, 0.5, 1.2)),
@@ -66,8 +68,8 @@
     )
 
 
-async def _signals(fleet: Fleet, random: Random) -> None:
-    """Signals in a series: one relay after another, each to its end."""
+async def _send_signals(fleet: Fleet, random: Random) -> None:
+    """Sends signals to one relay after another, each to its end."""
     while True:
         await asyncio.sleep(random.uniform(0.1, 0.8))
         name, number = random.choice(sorted(fleet.relays)), random.choice(SIGNALS)
@@ -77,8 +79,8 @@
             await fleet.restart_relay(name, number)
 
 
-async def _backends(fleet: Fleet, random: Random) -> None:
-    """Backends end, some at once, and come back cold under their names."""
+async def _restart_backends(fleet: Fleet, random: Random) -> None:
+    """Ends some backends at once, and starts them again under their names."""
     scene = fleet.scene
     while True:
         await asyncio.sleep(random.uniform(0.5, 2.0))
@@ -90,38 +92,38 @@
             await fleet.add_backend(name, time.time())
 
 
-async def play(seed: int, folder: Path, seconds: float = PLAY_S) -> Verdict:
-    """Play one seed."""
+async def play(seed: int, folder: Path, seconds: float = RUN_S) -> Verdict:
+    """Runs the scene of one seed for some seconds, with its files in `folder`."""
     scene, random = scene_of(seed), Random(~seed)
     async with Fleet(scene, folder) as fleet:
-        fleet.come(int(scene.warm * scene.fills / 4), within_s=1.5)
-        await fleet.stand(10)
-        troubles = [asyncio.ensure_future(_backends(fleet, random))]
-        if random.random() < 0.7:
-            troubles.append(asyncio.ensure_future(_signals(fleet, random)))
-        if random.random() < 0.6:
-            fleet.come(random.randint(60, 160), within_s=0.8)
+        fleet.start_clients(int(scene.warm * scene.full_connections / 4), within_s=1.5)
+        await fleet.wait_until_served(10)
+        faults = [asyncio.ensure_future(_restart_backends(fleet, random))]
+        if random.random() < SIGNALS_PROBABILITY:
+            faults.append(asyncio.ensure_future(_send_signals(fleet, random)))
+        if random.random() < CROWD_PROBABILITY:
+            fleet.start_clients(random.randint(60, 160), within_s=0.8)
         try:
             await asyncio.sleep(seconds)
         finally:
-            for trouble in troubles:
-                trouble.cancel()
-            ends = await asyncio.gather(*troubles, return_exceptions=True)
+            for fault in faults:
+                fault.cancel()
+            ends = await asyncio.gather(*faults, return_exceptions=True)
         errors = [repr(end) for end in ends if isinstance(end, Exception)]
         errors += [line for relay in fleet.relays.values() for line in relay.log if "Traceback" in line]
         broken = (*map(str, fleet.falls), *fleet.violations, *errors)
-        most = max(warm_up.most_used for warm_up in fleet.warm_ups)
-        return Verdict(seed, scene, broken, dict(fleet.answers), most)
+        max_used_share = max(warm_up.max_used_share for warm_up in fleet.warm_ups)
+        return Verdict(seed, scene, broken, dict(fleet.answers), max_used_share)
 
 
 async def soak(first: int, many: int, parallel: int = PARALLEL) -> list[Verdict]:
-    """Play so many seeds, some at a time."""
-    room = asyncio.Semaphore(parallel)
+    """Runs `many` seeds from `first` on, `parallel` at a time. Prints and returns the verdicts."""
+    slots = asyncio.Semaphore(parallel)
 
     async def one(seed: int) -> Verdict:
-        async with room:
+        async with slots:
             with tempfile.TemporaryDirectory() as folder:
-                verdict = await asyncio.wait_for(play(seed, Path(folder)), LONG_S)
+                verdict = await asyncio.wait_for(play(seed, Path(folder)), HANG_TIMEOUT_S)
         print(verdict, flush=True)
         return verdict
 
@@ -129,8 +131,8 @@
 
 
 def main() -> int:
-    """The command line."""
-    first, many = (int(word) for word in sys.argv[1:3])
+    """The command line. Returns the exit status."""
+    first, many = (int(argument) for argument in sys.argv[1:3])
     verdicts = asyncio.run(soak(first, many))
     broken = [verdict.seed for verdict in verdicts if verdict.broken]
     print(f"{many - len(broken)} of {many} seeds kept all rules; broken: {broken}")
--- a/lab/stand_ins.py
+++ b/lab/stand_ins.py
@@ -1,4 +1,7 @@
-"""Stand-ins for the outside: discovery, backends, clients; and the program itself, started."""
+"""Stand-ins for discovery, backends and clients, and the relay program as a child process.
+
+Ports are on loopback. The settings and the wire are the platform's, so their names stay as its pages give them.
+"""
 
 from __future__ import annotations
 
@@ -15,15 +18,17 @@
 from pathlib import Path
 from typing import Any
 
-HERE = Path(__file__).resolve().parent.parent  # this checkout
-BUSY_S = 0.5  # what a machine that is busy with other work may add to a figure, without another verdict
-PATIENCE_S = 40.0  # against a hang only; no verdict rests on it
+CHECKOUT = Path(__file__).resolve().parent.parent
+BUSY_S = 0.5  # what other work on the machine may add to a measured time
+HANG_TIMEOUT_S = 40.0  # no verdict rests on it
+KEEP_ALIVE_S = 1.0  # between two empty lines of a watch; a relay waits 3 s for one
+LINE_LIMIT_BYTES = 1 << 20
 
 
-def settings(aim_ms: int = 300, deadline_ms: int = 1500, **permissions: object) -> dict[str, Any]:
-    """Settings in the platform's form."""
+def settings(objective_ms: int = 300, deadline_ms: int = 1500, **permissions: object) -> dict[str, Any]:
+    """Settings in the platform's form, with a latency objective and a deadline in milliseconds."""
     grade = {
-        "aimUs": aim_ms * 1000,
+        "aimUs": objective_ms * 1000,
         "deadlineUs": deadline_ms * 1000,
         "semantics": "safe",
         "keyScope": "all",
@@ -51,41 +56,41 @@
     }
 
 
-async def soon(what: Any) -> Any:
-    """Wait for something, but not for ever."""
-    return await asyncio.wait_for(what, PATIENCE_S)
-
-
-ALIVE_S = 1.0  # between two empty lines of a watch; a relay waits 3 s for one
+async def soon(awaitable: Any) -> Any:
+    """Awaits something. Raises TimeoutError after HANG_TIMEOUT_S."""
+    return await asyncio.wait_for(awaitable, HANG_TIMEOUT_S)
 
 
 class Discovery:
-    """The endpoint list's service: answers watches, and tells changes when the test says."""
+    """The endpoint list's service: answers watches, and publishes changes on the test's call."""
 
     def __init__(self) -> None:
         self.members: dict[str, dict[str, Any]] = {}
         self.revision = 1
         self.watches: list[asyncio.StreamWriter] = []
         self.asked = asyncio.Event()
-        self.silent = False  # says nothing while nothing changes, as one that is cut off
-        self.held = False  # takes calls and answers none of them until released
+        self.silent = False  # sends no keep-alive lines, as one that is cut off
+        self.held = False  # accepts calls but answers none until released
         self.called = asyncio.Event()
         self.released = asyncio.Event()
 
     def release(self) -> None:
-        """Answer the calls that wait, and all others."""
+        """Answers the held calls, and later ones at once."""
         self.held = False
         self.released.set()
 
     async def open(self) -> None:
+        """Listens, on a port of the system's choice."""
         self.server = await asyncio.start_server(self._watch, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
     @property
     def serves(self) -> bool:
+        """Whether it listens."""
         return hasattr(self, "server") and self.server.is_serving()
 
     def add(self, backend: str, port: int) -> None:
+        """Adds a backend to the list; nobody is notified."""
         self.members[backend] = {
             "id": backend,
             "host_port": f"127.0.0.1:{port}",
@@ -98,6 +103,7 @@
         }
 
     def list(self) -> dict[str, Any]:
+        """The complete list, in the platform's form."""
         return {"revision": self.revision, "complete": True, "members": list(self.members.values())}
 
     async def _watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -108,24 +114,24 @@
                 await self.released.wait()
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             self._chunk(writer, self.list())
-            self._alive(writer)
+            self._keep_alive(writer)
             self.watches.append(writer)
             self.asked.set()
 
-    def _alive(self, writer: asyncio.StreamWriter) -> None:
-        """An empty line now and then: a watch without one counts as cut off."""
+    def _keep_alive(self, writer: asyncio.StreamWriter) -> None:
+        """Writes an empty line now and then: a watch without one counts as cut off."""
         if not writer.is_closing() and not self.silent:
             writer.write(b"1\r\n\n\r\n")
-            asyncio.get_running_loop().call_later(ALIVE_S, self._alive, writer)
+            asyncio.get_running_loop().call_later(KEEP_ALIVE_S, self._keep_alive, writer)
 
     @staticmethod
-    def _chunk(writer: asyncio.StreamWriter, told: dict[str, Any]) -> None:
-        line = json.dumps(told).encode() + b"\n"
+    def _chunk(writer: asyncio.StreamWriter, message: dict[str, Any]) -> None:
+        line = json.dumps(message).encode() + b"\n"
         for part in (line[:7], line[7:]):  # chunks need not be whole lines
             writer.write(b"%x\r\n%s\r\n" % (len(part), part))
 
-    def tell(self, backend: str, phase: str) -> float:
-        """Tell a change to all who watch; returns when."""
+    def publish(self, backend: str, phase: str) -> float:
+        """Sends a change of phase to all watches. Returns the monotonic time in seconds."""
         self.members[backend]["phase"] = phase
         self.revision += 1
         change = {"revision": self.revision, "complete": False, "members": [dict(self.members[backend])]}
@@ -135,21 +141,25 @@
 
 
 class StandInBackend:
-    """A backend on the platform's lines. `answer` makes its reply to a first line; None is silence."""
+    """A backend on the platform's line protocol.
+
+    `answer` makes the reply to a first line: None is silence, "close" closes without one.
+    """
 
     def __init__(self, answer: Callable[[str], str | None]) -> None:
         self.answer = answer
         self.first_lines: list[str] = []
         self.writers: list[asyncio.StreamWriter] = []
         self.ended = asyncio.Event()
-        self.standing = 0  # connections that it serves
+        self.standing = 0  # connections that it serves now
 
     def load(self) -> float:
-        """What it reports when it is probed."""
+        """The load that it reports to a health check."""
         return 0.25
 
     async def open(self) -> int:
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=1 << 20)
+        """Listens. Returns the port."""
+        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=LINE_LIMIT_BYTES)
         return int(self.server.sockets[0].getsockname()[1])
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -178,14 +188,14 @@
         self.ended.set()
 
     def kill(self) -> None:
-        """Vanish as a machine that loses power: nothing listens, what stood is reset."""
+        """Vanishes as a machine without power: stops listening, resets all connections."""
         self.server.close()
         for writer in self.writers:
             writer.transport.abort()
 
 
 class LineDevice:
-    """A client on the platform's lines."""
+    """A client on the platform's line protocol."""
 
     OPEN = "OPEN {id:016x} 7f3a9c21e0b4d655 c=visit-checkin,d={d},g=5c0f6e1a2b3d4c59{more}"
     IDS = count(0x9B1F03AA5C7E2D41)  # each connection has a new one
@@ -197,43 +207,47 @@
 
     @classmethod
     async def connect(cls, port: int) -> LineDevice:
+        """A client that is connected to a relay's port."""
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
-    def say(self, line: str) -> None:
+    def write_line(self, line: str) -> None:
+        """Sends one line."""
         self.writer.write(line.encode() + b"\r\n")
 
     def open(self, d: int = 1500, more: str = "") -> None:
-        self.say(self.OPEN.format(id=self.id, d=d, more=more))
+        """Sends the first line: the deadline `d` in milliseconds, `more` as further fields."""
+        self.write_line(self.OPEN.format(id=self.id, d=d, more=more))
 
     async def line(self) -> str:
         """The next line, or "" at the end."""
         return str((await soon(self.reader.readline())).decode().removesuffix("\r\n"))
 
     async def rest(self) -> bytes:
-        """What still comes before the end, be that orderly or a reset."""
-        got = b""
+        """All bytes up to the end of the connection, be that orderly or a reset."""
+        received = b""
         with suppress(ConnectionResetError):
             while part := await soon(self.reader.read(1)):
-                got += part
-        return got
+                received += part
+        return received
 
     async def ask(self, line: str) -> str:
-        self.say(line)
+        """Sends a line. Returns the next one."""
+        self.write_line(line)
         return await self.line()
 
 
 class Program:
-    """The real program, started with a file of its own, its log read as it comes."""
+    """A running relay process, and its log as far as it was read."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
         self.log: list[str] = []
         self.ports: list[int] = []
-        self.door = 0  # the operators' port, where there is one
+        self.admin_port = 0  # 0 without an admin interface
 
     async def call(self, call: str) -> list[str]:
-        """Call at the admin interface; the lines of the answer."""
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.door)
+        """Makes a call at the admin interface. Returns the lines of the answer."""
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.admin_port)
         writer.write(call.encode() + b"\r\n")
         try:
             answer: bytes = await soon(reader.read())
@@ -241,14 +255,14 @@
         finally:
             writer.close()
 
-    async def figures(self) -> dict[str, float]:
-        """The figures, as any reader of Prometheus' form takes them."""
-        first, *told, last = await self.call("INFO")
+    async def metrics(self) -> dict[str, float]:
+        """The metrics by name, parsed as Prometheus' text form."""
+        first, *lines, last = await self.call("INFO")
         assert (first, last) == ("ok", "eof")
-        return {name: float(value) for name, value in (line.rsplit(" ", 1) for line in told)}
+        return {name: float(value) for name, value in (line.rsplit(" ", 1) for line in lines)}
 
     async def line(self, pattern: str) -> re.Match[str]:
-        """Read the log up to a line that matches."""
+        """Reads the log up to a line that matches a pattern. Fails if the process ends before it."""
         assert self.process.stderr
         while True:
             raw = await soon(self.process.stderr.readline())
@@ -258,13 +272,13 @@
                 return found
 
     async def counters(self) -> dict[str, int]:
-        """Ask for the counters by signal."""
+        """The counters, which the program logs at SIGUSR1."""
         self.process.send_signal(signal.SIGUSR1)
-        told: dict[str, int] = json.loads((await self.line(r"counters (\{.*\})")).group(1))
-        return told
+        counters: dict[str, int] = json.loads((await self.line(r"counters (\{.*\})")).group(1))
+        return counters
 
     async def stop(self) -> int:
-        """A planned stop."""
+        """Ends the program by SIGTERM. Returns its exit status."""
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
         assert self.process.stderr
@@ -272,11 +286,25 @@
         return int(await soon(self.process.wait()))
 
 
+def _write_files(
+    folder: Path, config: dict[str, Any], quic: dict[str, Any] | None, fleet: dict[str, Any] | None
+) -> dict[str, str]:
+    """Writes the program's files. Returns the environment that names them."""
+    files = {
+        "LB_CONFIG": ("config.json", config),
+        "GRADEFRONT_QUIC": ("quic.json", quic or {"on": False}),
+        "GRADEFRONT_FLEET": ("fleet.json", fleet or {"on": False}),
+    }
+    for name, content in files.values():
+        (folder / name).write_text(json.dumps(content))
+    return {variable: str(folder / name) for variable, (name, _) in files.items()}
+
+
 @asynccontextmanager
-async def program(
+async def program(  # noqa: PLR0913 - each caller names the few that it needs
     folder: Path,
     discovery: Discovery,
-    told: dict[str, Any],
+    platform_settings: dict[str, Any],
     quic: dict[str, Any] | None = None,
     admin: bool = False,
     listener: socket.socket | None = None,
@@ -284,14 +312,16 @@
     known: dict[str, Any] | None = None,
     fleet: dict[str, Any] | None = None,
     name: str = "n0",
-    tree: Path = HERE,
+    tree: Path = CHECKOUT,
     module: str = "gradefront",
     environment: dict[str, str] | None = None,
 ) -> AsyncIterator[Program]:
-    """Start the program; its ports are the system's choice. With a listener it inherits that; `shared` is the folder
-    that it has in common with other processes of its relay; `known` the list that it has from before;
-    `fleet` its file of the fleet; `tree` the checkout whose program it is, `module` what is run of it; `environment`
-    further variables."""
+    """Starts the program, with its files in `folder` and ports of the system's choice; kills it at the end.
+
+    With a `listener` it inherits that one. `shared` is the folder that it has in common with other processes of its
+    relay, `known` its cached endpoint list, `quic` and `fleet` are the contents of those files, `tree` is the
+    checkout and `module` the module that runs, `environment` adds variables.
+    """
     if not discovery.serves:  # another process may be watching it already
         await discovery.open()
     config = {
@@ -301,13 +331,9 @@
         "seed": "1f",
         "limits": {"sockets": 512},
         "known": known or discovery.list(),
-        "settings": told,
+        "settings": platform_settings,
+        **({"admin": "127.0.0.1:0"} if admin else {}),
     }
-    if admin:
-        config["admin"] = "127.0.0.1:0"
-    (folder / "config.json").write_text(json.dumps(config))
-    (folder / "quic.json").write_text(json.dumps(quic or {"on": False}))
-    (folder / "fleet.json").write_text(json.dumps(fleet or {"on": False}))
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -318,9 +344,7 @@
         env={
             **({"TMPDIR": str(shared)} if shared else {}),
             **({"LB_SOCKET_FD": str(listener.fileno())} if listener else {}),
-            "LB_CONFIG": str(folder / "config.json"),
-            "GRADEFRONT_QUIC": str(folder / "quic.json"),
-            "GRADEFRONT_FLEET": str(folder / "fleet.json"),
+            **_write_files(folder, config, quic, fleet),
             "PATH": "/usr/bin:/bin",
             **(environment or {}),
         },
@@ -332,7 +356,7 @@
         for _ in range(0 if listener else 1 + len((quic or {}).get("listen", ()))):
             running.ports.append(int((await running.line(r"listens on \S+:(\d+)")).group(1)))
         if admin:
-            running.door = int((await running.line(r"operators' door at \S+:(\d+)")).group(1))
+            running.admin_port = int((await running.line(r"operators' door at \S+:(\d+)")).group(1))
         yield running
     finally:
         if process.returncode is None:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -136,9 +136,9 @@
             device = await here.device()
             device.open()
             assert await device.line() == "UP r-1"
-            silent = await LineDevice.connect(relay.door)
+            silent = await LineDevice.connect(relay.admin_port)
             mute = await here.device()  # a crowd of these is not what the relay serves
-            told = await relay.figures()
+            told = await relay.metrics()
             assert told['svc_answered_total{group="visit-checkin"}'] == told["svc_sends_total"] == 1
             assert told['svc_answered_total{group="roster-feed"}'] == told["svc_cluster_unhealthy"] == 0
             assert told["svc_current"] == told["svc_cluster_size"] == 1
@@ -148,7 +148,7 @@
             for _ in range(3):  # new settings in the midst of a drain, in quick succession
                 relay.process.send_signal(signal.SIGHUP)
             await relay.line("configuration taken")
-            assert 1 <= (await relay.figures())["svc_conf_loaded_total"] <= 3
+            assert 1 <= (await relay.metrics())["svc_conf_loaded_total"] <= 3
             assert await relay.call("PING") == ["fail lame duck"]
             assert await device.ask("still") == "re:still"
             assert await device.line() == "MOVE" and await device.line() == ""
@@ -168,7 +168,7 @@
             environment = {
                 **os.environ,
                 "LB_CONFIG": str(tmp_path / "config.json"),
-                "LB_ADMIN": f"127.0.0.1:{here.relay.door}",
+                "LB_ADMIN": f"127.0.0.1:{here.relay.admin_port}",
             }
             done = await asyncio.to_thread(
                 subprocess.run,
--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -12,18 +12,18 @@
 from lab.conform import quic as conform
 from lab.link import Direction, Impairment
 
-TOWNS = ["forms", "retry", "classes", "ports", "unsound answer", "RFC 9000 13.2"]
+CASES = ["forms", "retry", "classes", "ports", "unsound answer", "RFC 9000 13.2"]
 
 
-@pytest.mark.parametrize("name", TOWNS)
+@pytest.mark.parametrize("name", CASES)
 def test_the_front_conforms(name: str) -> None:
-    told: list[Verdict] = []
-    verdicts = asyncio.run(conform.play([name], [], told.append))
-    assert told == verdicts and len(verdicts) >= 2
+    reported: list[Verdict] = []
+    verdicts = asyncio.run(conform.play([name], [], reported.append))
+    assert reported == verdicts and len(verdicts) >= 2
     assert [(v.case.name, v.said) for v in verdicts if not v.passed] == []
 
 
-def test_black_box_cases_need_nothing_but_an_address_and_a_silent_one_fails(tmp_path: Path) -> None:
+def test_cases_against_an_address_need_nothing_else_and_others_are_not_played(tmp_path: Path) -> None:
     async def against() -> list[Verdict]:
         async with conform.town("plain") as place:
             return await conform.play(["RFC 8999 6"], [place.front], lambda verdict: None)
@@ -34,8 +34,8 @@
     assert [v.passed for v in skipped] == [None]
     for out in (tmp_path / "t.json", tmp_path / "t.md"):
         write(verdicts, "quic", out)
-    told = json.loads((tmp_path / "t.json").read_text())
-    assert [c["verdict"] for c in told["cases"]] == ["pass"] * 6 and "6 of 6" in (tmp_path / "t.md").read_text()
+    table = json.loads((tmp_path / "t.json").read_text())
+    assert [c["verdict"] for c in table["cases"]] == ["pass"] * 6 and "6 of 6" in (tmp_path / "t.md").read_text()
 
 
 def test_a_case_that_does_not_hold_fails_and_says_why() -> None:
@@ -60,14 +60,14 @@
 def test_one_seed_does_the_same_to_the_same_traffic_and_keeps_its_rates() -> None:
     how = Impairment(loss=0.1, burst=3, duplicate=0.2, corrupt=0.1, jitter=0.02, mtu=1_000)
 
-    def fates(seed: str) -> list[list[tuple[float, bytes]]]:
+    def arrivals(seed: str) -> list[list[tuple[float, bytes]]]:
         from collections import Counter
 
-        way, counts = Direction(how, seed), Counter[str]()
-        return [way.fate(b"%d" % n * 50, counts) for n in range(5_000)]
+        direction, counts = Direction(how, seed), Counter[str]()
+        return [direction.arrivals(b"%d" % n * 50, counts) for n in range(5_000)]
 
-    first = fates("1 there")
-    assert first == fates("1 there") != fates("2 there")
+    first = arrivals("1 there")
+    assert first == arrivals("1 there") != arrivals("2 there")
     lost = sum(not f for f in first) / len(first)
     assert 0.07 < lost < 0.13
     runs = [len(r) for r in "".join("x" if not f else " " for f in first).split()]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -8,7 +8,7 @@
 
 
 def test_a_watch_on_the_stand_in_for_discovery_shows_signs_of_life() -> None:
-    """Guards against a relay that takes a slow test's watch for one cut off, and asks anew."""
+    """Guards against a relay that takes a slow test's watch for one that is cut off, and polls."""
 
     async def play() -> None:
         discovery = stand_ins.Discovery()
@@ -20,5 +20,5 @@
         writer.close()
         discovery.server.close()
 
-    assert stand_ins.ALIVE_S < 2.0, "what the protocol page tells relays to expect"
+    assert stand_ins.KEEP_ALIVE_S < 2.0, "what the protocol page tells relays to expect"
     asyncio.run(play())
--- a/tests/test_lost_model.py
+++ b/tests/test_lost_model.py
@@ -72,7 +72,7 @@
 
     @initialize(safe=st.booleans())
     def begin(self, safe: bool) -> None:
-        told = settings(aim_ms=200, deadline_ms=1200, maxAttempts=MOST_ATTEMPTS)
+        told = settings(objective_ms=200, deadline_ms=1200, maxAttempts=MOST_ATTEMPTS)
         for grade in told["grades"]:
             grade["semantics"] = "safe" if safe else "unsafe"
         self.safe = safe
--- a/tests/test_lost_requests.py
+++ b/tests/test_lost_requests.py
@@ -358,7 +358,7 @@
 def test_a_backend_whose_connection_shows_as_broken_may_have_run_what_was_sent(
     tmp_path: Path, number: int, call: str
 ) -> None:
-    told = settings(aim_ms=300, deadline_ms=1500)
+    told = settings(objective_ms=300, deadline_ms=1500)
     for grade in told["grades"]:
         grade["semantics"] = "unsafe"
     backend = Backend()
--- a/tests/test_moments_close.py
+++ b/tests/test_moments_close.py
@@ -125,7 +125,7 @@
 
 def test_an_attempt_given_up_leaves_no_bytes_that_could_still_arrive(tmp_path: Path) -> None:
     backends = [Backend(), Backend()]
-    loop = Loop(tmp_path, backends, settings(aim_ms=300, deadline_ms=3000))
+    loop = Loop(tmp_path, backends, settings(objective_ms=300, deadline_ms=3000))
     client = loop.client()
     taken = list[bytes]()
 
--- a/tests/test_moments_send.py
+++ b/tests/test_moments_send.py
@@ -29,7 +29,7 @@
 
 
 def stored_rules(effect: str, scope: str = "all", window_ms: int = 400, **more: Any) -> dict[str, Any]:
-    told = settings(**{"aim_ms": 300, "deadline_ms": 4000, **more})
+    told = settings(**{"objective_ms": 300, "deadline_ms": 4000, **more})
     for grade in told["grades"]:
         grade.update(semantics=effect, keyScope=scope, dedupWindowUs=window_ms * 1000)
     return told
@@ -118,7 +118,7 @@
 
 def test_an_attempt_given_up_before_it_came_up_never_writes_and_the_next_one_does(tmp_path: Path) -> None:
     backends = [Backend(), Backend()]
-    loop = Loop(tmp_path, backends, settings(aim_ms=300, deadline_ms=4000))
+    loop = Loop(tmp_path, backends, settings(objective_ms=300, deadline_ms=4000))
     client = loop.client()
     attempts = hold_connects(loop)
     loop.open(client, d=4000)
@@ -137,7 +137,7 @@
 @pytest.mark.parametrize("where", ["backoff", "connecting", "after a timeout to connect"])
 def test_clients_that_leave_by_hundreds_in_one_turn_are_not_sent_on(tmp_path: Path, where: str) -> None:
     backends = [Backend(), Backend()]
-    loop = Loop(tmp_path, backends, settings(aim_ms=600, deadline_ms=4000, maxAttempts=3))
+    loop = Loop(tmp_path, backends, settings(objective_ms=600, deadline_ms=4000, maxAttempts=3))
     many = 6 if where == "backoff" else 60
     clients = [loop.client() for _ in range(many)]
     attempts = hold_connects(loop)
@@ -191,7 +191,7 @@
     tmp_path: Path, answer: bytes, ends: bool, told: bytes, exact: bool
 ) -> None:
     backend = Backend()
-    loop = Loop(tmp_path, [backend], settings(aim_ms=300, deadline_ms=1500, maxAttempts=1))
+    loop = Loop(tmp_path, [backend], settings(objective_ms=300, deadline_ms=1500, maxAttempts=1))
     client = loop.client()
     loop.open(client)
     _, peer = first_at(loop, [backend])
@@ -213,7 +213,7 @@
 
 def test_an_answer_in_the_turn_in_which_its_time_is_over_counts_for_nothing(tmp_path: Path) -> None:
     backend = Backend()
-    loop = Loop(tmp_path, [backend], settings(aim_ms=300, deadline_ms=1500, maxAttempts=1))
+    loop = Loop(tmp_path, [backend], settings(objective_ms=300, deadline_ms=1500, maxAttempts=1))
     client = loop.client()
     loop.open(client)
     _, peer = first_at(loop, [backend])
@@ -351,7 +351,7 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     backend = Backend()
-    loop = Loop(tmp_path, [backend], settings(aim_ms=300, deadline_ms=1500, maxAttempts=1))
+    loop = Loop(tmp_path, [backend], settings(objective_ms=300, deadline_ms=1500, maxAttempts=1))
     _, served = loop.standing(backend)
     caplog.set_level("WARNING")
     served.send(b"LOAD much\r\n" * 300)
--- a/tests/test_quic_recovery.py
+++ b/tests/test_quic_recovery.py
@@ -227,7 +227,7 @@
         async with town("retry") as place:  # proven ones, so that the storm is of requests, not of noise
             drained = place.backends[0]
             assert drained in [(await place.standing_by_retry())[1] for _ in range(20)], "it is used before"
-            told = place.discovery.tell(drained.name, "DRAINING")
+            told = place.discovery.publish(drained.name, "DRAINING")
             late: list[float] = []
             storm = 0
             forge = Forge()
--- a/tests/test_quic_service.py
+++ b/tests/test_quic_service.py
@@ -94,7 +94,7 @@
             homes = [here.box_of(await d.ask("hello")) for d in old]
             drained = homes[0]
             before = len(drained.connections)
-            told = here.discovery.tell(drained.name, "DRAINING")
+            told = here.discovery.publish(drained.name, "DRAINING")
             new = went_on = 0
             while time.monotonic() < told + 1.2:
                 # Some of these ids happen to name the drained backend; they are requests all the same.
@@ -126,7 +126,7 @@
             over = await soon(device.over)
             assert over.error_code == QuicErrorCode.CONNECTION_REFUSED
             assert over.reason_phrase.startswith("BUSY")
-            assert device.first_heard - began < 1.5 + BUSY_S, "before the client gives up"
+            assert device.first_received_s - began < 1.5 + BUSY_S, "before the client gives up"
             sent = [len(b.tried) for b in here.backends]
             assert 1 <= sum(sent) <= 4, "at most four attempts, another push box each time"
             counts = await here.relay.counters()
@@ -138,17 +138,17 @@
 
 def test_silent_box_is_left_for_another_and_its_late_word_reaches_nobody(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["silent", "serve"], settings(aim_ms=150, deadline_ms=4000)) as here:
+        async with town(tmp_path, ["silent", "serve"], settings(objective_ms=150, deadline_ms=4000)) as here:
             silent, good = here.backends
             while not silent.initials:  # the first pick is random: come until it was the silent one
                 device = await here.device()
                 assert here.box_of(await device.ask("hello")) is good
-            heard = device.heard
+            received = device.received
             silent.wake()
             counts = await here.relay.counters()  # a round trip after the late answers were sent
             assert counts["ended: silent while sent"] >= 1
             assert await device.ask("again") == b"box-1 has again"
-            assert silent.connections and not silent.asked and device.heard > heard
+            assert silent.connections and not silent.asked and device.received > received
             assert counts["stood"] == counts["visits"] == counts["visits_now"]
 
     asyncio.run(play())
@@ -156,12 +156,12 @@
 
 def test_unsound_answers_do_not_count_and_the_deadline_is_kept(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["fail", "silent"], settings(aim_ms=200, deadline_ms=1000)) as here:
+        async with town(tmp_path, ["fail", "silent"], settings(objective_ms=200, deadline_ms=1000)) as here:
             began = time.monotonic()
             device = await here.device()
             over = await soon(device.over)
             assert over.error_code == QuicErrorCode.CONNECTION_REFUSED
-            assert device.first_heard - began < 1.0 + BUSY_S, "before the client gives up"
+            assert device.first_received_s - began < 1.0 + BUSY_S, "before the client gives up"
             counts = await here.relay.counters()
             assert counts["refused"] + counts.get("failed", 0) == 1 and counts["visits_now"] == 0
             assert counts["attempts"] <= 4
@@ -231,7 +231,7 @@
         async with town(tmp_path, ["serve"] * 2) as here:
             device = await here.device()
             home = here.box_of(await device.ask("hello"))
-            here.discovery.tell(home.name, "DELETED")
+            here.discovery.publish(home.name, "DELETED")
             await soon(device.reset)
             device.wire.sendto(b"\x40" + FORM.make(home.server_id) + b"late" * 10, here.front)
             fresh = await here.device()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -76,7 +76,7 @@
 
 def test_a_refused_visit_goes_elsewhere_and_a_full_fleet_is_answered_with_a_time(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["BUSY", "UP r-1"], settings(aim_ms=30, deadline_ms=4000)) as here:
+        async with town(tmp_path, ["BUSY", "UP r-1"], settings(objective_ms=30, deadline_ms=4000)) as here:
             while not here.backends[0].first_lines:  # the first pick is random: come until it was the full one
                 device = await here.device()
                 device.open(d=4000)
@@ -215,7 +215,7 @@
             began = time.monotonic()
             await soon(here.discovery.asked.wait())
             assert 1.5 < time.monotonic() - began < 6.0
-            here.discovery.tell("box-0", "DRAINING")
+            here.discovery.publish("box-0", "DRAINING")
             await here.relay.line("box-0 drains")
             for _ in range(6):
                 device = await here.device()
@@ -295,7 +295,7 @@
                     writer.close()
                 assert len(old.watches) == watched, "the old address got a new connection"
                 here.discovery = new
-            here.discovery.tell("box-0", "DRAINING")
+            here.discovery.publish("box-0", "DRAINING")
             await relay.line("box-0 drains")
             for _ in range(6):
                 fresh = await here.device()
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -177,12 +177,12 @@
             await reload_and_await("classes night-call, roster-feed, 2 attempts")
             await soon(moved.asked.wait())  # one file may change both
             new, dropped = await here.device(), await here.device()
-            new.say(new.OPEN.format(id=new.id, d=1500, more="").replace("visit-checkin", "night-call"))
+            new.write_line(new.OPEN.format(id=new.id, d=1500, more="").replace("visit-checkin", "night-call"))
             assert await new.line() == "UP r-1"
             dropped.open()
             assert await dropped.line() == "ERR"
             assert await old.ask("still") == "re:still"
-            told = await relay.figures()
+            told = await relay.metrics()
             assert told["svc_conf_invalid_total"] == 4 and told["svc_conf_loaded_total"] == 1
             assert told['svc_answered_total{group="night-call"}'] == 1
             assert told['svc_answered_total{group="visit-checkin"}'] == 1, "a dropped class keeps its counts"
--- a/tests/test_slow_start_model.py
+++ b/tests/test_slow_start_model.py
@@ -207,5 +207,5 @@
 
 def test_a_server_in_slow_start_is_of_use_while_there_is_work() -> None:
     """Guards against a budget that is kept by sending nothing: in the mean over the draws, half of what may come."""
-    used = [played(seed).warm_ups[f"c{n}"].most_used for seed in range(100, 124) for n in range(COLD)]
+    used = [played(seed).warm_ups[f"c{n}"].max_used_share for seed in range(100, 124) for n in range(COLD)]
     assert sum(used) / len(used) >= 0.5, f"{sum(used) / len(used):.2f}"
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -16,4 +16,4 @@
     verdicts = asyncio.run(soak.soak(first, SEEDS))
     assert not [str(verdict) for verdict in verdicts if verdict.broken]
     assert sum(verdict.answers.get("UP", 0) for verdict in verdicts) > 200, "clients are served meanwhile"
-    assert max(verdict.most_used for verdict in verdicts) > 0.4, "backends in slow start are of use meanwhile"
+    assert max(verdict.max_used_share for verdict in verdicts) > 0.4, "backends in slow start are of use meanwhile"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -179,7 +179,7 @@
                 one.writer.close()
 
         async with Handing(tmp_path, shared=False) as here:
-            told = settings(aim_ms=1000, deadline_ms=4000)
+            told = settings(objective_ms=1000, deadline_ms=4000)
             old = await here.start("old", told)
             port = old.ports[0]
             devices = [asyncio.ensure_future(device(port)) for _ in range(20)]
@@ -193,7 +193,7 @@
             with suppress(OSError):  # it may be gone already
                 assert (await old.call("LAMEDUCK"))[:1] in ([], ["ok leaving"])
             assert await old.stop() == 0
-            assert (await new.figures())["svc_current"] >= 20
+            assert (await new.metrics())["svc_current"] >= 20
             third = await here.start("third", told)  # an upgrade right after another
             assert await new.stop() == 0
             third.process.send_signal(signal.SIGTERM)
@@ -238,12 +238,12 @@
                 device.writer.write(b"ne\r\n")
                 writer.write(b"lf back\r\n")
                 assert {await device.line(), await device.line()} == {"re:half a line", "and half back"}
-            assert (await new.figures())["svc_current"] == 30
+            assert (await new.metrics())["svc_current"] == 30
             devices[0].writer.close()
             await soon(here.backend.ended.wait())
             here.backend.writers[1].close()
             assert await devices[1].line() == ""
-            third = await here.start("third", settings(aim_ms=200, deadline_ms=4000))  # under other rules
+            third = await here.start("third", settings(objective_ms=200, deadline_ms=4000))  # under other rules
             assert await new.stop() == 0
             assert [await device.line() for device in devices[2:]] == ["MOVE"] * 28
             assert (await third.counters())["visits_now"] == 0
