--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The same random steps in every run: a verdict must not depend on the day."""
+"""Hooks for KNOWN-RED.txt, and hypothesis with the same random steps in every run."""
 
 from hypothesis import settings
 
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -1,4 +1,4 @@
-"""System calls that fail as the manual pages say: a socket under a transport, whose calls a test scripts."""
+"""A socket under a transport, whose system calls a test makes fail as the manual pages say."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 def failure(number: int) -> OSError:
-    """What a system call that fails with this number raises."""
+    """The exception of a system call that fails with this error number."""
     return OSError(number, os.strerror(number))
 
 
 class FaultySocket:
-    """A socket of which chosen calls fail or fall short; all else goes to the real one."""
+    """A socket of which chosen calls fail or are partial; all else goes to the real one."""
 
     def __init__(self, real: socket.socket) -> None:
         self.real = real
-        self.errors: dict[str, list[int]] = {}  # by call: the errors that the next calls give, in order
-        self.room: int | None = None  # bytes that `send` still takes; None: as the kernel says
-        self.piece: int | None = None  # bytes that one `send` takes at most
+        self.errors: dict[str, list[int]] = {}  # by call: error numbers of the next calls, in order
+        self.send_capacity: int | None = None  # bytes that `send` still accepts; None: as the kernel says
+        self.max_send: int | None = None  # bytes that one `send` accepts at most
         self.on_send: Callable[[], None] = lambda: None  # called before each `send`
 
     def __getattr__(self, name: str) -> Any:
@@ -47,18 +47,18 @@
     def send(self, data: Any, flags: int = 0) -> int:
         self.on_send()
         self._fails("send")
-        piece = bytes(data)
-        if self.piece is not None:
-            piece = piece[: self.piece]
-        if self.room is not None:
-            piece = piece[: self.room]
-            if not piece and len(data):
+        part = bytes(data)
+        if self.max_send is not None:
+            part = part[: self.max_send]
+        if self.send_capacity is not None:
+            part = part[: self.send_capacity]
+            if not part and len(data):
                 raise failure(errno.EAGAIN)
-            self.room -= len(piece)
-        return self.real.send(piece, flags)
+            self.send_capacity -= len(part)
+        return self.real.send(part, flags)
 
 
 def faulty(transport: Any) -> FaultySocket:
-    """Put a socket whose calls can fail under a transport."""
+    """Puts a FaultySocket under a transport, and returns it."""
     transport.socket = FaultySocket(transport.socket)
     return transport.socket  # type: ignore[no-any-return]
--- a/tests/loop.py
+++ b/tests/loop.py
@@ -1,7 +1,7 @@
-"""A relay in this process, on real sockets, whose loop and clock only move when the test says.
+"""A relay in this process, on real sockets, whose loop and clock only move on the test's call.
 
-A bad order is made, not hoped for: the test says which of the sockets that are ready the loop sees, in which order,
-and when. Waits are for bytes that are under way on loopback, never for time to pass.
+The test sets which of the ready sockets the loop sees, in which order and when. Waits are for bytes that are under
+way on loopback, never for time to pass. Times ending in `_us` are microseconds of the test's clock.
 """
 
 from __future__ import annotations
@@ -24,20 +24,20 @@
 from gradefront.serve import Relay
 from lab.stand_ins import settings
 
-LONG_S = 10.0  # against a hang only
+HANG_TIMEOUT_S = 10.0
 IDS = count(0x1000)
 OPEN = "OPEN {id:016x} 7f3a9c21e0b4d655 c={c},d={d},g=5c0f6e1a2b3d4c59"
 
 
-def arrived(sock: socket.socket, what: int = select.POLLIN) -> None:
-    """Wait until what is under way to a socket is there."""
+def arrived(sock: socket.socket, events: int = select.POLLIN) -> None:
+    """Waits until a socket is ready, by default until bytes that are under way have arrived."""
     poll = select.poll()
-    poll.register(sock, what)
-    assert poll.poll(LONG_S * 1000), "nothing came"
+    poll.register(sock, events)
+    assert poll.poll(HANG_TIMEOUT_S * 1000), "nothing came"
 
 
-class Order:
-    """What the loop sees of the sockets that are ready: all but the held ones, the first ones first."""
+class ReadyOrder:
+    """A poller that reports ready sockets in a set order: all but the `held` ones, those in `first` first."""
 
     def __init__(self, poller: Any) -> None:
         self.poller = poller
@@ -46,29 +46,32 @@
         self.register, self.modify = poller.register, poller.modify
         self.unregister, self.close = poller.unregister, poller.close
 
-    def poll(self, timeout: float, most: int) -> list[tuple[int, int]]:
-        ready = [(fd, what) for fd, what in self.poller.poll(timeout, 1024) if fd not in self.held]
-        return sorted(ready, key=lambda e: self.first.index(e[0]) if e[0] in self.first else len(self.first))
+    def poll(self, timeout: float, _max_events: int) -> list[tuple[int, int]]:
+        """The (descriptor, events) pairs of ready sockets that the loop may see."""
+        ready = [(fd, events) for fd, events in self.poller.poll(timeout, 1024) if fd not in self.held]
+        return sorted(ready, key=lambda r: self.first.index(r[0]) if r[0] in self.first else len(self.first))
 
 
 class Peer:
-    """The other end of a connection."""
+    """The other end of a connection; `got` is all that it received."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        sock.settimeout(LONG_S)
+        sock.settimeout(HANG_TIMEOUT_S)
         self.got = b""
         self.reset = False
         self.ended = False
 
     def send(self, data: str | bytes) -> None:
+        """Sends all of it."""
         self.sock.sendall(data.encode() if isinstance(data, str) else data)
 
     def line(self, text: str) -> None:
+        """Sends a line."""
         self.send(text + "\r\n")
 
     def read(self) -> bytes:
-        """All that is here now, and whether the end is; does not wait."""
+        """All that has arrived so far, noting an end or a reset; does not wait."""
         self.sock.setblocking(False)
         with suppress(BlockingIOError):
             while not self.ended:
@@ -79,21 +82,22 @@
                     break
                 self.got += part
                 self.ended = not part
-        self.sock.settimeout(LONG_S)
+        self.sock.settimeout(HANG_TIMEOUT_S)
         return self.got
 
     def close(self, reset: bool = False) -> None:
+        """Closes the connection, by a reset if asked to."""
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         self.sock.close()
 
 
 class Backend:
-    """A listener; the test answers for it by hand."""
+    """A listener whose connections the test answers by hand."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=64)
-        self.listener.settimeout(LONG_S)
+        self.listener.settimeout(HANG_TIMEOUT_S)
         self.port = int(self.listener.getsockname()[1])
 
     @property
@@ -102,17 +106,18 @@
         return bool(select.select([self.listener], [], [], 0)[0])
 
     def accept(self) -> Peer:
+        """The backend's end of the next connection."""
         return Peer(self.listener.accept()[0])
 
 
 class Loop:
-    """The relay, its loop and its clock."""
+    """A relay, its loop and its clock. `phases` are the backends' by number, SERVING where none is given."""
 
     def __init__(
         self,
         folder: Path,
         backends: list[Backend],
-        told: dict[str, Any] | None = None,
+        platform_settings: dict[str, Any] | None = None,
         discovery: Backend | None = None,
         phases: dict[int, str] | None = None,
         admin: str | None = None,
@@ -121,7 +126,7 @@
         self.discovery = discovery or Backend()
         self.reactor = cast(Any, RelayReactor)()
         self.reactor.seconds = lambda: self.now_us / 1e6
-        self.order = self.reactor._poller = Order(self.reactor._poller)
+        self.order = self.reactor._poller = ReadyOrder(self.reactor._poller)
         self.stopped = 0
         self.reactor.stop = self._stop
         self.folder = folder
@@ -142,18 +147,18 @@
                 for n, b in enumerate(backends)
             ],
         }
-        self.told = {
+        self.config = {
             "name": "n0",
             "listen": "127.0.0.1:0",
             "discovery": f"127.0.0.1:{self.discovery.port}",
             "seed": "1f",
             "limits": {"sockets": 512},
             "known": self.known,
-            "settings": told or settings(),
+            "settings": platform_settings or settings(),
             **({"admin": admin} if admin else {}),
         }
         self.relay = Relay(
-            parse(json.loads(json.dumps(self.told)), {}), None, self.reactor, clock=lambda: self.now_us
+            parse(json.loads(json.dumps(self.config)), {}), None, self.reactor, clock=lambda: self.now_us
         )
         self.core = self.relay.core
         self.step()
@@ -165,24 +170,24 @@
                 end.loseConnection()
 
     def step(self, times: int = 1) -> None:
-        """So many turns of the loop, as fast as it goes."""
+        """Runs turns of the loop, without waiting."""
         for _ in range(times):
             self.reactor.runUntilCurrent()
             self.reactor.doIteration(0)
         self.reactor.runUntilCurrent()
 
     def until(self, done: Callable[[], Any]) -> Any:
-        """Turns of the loop until something is so; each waits for a socket for a moment."""
+        """Runs turns of the loop until `done` returns something true, and returns that. Fails after 400 turns."""
         for _ in range(400):
-            if got := done():
-                return got
+            if result := done():
+                return result
             self.reactor.runUntilCurrent()
             self.reactor.doIteration(0.02)
             self.reactor.runUntilCurrent()
         raise AssertionError("it never was so")
 
     def wait(self, us: int, tick_us: int = 4_000) -> bool:
-        """Let the clock run, with a turn of the loop each tick. False, so that it can stand before an `or`."""
+        """Moves the clock, with a turn of the loop each tick. Returns False, so that it can stand before an `or`."""
         end = self.now_us + us
         while self.now_us < end:
             self.now_us = min(end, self.now_us + tick_us)
@@ -190,15 +195,15 @@
         return False
 
     def release(self) -> bool:
-        """Nothing is held any more. False, as `wait` says it."""
+        """Holds no socket any more. Returns False, as `wait` does."""
         self.order.held.clear()
         return False
 
     def client(self) -> Peer:
-        """A device that has connected and is at the door."""
+        """A client that has connected and has sent nothing yet."""
         port = self.relay.port.getHost().port
         before = set(self.relay.front.pre_request)
-        peer = Peer(socket.create_connection(("127.0.0.1", port), LONG_S))
+        peer = Peer(socket.create_connection(("127.0.0.1", port), HANG_TIMEOUT_S))
         self.until(lambda: set(self.relay.front.pre_request) - before)
         return peer
 
@@ -212,13 +217,13 @@
         raise AssertionError("the relay has no such connection")
 
     def open(self, peer: Peer, d: int = 1500, c: str = "visit-checkin") -> None:
-        """A device's first line, seen by the loop."""
+        """Sends a client's first line, and waits until the loop has seen it."""
         side = self.side(peer)
         peer.line(OPEN.format(id=next(IDS), d=d, c=c))
         self.until(lambda: side.connection or side.closing)
 
     def standing(self, backend: Backend) -> tuple[Peer, Peer]:
-        """A device that is served: its end, and the backend's."""
+        """A client that is served: its end, and the backend's."""
         client = self.client()
         self.open(client)
         self.until(lambda: backend.called)
@@ -231,32 +236,32 @@
         return client, at_backend
 
     def leave(self) -> None:
-        """SIGTERM."""
+        """Begins a graceful shutdown, as SIGTERM does."""
         self.relay.leave()
         self.step()
 
 
 @contextmanager
 def guarded() -> Iterator[None]:
-    """What does not end is an error, not a hang of the tests, whoever catches what is raised to end it."""
-    hung = list[int]()
+    """Fails what does not end, even if it catches the exception that is raised to end it."""
+    alarms = list[int]()
 
-    def hangs(number: int, frame: object) -> None:
-        hung.append(number)
+    def on_alarm(number: int, frame: object) -> None:
+        alarms.append(number)
         raise AssertionError("it does not end")
 
-    before = signal.signal(signal.SIGALRM, hangs)
-    signal.setitimer(signal.ITIMER_REAL, LONG_S)
+    before = signal.signal(signal.SIGALRM, on_alarm)
+    signal.setitimer(signal.ITIMER_REAL, HANG_TIMEOUT_S)
     try:
         yield
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0)
         signal.signal(signal.SIGALRM, before)
-    assert not hung, "it did not end by itself"
+    assert not alarms, "it did not end by itself"
 
 
 def hold_connects(loop: Loop) -> list[Attempt]:
-    """From now on connections to backends don't come up, as far as the loop sees. The attempts, as they begin."""
+    """Hides from the loop that connections to backends come up. Returns the list of attempts, which grows."""
     attempts = list[Attempt]()
     call = loop.relay.front.connector.connect
 
--- a/tests/stepped.py
+++ b/tests/stepped.py
@@ -1,5 +1,7 @@
-"""The program under a wall clock that a signal steps, as an administrator or a time service steps it: SIGUSR2 by
-STEP_S seconds. The monotonic clock runs on. Run as `python -m tests.stepped` in place of `python -m gradefront`."""
+"""The program under a wall clock that SIGUSR2 steps by STEP_S seconds, as an administrator or a time service would.
+
+The monotonic clock runs on. Run as `python -m tests.stepped` in place of `python -m gradefront`.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -24,7 +24,7 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
             free.bind(("127.0.0.1", 0))
             ports[name] = free.getsockname()[1]
-    told = settings(peers=True)
+    platform_settings = settings(peers=True)
 
     async def start(name: str) -> Program:
         home = folder / f"{name}-{len(list(folder.iterdir()))}"
@@ -35,7 +35,7 @@
             "keys": [{"id": 1, "key_file": str(key)}],
             "peers": {n: f"127.0.0.1:{p}" for n, p in ports.items()},
         }
-        return await stack.enter_async_context(program(home, Discovery(), told, fleet=file, name=name))
+        return await stack.enter_async_context(program(home, Discovery(), platform_settings, fleet=file, name=name))
 
     return {name: await start(name) for name in names}, start
 
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -140,12 +140,12 @@
     served = backend.accept()
     loop.until(lambda: served.read().endswith(b"\r\n"))
     sock = faulty(loop.side(client).wire)
-    sock.room = room
+    sock.send_capacity = room
     served.send(b"UP r-1\r\none line\r\n")
     served.close(reset=end == "reset")
     loop.until(lambda: not loop.core.connections)
     loop.step(2)
-    sock.room = None
+    sock.send_capacity = None
     loop.until(lambda: client.read() and client.ended)
     assert client.got == b"UP r-1\r\none line\r\n"
 
@@ -166,13 +166,13 @@
     loop = Loop(tmp_path, [backend])
     client, _ = loop.standing(backend)
     sock = faulty(loop.side(client).wire)
-    sock.room = 0
+    sock.send_capacity = 0
     began = loop.now_us
     loop.leave()
     kill_us = loop.core.lifecycle.kill_us
     loop.wait(kill_us - 150_000)
     assert not loop.stopped, "its client has not been sent its last word"
-    sock.room = None
+    sock.send_capacity = None
     loop.until(lambda: loop.wait(4_000) or loop.stopped)
     assert loop.stopped - began < kill_us - 50_000
     assert client.read() == b"MOVE\r\n" and not client.reset
--- a/tests/test_lost_model.py
+++ b/tests/test_lost_model.py
@@ -29,9 +29,9 @@
 from gradefront.net.client_protocol import ClientProtocol
 from lab.stand_ins import settings
 
-from .asking import Asking, Sent
 from .faults import FaultySocket, faulty
 from .loop import Backend, Loop, Peer, arrived
+from .lost_model_records import AttemptSocket, ClientRecord
 
 PASSING = [errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN]
 ACCEPT = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ECONNABORTED, errno.EPROTO]
@@ -61,9 +61,9 @@
     def __init__(self) -> None:
         super().__init__()
         self.numbers = count(0x1000)
-        self.clients: list[Asking] = []
+        self.clients: list[ClientRecord] = []
         self.backend_ends: dict[int, Peer] = {}  # by the relay's port on that connection
-        self.attempts: list[Sent] = []
+        self.attempts: list[AttemptSocket] = []
         self.draining: set[int] = set()  # ports of backends that the relay was told of
         self.piece: int | None = None
         self.wrong: list[str] = []
@@ -80,8 +80,8 @@
         made, oracle = BackendProtocol.connectionMade, self
 
         def recorded(line: BackendProtocol) -> None:
-            sent = line.wire.socket = Sent(line.wire.socket, oracle.request_left)
-            sent.room = oracle.piece
+            sent = line.wire.socket = AttemptSocket(line.wire.socket, oracle.request_left)
+            sent.send_capacity = oracle.piece
             oracle.attempts.append(sent)
             made(line)
 
@@ -89,25 +89,25 @@
         self.patch.start()
         self.loop = Loop(Path(self.folder.name), self.backends, told)
         faulty(self.loop.relay.port)
-        (Path(self.folder.name) / "config.json").write_text(json.dumps(self.loop.told))
+        (Path(self.folder.name) / "config.json").write_text(json.dumps(self.loop.config))
 
     # ---- the oracle
 
-    def request_left(self, sent: Sent) -> None:
+    def request_left(self, sent: AttemptSocket) -> None:
         """A request has left whole, at this very system call."""
-        client = next(c for c in self.clients if c.id == sent.left[5:21])
-        if client.left:
+        client = next(c for c in self.clients if c.id == sent.written[5:21])
+        if client.half_closed:
             self.wrong.append("sent on after its client had ended")
-        if client.disturbed:
+        if client.broke_protocol:
             self.wrong.append("sent on for one that has its error")
         if sent.port in self.draining:
             self.wrong.append("sent to a backend that drains")
-        if any(other.out for other in client.served):
+        if any(other.in_flight for other in client.attempts):
             self.wrong.append("two attempts out at once")
-        if not self.safe and any(not other.refused for other in client.served):
+        if not self.safe and any(not other.rejected for other in client.attempts):
             self.wrong.append("an effect doubled")
-        client.served.append(sent)
-        if len(client.served) > MOST_ATTEMPTS:
+        client.attempts.append(sent)
+        if len(client.attempts) > MOST_ATTEMPTS:
             self.wrong.append("one attempt too many")
 
     def check(self) -> None:
@@ -121,7 +121,7 @@
                 assert lines[1:] == [b""], f"more than one answer: {lines!r}"
             if lines.count(b"MOVE"):
                 assert lines[-2:] == [b"MOVE", b""], "something after MOVE"
-            if client.asked and not client.gone and self.loop.now_us > client.due_us and client.peer.sock:
+            if client.requested and not client.closed and self.loop.now_us > client.due_us and client.peer.sock:
                 assert heard, "no answer in its time"
 
     def settle(self) -> None:
@@ -134,8 +134,8 @@
                     self.backend_ends[peer.sock.getpeername()[1]] = peer
         self.check()
 
-    def pick(self, n: int) -> Asking | None:
-        able = [c for c in self.clients if not c.gone]
+    def pick(self, n: int) -> ClientRecord | None:
+        able = [c for c in self.clients if not c.closed]
         return able[n % len(able)] if able else None
 
     # ---- clients
@@ -146,15 +146,15 @@
         if self.stopping:
             return
         port = self.loop.relay.port.getHost().port
-        client = Asking(next(self.numbers), Peer(socket.create_connection(("127.0.0.1", port))))
+        client = ClientRecord(next(self.numbers), Peer(socket.create_connection(("127.0.0.1", port))))
         self.clients.append(client)
         if asks:
             self.ask(client, d)
         self.settle()
 
-    def ask(self, client: Asking, d: int) -> None:
+    def ask(self, client: ClientRecord, d: int) -> None:
         client.peer.line(f"OPEN {client.id.decode()} 7f3a9c21e0b4d655 c=visit-checkin,d={d},g=5c0f6e1a2b3d4c59")
-        client.asked = True
+        client.requested = True
         client.due_us = self.loop.now_us + d * 1000 + 60_000  # an accept that failed may take some ms
 
     @rule(n=NUMBERS)
@@ -167,16 +167,22 @@
     @rule(n=NUMBERS, d=st.sampled_from([300, 900]))
     def client_asks(self, n: int, d: int) -> None:
         client = self.pick(n)
-        if client and not client.asked and not client.left and not client.lines():
+        if client and not client.requested and not client.half_closed and not client.lines():
             client.peer.read()
-        if client and not client.asked and not client.left and not client.peer.got and not client.peer.ended:
+        if (
+            client
+            and not client.requested
+            and not client.half_closed
+            and not client.peer.got
+            and not client.peer.ended
+        ):
             self.ask(client, d)
             self.settle()
 
     @rule(n=NUMBERS, what=st.sampled_from([b"a message\r\n", b"half", b"x" * 5000]))
     def client_says_more(self, n: int, what: bytes) -> None:
         client = self.pick(n)
-        if client and client.asked and not client.left and not client.peer.ended:
+        if client and client.requested and not client.half_closed and not client.peer.ended:
             waits = not client.peer.read()
             if waits and what != b"half":
                 self.settle()
@@ -186,23 +192,25 @@
             except ConnectionError:
                 return
             self.settle()
-            client.disturbed = client.disturbed or (waits and what != b"half" and client.lines()[0] == b"ERR")
+            client.broke_protocol = client.broke_protocol or (
+                waits and what != b"half" and client.lines()[0] == b"ERR"
+            )
 
     @rule(n=NUMBERS, how=st.sampled_from(["close", "reset", "half"]), seen=st.booleans())
     def client_ends(self, n: int, how: str, seen: bool) -> None:
         client = self.pick(n)
-        if client is None or client.left:
+        if client is None or client.half_closed:
             return
         self.settle()  # what was under way before is judged as before
-        client.left = True
+        client.half_closed = True
         try:
             if how == "half":
                 client.peer.sock.shutdown(socket.SHUT_WR)
             else:
-                client.gone = True
+                client.closed = True
                 client.peer.close(reset=how == "reset")
         except OSError:
-            client.gone = True
+            client.closed = True
         if seen:
             self.settle()
 
@@ -210,15 +218,17 @@
 
     @rule(n=NUMBERS, answer=st.sampled_from(ANSWERS), end=st.sampled_from(["", "close", "reset"]))
     def backend_answers(self, n: int, answer: bytes, end: str) -> None:
-        able = [s for s in self.attempts if s.out and not s.begun and s.real.getsockname()[1] in self.backend_ends]
+        able = [
+            s for s in self.attempts if s.in_flight and not s.begun and s.real.getsockname()[1] in self.backend_ends
+        ]
         if not able:
             return
         sent = able[n % len(able)]
         peer = self.backend_ends[sent.real.getsockname()[1]]
         sent.begun = bool(answer)
-        if b"\r\n" in sent.left:
+        if b"\r\n" in sent.written:
             sent.answered = bool(answer.count(b"\r\n") or end)
-            sent.refused = answer.startswith(b"BUSY")
+            sent.rejected = answer.startswith(b"BUSY")
         try:
             peer.send(answer)
             if end:
@@ -237,7 +247,7 @@
         able = [
             s
             for s in self.attempts
-            if s.real.fileno() >= 0 and s.real.getsockname()[1] in self.backend_ends and s.answered and not s.refused
+            if s.real.fileno() >= 0 and s.real.getsockname()[1] in self.backend_ends and s.answered and not s.rejected
         ]
         if able:
             with suppress(ConnectionError):
@@ -259,7 +269,7 @@
     def first_lines_leave_in_pieces(self, piece: int | None) -> None:
         self.piece = piece
         for sent in self.attempts if piece is None else ():
-            sent.room = None
+            sent.send_capacity = None
         self.settle()
 
     def transports(self) -> set[Any]:
@@ -277,7 +287,7 @@
     @rule(n=NUMBERS, room=st.sampled_from([0, 3, 1_000]))
     def client_takes_little(self, n: int, room: int) -> None:
         if sock := self.client_socket(n):
-            sock.room = room
+            sock.send_capacity = room
 
     @rule()
     def clients_take_all(self) -> None:
@@ -287,7 +297,7 @@
     def all_room(self) -> None:
         for end in self.transports():
             if isinstance(getattr(end, "socket", None), FaultySocket):
-                end.socket.room = None
+                end.socket.send_capacity = None
 
     @rule(n=NUMBERS, call=st.sampled_from(["recv", "send"]), number=st.sampled_from(PASSING), times=st.integers(1, 3))
     def a_call_fails(self, n: int, call: str, number: int, times: int) -> None:
@@ -340,19 +350,19 @@
             self.all_room()
             self.piece = None
             for sent in self.attempts:
-                sent.room = None
+                sent.send_capacity = None
             self.stopping = True
             self.loop.leave()
             self.loop.wait(self.loop.core.lifecycle.kill_us, 10_000)
             assert self.loop.stopped, "it did not end"
             assert not self.wrong, self.wrong
             for client in self.clients:
-                if client.gone:
+                if client.closed:
                     continue
                 if not client.peer.ended:
                     arrived(client.peer.sock, select.POLLIN | select.POLLRDHUP)
                 lines = client.lines()
-                assert not client.asked or FINAL.fullmatch(lines[0]), f"never answered: {lines!r}"
+                assert not client.requested or FINAL.fullmatch(lines[0]), f"never answered: {lines!r}"
         finally:
             self.patch.stop()
             for client in self.clients:
--- a/tests/test_moments_stop.py
+++ b/tests/test_moments_stop.py
@@ -12,7 +12,7 @@
 from gradefront.core.lifecycle_state import LifecycleState
 from lab.stand_ins import settings
 
-from .loop import LONG_S, Backend, Loop, Peer, arrived, hold_connects
+from .loop import HANG_TIMEOUT_S, Backend, Loop, Peer, arrived, hold_connects
 
 
 def stopping(loop: Loop) -> None:
@@ -49,7 +49,7 @@
     address = ("127.0.0.1", port.getHost().port) if port.connected else None
     assert address, "the listener stands until its queue is empty"
     loop.order.held.add(port.fileno())
-    queued = Peer(socket.create_connection(address, LONG_S))
+    queued = Peer(socket.create_connection(address, HANG_TIMEOUT_S))
     queued.line("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=visit-checkin,d=900,g=5c0f6e1a2b3d4c59")
     loop.order.held.clear()
     loop.wait(400_000)
@@ -145,7 +145,7 @@
         loop.core.lifecycle.lame_duck()
         loop.wait(300_000, 20_000)
         loop.core.lifecycle.rejoin()
-    told = {**loop.told, "settings": settings(deadline_ms=1000)} if before == "a new file" else loop.told
+    told = {**loop.config, "settings": settings(deadline_ms=1000)} if before == "a new file" else loop.config
     (tmp_path / "config.json").write_text(json.dumps(told) if before != "a broken file" else "{")
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
     if before == "an old file":
@@ -180,7 +180,7 @@
     loop.until(lambda: loop.wait(10_000) or not loop.relay.port.connected)
     before = set(loop.reactor.getReaders())
     assert loop.relay.admin_server
-    caller = Peer(socket.create_connection(("127.0.0.1", loop.relay.admin_server.getHost().port), LONG_S))
+    caller = Peer(socket.create_connection(("127.0.0.1", loop.relay.admin_server.getHost().port), HANG_TIMEOUT_S))
     caller.send(b"INFO\r\n")
     loop.until(lambda: loop.core.counters.counts["door_calls"])
     (end,) = set(loop.reactor.getReaders()) - before
