--- a/tests/test_moments_close.py
+++ b/tests/test_moments_close.py
@@ -125,7 +125,7 @@
 
 def test_a_cancelled_attempt_leaves_no_bytes_that_could_still_arrive(tmp_path: Path) -> None:
     backends = [Backend(), Backend()]
-    loop = Loop(tmp_path, backends, settings(aim_ms=300, deadline_ms=3000))
+    loop = Loop(tmp_path, backends, settings(objective_ms=300, deadline_ms=3000))
     client = loop.client()
     taken = list[bytes]()
 
--- a/tests/test_moments_send.py
+++ b/tests/test_moments_send.py
@@ -29,7 +29,7 @@
 
 
 def stored_rules(effect: str, scope: str = "all", window_ms: int = 400, **more: Any) -> dict[str, Any]:
-    document = settings(**{"aim_ms": 300, "deadline_ms": 4000, **more})
+    document = settings(**{"objective_ms": 300, "deadline_ms": 4000, **more})
     for grade in document["grades"]:
         grade.update(semantics=effect, keyScope=scope, dedupWindowUs=window_ms * 1000)
     return document
@@ -118,7 +118,7 @@
 
 def test_an_attempt_cancelled_before_its_connection_opened_never_writes_and_the_next_one_does(tmp_path: Path) -> None:
     backends = [Backend(), Backend()]
-    loop = Loop(tmp_path, backends, settings(aim_ms=300, deadline_ms=4000))
+    loop = Loop(tmp_path, backends, settings(objective_ms=300, deadline_ms=4000))
     client = loop.client()
     attempts = hold_connects(loop)
     loop.open(client, d=4000)
@@ -137,7 +137,7 @@
 @pytest.mark.parametrize("where", ["backoff", "connecting", "after a timeout to connect"])
 def test_clients_that_leave_by_hundreds_at_once_are_not_forwarded(tmp_path: Path, where: str) -> None:
     backends = [Backend(), Backend()]
-    loop = Loop(tmp_path, backends, settings(aim_ms=600, deadline_ms=4000, maxAttempts=3))
+    loop = Loop(tmp_path, backends, settings(objective_ms=600, deadline_ms=4000, maxAttempts=3))
     many = 6 if where == "backoff" else 60
     clients = [loop.client() for _ in range(many)]
     attempts = hold_connects(loop)
@@ -193,7 +193,7 @@
     tmp_path: Path, answer: bytes, ends: bool, expected: bytes, exact: bool
 ) -> None:
     backend = Backend()
-    loop = Loop(tmp_path, [backend], settings(aim_ms=300, deadline_ms=1500, maxAttempts=1))
+    loop = Loop(tmp_path, [backend], settings(objective_ms=300, deadline_ms=1500, maxAttempts=1))
     client = loop.client()
     loop.open(client)
     _, peer = first_at(loop, [backend])
@@ -215,7 +215,7 @@
 
 def test_a_response_that_meets_its_attempts_timeout_counts_for_nothing(tmp_path: Path) -> None:
     backend = Backend()
-    loop = Loop(tmp_path, [backend], settings(aim_ms=300, deadline_ms=1500, maxAttempts=1))
+    loop = Loop(tmp_path, [backend], settings(objective_ms=300, deadline_ms=1500, maxAttempts=1))
     client = loop.client()
     loop.open(client)
     _, peer = first_at(loop, [backend])
@@ -353,7 +353,7 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     backend = Backend()
-    loop = Loop(tmp_path, [backend], settings(aim_ms=300, deadline_ms=1500, maxAttempts=1))
+    loop = Loop(tmp_path, [backend], settings(objective_ms=300, deadline_ms=1500, maxAttempts=1))
     _, served = loop.standing(backend)
     caplog.set_level("WARNING")
     served.send(b"LOAD much\r\n" * 300)
