--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -37,11 +37,9 @@
 from .load_estimate import FULL_LOAD, REPORT_DELAY_US
 from .moves import DRAIN_SPREAD_US, MOVE_AT, MOVE_HOLD_US, Moves
 from .node import MEMORY_US
-from .settings import Idempotency, KeyScope, LoadReportSource, Settings
+from .retry_policy import full_jitter_us, may_client_retry
+from .settings import LoadReportSource, Settings
 
-ATTEMPTS = 5  # rounds: the paper's default, first included; of them no more than told may send
-BASE_PART = 1 / 6  # of the class's aim: first backoff ceiling, so that a retry can still be in time
-CAP_PART = 1 / 4  # of the class's deadline: backoff ceiling, leaves time for several attempts
 SETUP_AIMS = 2.0  # aims: set-up time-out; later than that the attempt is worth little
 PROBE_PART = 1 / 6  # of the class's aim: longest wait for health checks before a placement
 LIST_BASE_US = 500_000  # us: the paper's base, for failed list calls
@@ -53,12 +51,10 @@
 KIN_MOST = 2  # backends that hold most of the group and are candidates
 CALM = 0.5  # mean load up to which there is room elsewhere: a full backend sheds at once
 RETURN = 0.25  # of the guard against herding, for what comes back to a node that has just started
-NEW_US = 10_000_000  # us: so long after its start a node has seen too few connections to judge by
 MOVE_TOLD = 1.0  # load in any report above which some move, though no message was late
 SHED_US = 5_000_000  # us: for so long after a drop, any report above MOVE_AT moves some
 THROTTLE = 2.0  # wanted placements for each that stood before some are held back
 FULL_SAY = 0.2  # of an error's say in the throttle: probing a full fleet for every waiting client is vain
-TURN_SPARE_US = 300_000  # us: time that an attempt needs after it has waited for a turn
 
 
 class Balancer(Moves):
@@ -83,7 +79,7 @@
         }
 
     def _list(self, update: EndpointListUpdate) -> None:
-        self.new_until = self.new_until or self.context.now_us + NEW_US
+        self.context.on_endpoint_list()
         self.endpoints.update(update, self._on_draining)
         if self.context.settings.polls_endpoint_list:
             if not self.watching:  # start jitter: all nodes at once would drown the list service
@@ -99,10 +95,9 @@
 
     def _list_error(self, _: EndpointListError) -> None:
         self.context.log("list", "list call failed or watch lost; asking again")
-        self.timers.start(
-            self._jitter(LIST_BASE_US, self.context.settings.poll_within_us / 4, self.list_errors),
-            self._watch,
-        )
+        max_us = self.context.settings.poll_within_us / 4
+        delay_us = full_jitter_us(self.context.random, LIST_BASE_US, max_us, self.list_errors)
+        self.timers.start(delay_us, self._watch)
         self.list_errors += 1
 
     def _request(self, request: Request) -> None:
@@ -121,12 +116,14 @@
         """Sample candidates; health check those whose figures are old; place when the answers are in."""
         good, bad = self.good.add(self.context.now_us, 0), self.bad.add(self.context.now_us, 0)
         held_back = self.context.random.random() < (good + bad - THROTTLE * good) / (good + bad + 1)
-        if held_back and not self._in_turn():  # a turn is within what a backend in slow start bears
+        if (
+            held_back and not self.slow_start.backend_with_open_slot()
+        ):  # a turn is within what a backend in slow start bears
             self.bad.add(
                 self.context.now_us, 1
             )  # guards against drowning what all backends depend on: hold back
             self.context.log("hold", "placements held back: errors, time-outs or full servers abound")
-            self._again(pending, NotSentReason.THROTTLED)
+            self._retry(pending, NotSentReason.THROTTLED)
             return
         pending.generation += 1
         pending.candidates, pending.unchecked = self._sample(pending), {}
@@ -169,11 +166,11 @@
         kin = [
             name for name, _ in self.connections.sticky_backends.get(draw, Counter()).most_common(KIN_MOST)
         ]
-        for name in kin + self._in_turn() + drawn:
+        for name in kin + self.slow_start.backend_with_open_slot() + drawn:
             if (
                 name in self.endpoints.backends
                 and self._usable(self.endpoints.backends[name], pending)
-                and self._cold_allows(self.endpoints.backends[name], pending)
+                and self.slow_start.allows(self.endpoints.backends[name], pending)
             ):
                 (suspect if self.context.now_us < self.endpoints.backends[name].ejected_until_us else found)[
                     name
@@ -193,7 +190,7 @@
             spare = FULL_LOAD - self.load_estimate.load(backend)
             weight = max(0.0, spare) ** TILT * (FAR if self.endpoints.is_cross_zone(backend) else 1.0)
             weight *= KIN if self.connections.holds_group(name, pending.request.sticky_group) else 1.0
-            if weight <= 0 or not self._cold_allows(backend, pending):
+            if weight <= 0 or not self.slow_start.allows(backend, pending):
                 continue
             fit += 1
             draw = pending.request.sticky_group if self.context.settings.sticky_groups else ""
@@ -205,7 +202,7 @@
         # Guards against herding: what all nodes may send before it shows must fit into the spare capacity.
         # What comes back to a node that has just started is load that the backends bore a moment ago, and a
         # crowd that waits must not count itself again and again.
-        back = self.context.now_us < self.new_until and pending.request.is_reconnect
+        back = self.context.is_new_node() and pending.request.is_reconnect
         asked = self.asked.add(self.context.now_us, not (back and pending.failed_rounds))
         blind = (
             (RETURN if back else 1.0)
@@ -224,15 +221,17 @@
             / max(1, fit)
             * (self.context.settings.load_report_source is not LoadReportSource.NONE)
         )  # few meet all
-        if best and self._coldness(self.endpoints.backends[best]) < 1:  # what all may send it is dealt out
-            blind = self._cold_blind(self.endpoints.backends[best])
+        if (
+            best and self.slow_start.capacity(self.endpoints.backends[best]) < 1
+        ):  # what all may send it is dealt out
+            blind = self.slow_start.unseen_load(self.endpoints.backends[best])
         crowded = best and self.context.random.random() * blind > FULL_LOAD - self.load_estimate.load(
             self.endpoints.backends[best]
         )
         if not best or crowded:
             if pending.candidates:  # a look that probed nobody costs nobody
                 self.bad.add(self.context.now_us, FULL_SAY)
-            self._again(pending, self._why_not_placed(pending))
+            self._retry(pending, self._why_not_placed(pending))
             return
         backend, cost = self.endpoints.backends[best], self.connections.cost(pending.request)
         pending.attempt_in_flight = True
@@ -243,9 +242,11 @@
             int(pending.request_class.latency_objective_us * SETUP_AIMS),
         )
         self.context.emit(
-            StartAttempt(pending.request.request_id, best, max(1, timeout), self._slow_start_room(backend))
+            StartAttempt(
+                pending.request.request_id, best, max(1, timeout), self.slow_start.allowance(backend)
+            )
         )
-        self._use_turn(backend, cost)
+        self.slow_start.use_slots(backend, cost)
         backend.in_flight.add(pending.request.request_id)
         pending.possibly_executed.append((backend.entry, self.context.now_us))
 
@@ -256,52 +257,30 @@
         usable = any(self._usable(backend, pending) for backend in self.endpoints.backends.values())
         return NotSentReason.SLOW_START if usable else NotSentReason.NO_CANDIDATE
 
-    def _again(self, pending: PendingRequest, why: NotSentReason = NotSentReason.ATTEMPT_FAILED) -> None:
+    def _retry(self, pending: PendingRequest, reason: NotSentReason) -> None:
         """Wait the next full-jitter delay and consider other backends, or give up at once."""
-        pending.not_sent_reason = why
+        pending.not_sent_reason = reason
         pending.failed_rounds += 1
-        wait = self._jitter(
-            pending.request_class.latency_objective_us * BASE_PART,
-            pending.request_class.deadline_us * CAP_PART,
-            pending.failed_rounds - 1,
-        )
-        # Guards against a wait in vain: past the window of its first try no keyed request goes out again.
-        keyed = pending.possibly_executed and pending.request_class.idempotency is Idempotency.KEYED
-        until = (
-            min(pending.deadline_us, pending.possibly_executed[0][1] + pending.request_class.dedup_window_us)
-            if keyed
-            else pending.deadline_us
-        )
-        spent = (
-            pending.failed_rounds >= ATTEMPTS or len(pending.attempted) >= pending.max_attempts
-        )  # a look that sent nothing is no attempt
-        late = self.context.now_us + wait + 2 * self.context.settings.timer_resolution_us >= until
-        # A look that sent nothing may wait for a turn at a backend in slow start in place of its delay.
-        turn = self._next_turn(until - TURN_SPARE_US) if why is not NotSentReason.ATTEMPT_FAILED else None
-        if turn and (spent or late or turn.start_us < self.context.now_us + wait):
-            turn.reserved = True
-            wait, spent, late = turn.start_us - self.context.now_us, False, False
-        if spent or late:
+        # A round that sent nothing may wait for a send slot in place of its backoff.
+        next_slot = self.slow_start.next_slot if reason is not NotSentReason.ATTEMPT_FAILED else None
+        now_us, random = self.context.now_us, self.context.random
+        delay_us = self.retry_policy.next_attempt(pending, now_us, random, next_slot)
+        if delay_us is None:
             self._answer(pending)
         else:
             pending.generation += 1
-            self.timers.start(wait, partial(self._resume, pending, pending.generation, self._consider))
+            self.timers.start(delay_us, partial(self._resume, pending, pending.generation, self._consider))
 
     def _answer(self, pending: PendingRequest) -> None:
         """The one final answer: a rejection where it is harmless to try again, else a failure."""
-        del self.pending_requests[pending.request.request_id]
-        repeat = pending.request_class.idempotency
-        shared = repeat is Idempotency.KEYED and pending.request_class.key_scope is KeyScope.ALL
-        harmless = not pending.possibly_executed or repeat is Idempotency.IDEMPOTENT or shared
-        pause = (
-            int(self.context.random.uniform(0, self.context.settings.max_retry_after_us))
-            if self.context.settings.retry_after
-            else 0
-        )
-        name = pending.request.request_id
-        self.context.emit(
-            Reject(name, pause, pending.not_sent_reason) if harmless else Fail(name, pending.not_sent_reason)
-        )
+        request_id, reason = pending.request.request_id, pending.not_sent_reason
+        del self.pending_requests[request_id]
+        settings, random = self.context.settings, self.context.random
+        retry_after_us = int(random.uniform(0, settings.max_retry_after_us)) if settings.retry_after else 0
+        if may_client_retry(pending):
+            self.context.emit(Reject(request_id, retry_after_us, reason))
+        else:
+            self.context.emit(Fail(request_id, reason))
 
     def _established(self, event: ConnectionEstablished) -> None:
         self.good.add(self.context.now_us, 1)
@@ -312,7 +291,7 @@
             self.outliers.on_established(self.endpoints.backends[event.backend])
 
     def _open(self, event: ConnectionAdopted) -> None:
-        self.new_until = 1  # a node with a past: it knows what stands
+        self.context.on_adopted()
         self._stand(event.request, event.backend)
 
     def _outcome(self, outcome: AttemptEnded) -> None:
@@ -346,23 +325,11 @@
         pending.attempt_in_flight = False
         if outcome.result in NEVER_EXECUTED and pending.possibly_executed:
             pending.possibly_executed.pop()
-        # Guards against doubled effects: a keyed request repeats only within the window of its first try.
-        once = (
-            pending.possibly_executed
-            and pending.request_class.idempotency is not Idempotency.IDEMPOTENT
-            and (
-                pending.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
-                or self.context.now_us
-                >= pending.possibly_executed[0][1] + pending.request_class.dedup_window_us
-            )
-        )
-        over = once or outcome.result in (
-            AttemptResult.ERROR,
-            AttemptResult.CANCELLED,
-            AttemptResult.NOT_SENT,
-        )
-        pending.not_sent_reason = NotSentReason.NOT_RETRYABLE if over else NotSentReason.ATTEMPT_FAILED
-        (self._answer if over else self._again)(pending)
+        if self.retry_policy.may_retry(pending, outcome.result, self.context.now_us):
+            self._retry(pending, NotSentReason.ATTEMPT_FAILED)
+        else:
+            pending.not_sent_reason = NotSentReason.NOT_RETRYABLE
+            self._answer(pending)
 
     def _probed(self, event: HealthCheckResult) -> None:
         backend = self.endpoints.backends.get(event.backend)
--- a/balancer/context.py
+++ b/balancer/context.py
@@ -8,6 +8,7 @@
 from .settings import Settings
 
 LOG_INTERVAL_US = 5_000_000  # between two log lines of one kind
+NEW_NODE_US = 10_000_000  # after its start: it has seen too few connections to judge by
 
 
 class Context:
@@ -17,7 +18,7 @@
     `now_us`, the clock time of the event being handled; `actions`, what is to be done about that event.
     """
 
-    __slots__ = ("_logged_at_us", "actions", "now_us", "random", "settings")
+    __slots__ = ("_logged_at_us", "_new_until_us", "actions", "now_us", "random", "settings")
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -25,6 +26,7 @@
         self.now_us = 0
         self.actions: list[Action] = []
         self._logged_at_us: dict[str, int] = {}
+        self._new_until_us = 0
 
     def begin(self, now_us: int) -> None:
         """Start on an event that came at `now_us`, with no action yet."""
@@ -39,3 +41,15 @@
         if self.now_us - self._logged_at_us.get(kind, -LOG_INTERVAL_US) >= LOG_INTERVAL_US:
             self._logged_at_us[kind] = self.now_us
             self.emit(WriteLog(text))
+
+    def on_endpoint_list(self) -> None:
+        """A list has come. The first one starts the time as a new node, unless it has adopted connections."""
+        self._new_until_us = self._new_until_us or self.now_us + NEW_NODE_US
+
+    def on_adopted(self) -> None:
+        """A connection has been adopted: a node with a past knows what is established, and is not new."""
+        self._new_until_us = 1
+
+    def is_new_node(self) -> bool:
+        """Whether this node has seen too few connections to judge by."""
+        return self.now_us < self._new_until_us
--- a/balancer/known.py
+++ b/balancer/known.py
@@ -6,11 +6,11 @@
 from .connections import PendingRequest
 from .endpoints import Backend
 from .events import BackendState
-from .settings import Idempotency, KeyScope
-from .slow_start import SlowStart
+from .node import Node
+from .retry_policy import may_attempt_at
 
 
-class Known(SlowStart):
+class Known(Node):
     """How backends are judged."""
 
     def _probe(self, backend: Backend) -> None:
@@ -19,14 +19,7 @@
             self.context.emit(CheckHealth(backend.entry.backend))
 
     def _usable(self, backend: Backend, pending: PendingRequest) -> bool:
-        entry, scope = backend.entry, pending.request_class.key_scope
+        entry = backend.entry
         if entry.state is not BackendState.READY or entry.backend in pending.attempted:
             return False
-        if (
-            not pending.possibly_executed
-            or pending.request_class.idempotency is Idempotency.IDEMPOTENT
-            or scope is KeyScope.ALL
-        ):
-            return True
-        first = pending.possibly_executed[0][0]
-        return entry.zone == first.zone if scope is KeyScope.ZONE else entry.cell == first.cell
+        return may_attempt_at(entry, pending)
--- a/balancer/moves.py
+++ b/balancer/moves.py
@@ -43,7 +43,7 @@
                 return
             # Guards against more set-ups while backends drain or warm up: those left have enough of them.
             settled = all(
-                s.entry.state is BackendState.READY and self._coldness(s) >= 1
+                s.entry.state is BackendState.READY and self.slow_start.capacity(s) >= 1
                 for s in self.endpoints.backends.values()
             )
             if settled and self.load_estimate.zone_load < HOME_AT:
--- a/tests/test_send_slots.py
+++ b/tests/test_send_slots.py
@@ -50,7 +50,7 @@
             for position in range(dealer.nodes)
             for _ in range(processes)
             for period in range(PERIODS)
-            for turn in placed(dealer, position, processes).deal("s0", period, mean, Random(1))
+            for turn in placed(dealer, position, processes).assign("s0", period, mean, Random(1))
         ),
         key=lambda dealt: dealt[0].start_us,
     )
@@ -70,12 +70,12 @@
 @given(DEALERS, st.floats(0.0, 120.0))
 def test_all_turns_are_dealt_and_each_node_has_some_in_its_time(dealer: SlotSchedule, mean: float) -> None:
     """Guards against a server that stays idle, and against relays that never may send to it."""
-    many = placed(dealer, 0).many(mean)
+    many = placed(dealer, 0).slots_per_period(mean)
     whose = Counter(
         position
         for position in range(dealer.nodes)
         for period in range(dealer.nodes)
-        for _ in placed(dealer, position).deal("s0", period, mean, Random(1))
+        for _ in placed(dealer, position).assign("s0", period, mean, Random(1))
     )
     if many <= 64:
         assert sum(whose.values()) == many * dealer.nodes
@@ -150,7 +150,7 @@
     """Guards against rejections while a server in slow start has turns left: each turn finds a request that waits."""
     b, now, end = balancer(1, fleet_size=2), 10_000_000, 12_000_000
     b.context.now_us = now
-    turns = [turn for turn in b._own_turns() if now < turn.end_us <= end]
+    turns = [turn for turn in b.slow_start.unused_slots() if now < turn.end_us <= end]
     assert any(turn.start_us > now for turn in turns)
     timers = [
         (now + wait.delay_us, wait.timer_id)
@@ -173,5 +173,5 @@
     table = SendSlotTable(SlotSchedule(0, 4, 1_000_000), Random(1), 0)
     for second in range(100):
         for n in range(20):
-            table.at(second * 1_000_000, f"s{n}", 1, lambda _: 50.0)
+            table.slots(second * 1_000_000, f"s{n}", 1, lambda _: 50.0)
     assert len(table.periods) <= 3 and all(len(dealt) == 20 for dealt in table.periods.values())
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -142,7 +142,7 @@
         for backend in b.endpoints.backends.values():
             backend.rounding = 0.999
         b.context.now_us = start
-        in_turn = {turn.backend for turn in b._own_turns() if turn.open(start)}
+        in_turn = {turn.backend for turn in b.slow_start.unused_slots() if turn.is_open(start)}
         probed = {p.backend for p in of(b.handle(start, Request(1, 2_000_000)), CheckHealth)}
         assert probed <= warm | in_turn, "only who may be sent something"
         cold |= probed - warm
