--- a/gradefront/core/attempt_error.py
+++ b/gradefront/core/attempt_error.py
@@ -1,4 +1,4 @@
-"""Attempt errors as values: how far an attempt at a backend came, and what stopped it."""
+"""Attempt errors as values: how far an attempt got, and what ended it."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
 
     CONNECTING = 0  # nothing of the request has left
     WRITING = 1  # a part of the request may have left
-    SENT = 2  # the backend may hold the whole request
-    UP = 3  # the backend has taken the connection
+    SENT = 2  # the backend may have the complete request
+    UP = 3  # the backend has accepted the connection
 
 
 class Cause(Enum):
     """What ended an attempt."""
 
-    BROKEN = "broken"  # refused, reset or ended without a word
-    UNREACHABLE = "unreachable"  # nothing listens there: whatever was sent was never taken
+    BROKEN = "broken"  # refused, reset or closed without a response
+    UNREACHABLE = "unreachable"  # nothing listens there: the request was never received
     SILENT = "silent"  # timeout ran out
-    FULL = "full"  # the backend turned it away, unseen
+    FULL = "full"  # the backend rejected it, unread
     ERROR = "error"  # the backend answered with an error
-    SERVED = "served"  # the backend served it to its end
-    SENT_AWAY = "sent away"  # the backend asked the client to come again
+    SERVED = "served"  # the backend ended it in order
+    SENT_AWAY = "sent away"  # the backend told the client to reconnect
     CALLED_OFF = "called off"  # this relay or the client ended it
     NOT_TRIED = "not tried"  # nothing was sent at all
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptError:
-    """The end of an attempt, with how far it had come."""
+    """The end of an attempt, with the phase that it had reached."""
 
     phase: AttemptPhase
     cause: Cause
 
     @property
     def result(self) -> AttemptResult:
-        """The decision module's word for it."""
+        """The decision module's result for it."""
         if self.cause is Cause.BROKEN:
             return AttemptResult.RESET if self.phase >= AttemptPhase.SENT else AttemptResult.CONNECT_FAILED
         if self.cause is Cause.SILENT:
@@ -49,13 +49,13 @@
             return AttemptResult.TIMEOUT if self.phase is AttemptPhase.SENT else AttemptResult.CONNECT_FAILED
         if self.cause is Cause.UNREACHABLE and self.phase is AttemptPhase.UP:
             return AttemptResult.RESET
-        return _PLAIN[self.cause]
+        return _RESULT_IN_ANY_PHASE[self.cause]
 
     def __str__(self) -> str:
         return f"{self.cause.value} while {self.phase.name.lower()}"
 
 
-_PLAIN = {
+_RESULT_IN_ANY_PHASE = {
     Cause.UNREACHABLE: AttemptResult.CONNECT_FAILED,
     Cause.FULL: AttemptResult.OVERLOADED,
     Cause.ERROR: AttemptResult.ERROR,
--- a/gradefront/core/backends.py
+++ b/gradefront/core/backends.py
@@ -1,4 +1,4 @@
-"""The backends that discovery names: their state and zone, as last heard."""
+"""The backends of the endpoint list: their state and zone, by the newest list."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Backends:
-    """One entry for each backend that is in the list."""
+    """One entry for each backend in the endpoint list."""
 
     def __init__(self) -> None:
         self.entries: dict[str, Endpoint] = {}
@@ -33,7 +33,7 @@
         return entry.zone if entry else None
 
     def apply(self, update: EndpointListUpdate) -> tuple[list[str], list[str]]:
-        """Take a whole list or changes. The backends that begin to drain, and those that are gone by name."""
+        """Apply a complete list or changes. Returns the backends that begin to drain, and those that are gone."""
         if update.is_complete:
             self.entries = {}
         draining, gone = [], []
--- a/gradefront/core/lifecycle_state.py
+++ b/gradefront/core/lifecycle_state.py
@@ -1,5 +1,4 @@
-"""Whether the relay takes clients, begins anything, or is at its end: one table of states, which the fronts,
-attempts, retries and the admin interface all ask."""
+"""The relay's lifecycle states and transitions, in one table for listeners, attempts and the admin interface."""
 
 from __future__ import annotations
 
@@ -7,20 +6,20 @@
 
 
 class LifecycleState(Enum):
-    """What the relay is about."""
+    """What the relay does with clients and requests."""
 
     STARTING = "starting"  # no backend is known yet
     SERVING = "serving"
-    LAME_DUCK = "lame duck"  # operators empty it; it serves whoever still comes, and goes on running
-    LEAVING = "leaving"  # it empties itself; what comes is served still
-    STOPPING = "stopping"  # all has its answer; what is read now gets one at once, and nothing begins
+    LAME_DUCK = "lame duck"  # drained by operators; it still serves requests, and goes on running
+    LEAVING = "leaving"  # it drains itself; requests are still served
+    STOPPING = "stopping"  # every request has its answer; new ones get one at once, and nothing begins
     STOPPED = "stopped"  # the process ends
 
 
 class LifecycleEvent(Enum):
-    """What may change that."""
+    """What may change the state."""
 
-    READY = "ready"  # clients can be placed
+    READY = "ready"  # there are backends
     UNREADY = "unready"  # the endpoint list is empty
     LAMEDUCK = "lameduck"
     REJOIN = "rejoin"
@@ -29,17 +28,15 @@
     STOPPED = "stopped"
 
 
-#: A word that stands in no line changes nothing, and whoever said it is told so.
+#: An event without a line changes nothing, and its sender is notified.
 TABLE: dict[tuple[LifecycleState, LifecycleEvent], LifecycleState] = {
     (LifecycleState.STARTING, LifecycleEvent.READY): LifecycleState.SERVING,
     (LifecycleState.STARTING, LifecycleEvent.LAMEDUCK): LifecycleState.LAME_DUCK,
     (LifecycleState.SERVING, LifecycleEvent.UNREADY): LifecycleState.STARTING,
     (LifecycleState.SERVING, LifecycleEvent.LAMEDUCK): LifecycleState.LAME_DUCK,
-    (
-        LifecycleState.LAME_DUCK,
-        LifecycleEvent.REJOIN,
-    ): LifecycleState.STARTING,  # the core says at once whether clients can be placed
-    # What is said again is granted again, and begins nothing anew.
+    # READY follows at once where there are backends.
+    (LifecycleState.LAME_DUCK, LifecycleEvent.REJOIN): LifecycleState.STARTING,
+    # A repeated call is granted again, and begins nothing anew.
     (LifecycleState.SERVING, LifecycleEvent.REJOIN): LifecycleState.SERVING,
     (LifecycleState.STARTING, LifecycleEvent.REJOIN): LifecycleState.STARTING,
     (LifecycleState.LAME_DUCK, LifecycleEvent.LAMEDUCK): LifecycleState.LAME_DUCK,
@@ -59,5 +56,5 @@
 
 
 def step(state: LifecycleState, event: LifecycleEvent) -> LifecycleState | None:
-    """The state that the word leads to; None where the word means nothing here."""
+    """The state that an event leads to; None where the table has no line for it."""
     return TABLE.get((state, event))
--- a/gradefront/core/liveness.py
+++ b/gradefront/core/liveness.py
@@ -1,4 +1,4 @@
-"""Whether what stands is still alive: late messages, silent backends, devices that vanished without a word."""
+"""Whether established connections are alive: late messages, silent backends, devices that vanished."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 from .answers import Answers
 from .backends import Backends
-from .connection import Connection, ConnectionState
+from .connection import Attempt, Connection, ConnectionState
 from .counters import Counters
 from .message_latency import MESSAGE_LATENCY_INTERVAL_US, MessageLatency
 from .ports import HealthChecker
-from .silence import LOOK_US as SILENCE_CHECK_INTERVAL_US
+from .silence import CHECK_INTERVAL_US as SILENCE_CHECK_INTERVAL_US
 from .silence import SilenceDetector
 from .timer_wheel import Timer
 
 log = logging.getLogger("gradefront.liveness")
 
-SILENT_US = 1_500_000  # a connection that is owed a reply this long has gone silent: sound ones bring it at once
-LOOK_US = 250_000  # between two looks for silent connections
-DEAD_LINE_US = 120_000_000  # nothing either way for so long: the client is gone
+REPLY_TIMEOUT_US = 1_500_000  # a connection that is owed a reply for so long is silent
+CHECK_INTERVAL_US = 250_000  # between two checks for silent connections
+IDLE_TIMEOUT_US = 120_000_000  # with nothing either way for so long, the client is gone
 
 
 class Core(Protocol):
-    """What of the core this part uses."""
+    """What this part uses of the core."""
 
     settings: Settings
     counters: Counters
@@ -41,36 +41,40 @@
         """Run `then` later."""
 
     def enqueue(self, event: Event) -> None:
-        """Tell the module."""
+        """Keep an event for the decision module."""
 
     def migrate(self, connection: Connection) -> None:
-        """Tell a client to come again."""
+        """Tell a client to reconnect."""
 
 
 class Liveness:
-    """Watches over one core's standing connections."""
+    """Watches one core's established connections."""
 
     def __init__(self, core: Core, classes: tuple[RequestClass, ...], reports_message_latency: bool) -> None:
         self.core = core
         self.apply_classes(classes, reports_message_latency)
-        self.last_reply_us: dict[str, int] = {}  # when each backend last answered a message
-        self.looked_us = core.clock()
-        self.silence_check_us = 0  # when the next look for quiet backends is due; 0: none is set
-        core.after(MESSAGE_LATENCY_INTERVAL_US, self._tell_delays)
-        core.after(LOOK_US, self._look)
+        self.last_reply_us: dict[str, int] = {}  # by backend, when it last replied to a message
+        self.last_check_us = core.clock()
+        self.silence_check_us = 0  # when the next check for silent backends is due; 0: none is set
+        core.after(MESSAGE_LATENCY_INTERVAL_US, self._report_latencies)
+        core.after(CHECK_INTERVAL_US, self._check_connections)
 
     def apply_classes(self, classes: tuple[RequestClass, ...], reports_message_latency: bool) -> None:
-        """Go by the message aims of these classes from now on."""
-        aims = [c.message_latency_objective_us for c in classes if c.message_latency_objective_us]
-        self.message_latency = MessageLatency(min(aims)) if aims and reports_message_latency else None
+        """Go by the message latency objectives of these classes from now on."""
+        objectives_us = [c.message_latency_objective_us for c in classes if c.message_latency_objective_us]
+        self.message_latency = (
+            MessageLatency(min(objectives_us)) if objectives_us and reports_message_latency else None
+        )
         self.silence = SilenceDetector(classes)
 
+    # ---- messages
+
     def on_message_received(self, backend: str) -> None:
         """A backend sent a message."""
-        self.silence.heard(backend)
+        self.silence.on_received(backend)
 
     def on_reply_received(self, backend: str, connection: int, took_us: int) -> None:
-        """A message came back from a backend."""
+        """A backend replied to a message of a connection."""
         self.last_reply_us[backend] = self.core.clock()
         if self.message_latency:
             self.message_latency.add(backend, connection, took_us)
@@ -78,23 +82,32 @@
     def on_message_sent(self, backend: str) -> None:
         """A message that is owed a reply went to a backend."""
         now = self.core.clock()
-        self.silence.asked(backend, now)
+        self.silence.on_sent(backend, now)
         if not self.silence_check_us:
-            self._check_silence_later(now)
+            self._schedule_silence_check(now)
+
+    def _report_latencies(self) -> None:
+        self.core.after(MESSAGE_LATENCY_INTERVAL_US, self._report_latencies)
+        for number, backend, latency_us in self.message_latency.pop_reports() if self.message_latency else ():
+            log.info("messages at backend %s take %.0f ms", backend, latency_us / 1000)
+            self.core.counters.add("delays_told")
+            self.core.enqueue(MessageLatencyReport(number, backend, latency_us))
+
+    # ---- silent backends
 
-    def _check_silence_later(self, now: int) -> None:
+    def _schedule_silence_check(self, now: int) -> None:
         self.silence_check_us = now + SILENCE_CHECK_INTERVAL_US
         self.core.after(SILENCE_CHECK_INTERVAL_US, self._check_silence)
 
     def _check_silence(self) -> None:
-        """Check the connections of backends that owe replies and have said nothing since."""
+        """Check by a connection those backends that owe replies and have sent nothing since."""
         now = self.core.clock()
         late, self.silence_check_us = now - self.silence_check_us > SILENCE_CHECK_INTERVAL_US, 0
         if self.silence.owed:
-            self._check_silence_later(now)
+            self._schedule_silence_check(now)
         if late:  # guards against a hiccup of this relay: replies may have come that it has not read yet
             return
-        for backend in self.silence.due(now):
+        for backend in self.silence.pop_due(now):
             if backend in self.core.backends:
                 self._check_connect(backend)
             else:  # a new list is without it: there is no address to check
@@ -106,58 +119,59 @@
             self.core.health_checker.check_connect(backend, self.core.settings.connect_timeout_us)
 
     def on_connect_checked(self, backend: str, opened: bool) -> None:
-        """A quiet backend took a new connection in time, or did not: then its machine has vanished, and all that
-        stands there moves, before each connection finds that out by a message of its own."""
+        """A silent backend accepted a connection in time, or did not: then its machine has vanished.
+
+        All its connections are migrated at once, before each is found silent by a message of its own.
+        """
         if opened:
-            self.silence.heard(backend)
-        if not self.silence.vanished(backend):
+            self.silence.on_received(backend)
+        if not self.silence.pop_vanished(backend):
             return
-        held = dict[str, list[Connection]]()
+        by_backend = dict[str, list[Connection]]()
         for connection in self.core.connections.values():
             if connection.state is ConnectionState.ESTABLISHED and connection.attempt:
-                held.setdefault(connection.attempt.backend, []).append(connection)
-        here = held.pop(backend, [])
-        log.warning("push box %s owes replies and takes no connection; its %d visits move", backend, len(here))
+                by_backend.setdefault(connection.attempt.backend, []).append(connection)
+        stranded = by_backend.pop(backend, [])
+        log.warning(
+            "backend %s owes replies and accepts no connection; its %d connections are migrated",
+            backend,
+            len(stranded),
+        )
         self.core.counters.add("boxes_vanished")
-        for connection in here:
+        for connection in stranded:
             self.core.answers.migrate_off_silent(connection, alone=False)
         # Guards against finding out about a lost zone backend by backend, each when a client's message is due.
         backends = self.core.backends
-        near = [other for other in held if backends.zone(other) == backends.zone(backend)]
-        for other in self.silence.others(near, self.core.clock()):
+        near = [other for other in by_backend if backends.zone(other) == backends.zone(backend)]
+        for other in self.silence.pop_neighbours(near, self.core.clock()):
             self._check_connect(other)
 
-    def _tell_delays(self) -> None:
-        self.core.after(MESSAGE_LATENCY_INTERVAL_US, self._tell_delays)
-        for number, backend, delay in self.message_latency.look() if self.message_latency else ():
-            log.info("messages at push box %s take %.0f ms", backend, delay / 1000)
-            self.core.counters.add("delays_told")
-            self.core.enqueue(MessageLatencyReport(number, backend, delay))
+    # ---- silent connections
 
-    def _look(self) -> None:
-        """Find connections whose connection, backend or client has vanished without a word."""
+    def _check_connections(self) -> None:
+        """Find connections whose backend or client has vanished."""
         now = self.core.clock()
-        self.core.after(LOOK_US, self._look)
-        late, self.looked_us = now - self.looked_us > 2 * LOOK_US, now
+        self.core.after(CHECK_INTERVAL_US, self._check_connections)
+        late, self.last_check_us = now - self.last_check_us > 2 * CHECK_INTERVAL_US, now
         if late:  # guards against a hiccup of this relay: replies may have come that it has not read yet
             return
         for connection in list(self.core.connections.values()):
-            attempt = connection.attempt
-            if connection.state is not ConnectionState.ESTABLISHED or attempt is None:
-                continue
-            since = max(attempt.last_received_us, attempt.awaiting_reply_us[0]) if attempt.awaiting_reply_us else now
-            if now - since > SILENT_US:  # guards against a vanished machine, which resets nothing
-                # Where the backend has answered others since, only this connection is lost: no word of the backend.
-                alone = self.last_reply_us.get(attempt.backend, 0) > attempt.awaiting_reply_us[0]
-                log.warning(
-                    "visit %d at push box %s has gone silent%s; it moves",
-                    connection.number,
-                    attempt.backend,
-                    ", alone" if alone else "",
-                )
-                self.core.answers.migrate_off_silent(connection, alone)
-            elif (
-                now - max(attempt.last_received_us, attempt.awaiting_reply_us[-1] if attempt.awaiting_reply_us else 0)
-                > DEAD_LINE_US
-            ):
-                self.core.migrate(connection)
+            if connection.state is ConnectionState.ESTABLISHED and connection.attempt:
+                self._check_connection(connection, connection.attempt, now)
+
+    def _check_connection(self, connection: Connection, attempt: Attempt, now: int) -> None:
+        awaiting_us = attempt.awaiting_reply_us
+        owed_since_us = max(attempt.last_received_us, awaiting_us[0]) if awaiting_us else now
+        last_activity_us = max(attempt.last_received_us, awaiting_us[-1] if awaiting_us else 0)
+        if now - owed_since_us > REPLY_TIMEOUT_US:  # guards against a vanished machine, which resets nothing
+            # Where the backend has replied to others since, only this connection is lost: no fault of the backend.
+            alone = self.last_reply_us.get(attempt.backend, 0) > awaiting_us[0]
+            log.warning(
+                "connection %d at backend %s has gone silent%s; it is migrated",
+                connection.number,
+                attempt.backend,
+                ", alone" if alone else "",
+            )
+            self.core.answers.migrate_off_silent(connection, alone)
+        elif now - last_activity_us > IDLE_TIMEOUT_US:
+            self.core.migrate(connection)
--- a/gradefront/core/message_latency.py
+++ b/gradefront/core/message_latency.py
@@ -1,36 +1,42 @@
-"""How long messages take at each backend, told to the decision module as the deployment would tell it."""
+"""How long messages take at each backend, for the decision module."""
 
 from __future__ import annotations
 
 from statistics import median
 
-MESSAGE_LATENCY_INTERVAL_US = 1_000_000  # us: one look a second
+MESSAGE_LATENCY_INTERVAL_US = 1_000_000  # between two reports
 
 
 class MessageLatency:
-    """Message times by backend. Raises a delay once a second while over a third of the shortest aim, on one
-    connection a backend, and once more when it is back under."""
+    """Latencies of messages by backend, there and back, in microseconds.
 
-    def __init__(self, shortest_aim_us: int) -> None:
-        self.notable_us = shortest_aim_us / 3
-        self.times: dict[str, list[int]] = {}
+    A backend is reported at each interval while its median is over a third of the shortest objective, on one of its
+    connections, and once more when it is back under.
+    """
+
+    def __init__(self, shortest_objective_us: int) -> None:
+        self.notable_us = shortest_objective_us / 3
+        self.latencies: dict[str, list[int]] = {}
         self.connection: dict[str, int] = {}
-        self.late: dict[str, int] = {}  # backends last told late, with the connection it was told on
+        self.late: dict[str, int] = {}  # backends last reported as late, with the connection of that report
 
     def add(self, backend: str, connection: int, took_us: int) -> None:
-        """One message's time, there and back."""
-        self.times.setdefault(backend, []).append(took_us)
+        """Add one message's latency."""
+        self.latencies.setdefault(backend, []).append(took_us)
         self.connection[backend] = connection
 
-    def look(self) -> list[tuple[int, str, float]]:
-        """What to tell now: connection, backend and delay. The median guards against one hiccup of this relay."""
-        told: list[tuple[int, str, float]] = []
-        for backend, times in self.times.items():
-            middle = float(median(times))
-            if middle > self.notable_us:
+    def pop_reports(self) -> list[tuple[int, str, float]]:
+        """What to report now: connection, backend and latency in us.
+
+        The median guards against one hiccup of this relay.
+        """
+        reports: list[tuple[int, str, float]] = []
+        for backend, latencies in self.latencies.items():
+            middle_us = float(median(latencies))
+            if middle_us > self.notable_us:
                 self.late[backend] = self.connection[backend]
-                told.append((self.connection[backend], backend, middle))
+                reports.append((self.connection[backend], backend, middle_us))
             elif self.late.pop(backend, None) is not None:
-                told.append((self.connection[backend], backend, middle))
-        self.times = {}
-        return told
+                reports.append((self.connection[backend], backend, middle_us))
+        self.latencies = {}
+        return reports
--- a/gradefront/core/ports.py
+++ b/gradefront/core/ports.py
@@ -17,60 +17,59 @@
 
 
 class BackendConnection(Protocol):
-    """One attempt's way to its backend."""
+    """The connection of one attempt to its backend."""
 
     def close(self, how: ConnectionEnd) -> None:
-        """End it; nothing that comes later counts."""
+        """End it; whatever arrives later is ignored."""
 
 
 class ClientConnection(Protocol):
-    """One connection's way to its client. Each connection gets exactly one of `seat`, `refuse` and `fail`."""
+    """The client's side of one connection. It gets exactly one of `establish`, `reject` and `fail`."""
 
     def establish(self, upstream: BackendConnection, response_line: object) -> None:
-        """The backend took the connection: pass its receipt on, then everything, both ways."""
+        """The backend accepted the connection: pass its response line on, then everything, both ways."""
 
-    def reject(self, pause_us: int) -> None:
-        """Final answer: come again after the pause (0: no advice)."""
+    def reject(self, retry_after_us: int) -> None:
+        """Final answer: come again after so many microseconds (0: no advice)."""
 
     def fail(self) -> None:
         """Final answer that promises nothing."""
 
     def migrate(self) -> None:
-        """Tell the client to come again through the front, then end."""
+        """Tell the client to reconnect through the load balancer, then end."""
 
     def close(self, how: ConnectionEnd) -> None:
-        """The backend ended a connection that stood."""
+        """The backend ended an established connection."""
 
     def has_disconnected(self) -> bool:
-        """Whether the client has ended its side by now, be it heard of or not: a look at the wire, not a wait."""
+        """Whether the client has closed its side by now, be that read yet or not. Does not wait."""
 
 
 class HealthChecker(Protocol):
-    """Health checks a backend for its load; the core's `told_load` gets the answer. Checks that one that says
-    nothing still takes connections."""
+    """Checks a backend's health; the core's `on_load_report` gets the result."""
 
     def check(self, backend: str) -> None:
-        """Ask once."""
+        """Poll the backend once."""
 
     def check_connect(self, backend: str, timeout_us: int) -> None:
-        """Open a new connection and close it; the core's `on_connect_checked` hears whether it came up in time."""
+        """Open a new connection and close it; `Liveness.on_connect_checked` gets whether it came up in time."""
 
 
 class EndpointWatcher(Protocol):
-    """Watches the endpoint list; the core's `listed` and `list_lost` get the news."""
+    """Watches the endpoint list; the core's `on_endpoint_list` and `on_endpoint_list_lost` get the updates."""
 
     def watch(self) -> None:
-        """Ask for the changes since the newest list known, from now on."""
+        """Watch for changes since the newest known list, from now on."""
 
     def read_pending(self) -> None:
-        """Take the news that are here already, if not heard yet."""
+        """Apply the updates that have arrived but are not read yet."""
 
 
 class DecisionModule(Protocol):
     """The decision module, as the core uses it."""
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take one event and return what to do."""
+        """Handle one event and return what to do."""
 
     def count_unavailable(self, now_us: int) -> int:
-        """How many listed backends get nothing new now, or only for want of others."""
+        """How many listed backends get no new work now, or only for want of others."""
--- a/gradefront/core/request_log.py
+++ b/gradefront/core/request_log.py
@@ -1,7 +1,7 @@
-"""Counters and log lines on single requests: how each was answered and why, and what went to servers in slow start.
+"""Counters and log lines of single requests: how each was answered and why, and attempts at backends in slow start.
 
-A line for each request would cost more than it tells. So there is one for each send to a server in slow start, which
-are few, and one a second for each reason of a rejection; all of them are counted.
+A line for each request would cost too much. So there is one for each attempt at a backend in slow start, which are
+few, and one a second for each reason of a rejection or failure; all of them are counted.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 log = logging.getLogger("gradefront.request")
 
-LOG_GAP_US = 1_000_000  # us: between two log lines of one reason
+LOG_INTERVAL_US = 1_000_000  # between two log lines of one reason
 
 
 class Core(Protocol):
-    """What of the core this part uses."""
+    """What this part uses of the core."""
 
     counters: Counters
     clock: Callable[[], int]
@@ -32,7 +32,7 @@
 
 
 class RequestLog:
-    """Tells what became of requests."""
+    """Counts and logs what became of requests."""
 
     def __init__(self, core: Core) -> None:
         self.core = core
@@ -40,28 +40,28 @@
         self.unlogged: dict[NotSentReason | None, int] = {}  # by reason: answers since that line
 
     def on_established(self, connection: Connection) -> None:
-        """A server took the request."""
+        """A backend accepted the connection."""
         self.core.counters.add("stood")
         self.core.count_answer("answered_total", connection.connect_request.request_class)
 
     def on_rejected(self, connection: Connection, answer: Reject) -> None:
-        """The client is told that to come again is harmless."""
+        """The client is rejected: it may safely come again."""
         self.core.counters.add("refused")
         self.core.count_answer("deferred_total", connection.connect_request.request_class)
-        self._answered("refused", connection, answer.reason)
+        self._count_and_log("refused", "rejected", connection, answer.reason)
 
     def on_failed(self, connection: Connection, answer: Fail | None) -> None:
-        """The client is promised nothing; without an answer of the module, the core itself gave up."""
+        """The client gets an error; without an answer of the module, the core itself gave up."""
         self.core.counters.add("failed")
         self.core.count_answer("errored_total", connection.connect_request.request_class)
-        self._answered("failed", connection, answer.reason if answer else None)
+        self._count_and_log("failed", "failed", connection, answer.reason if answer else None)
 
-    def _answered(self, how: str, connection: Connection, reason: NotSentReason | None) -> None:
+    def _count_and_log(self, counter: str, how: str, connection: Connection, reason: NotSentReason | None) -> None:
         """Count the reason; log it once a second, with the request's id."""
         now = self.core.clock()
         if reason:
-            self.core.counters.add(f"{how}: {reason.value}")
-        if now - self.logged_us.get(reason, -LOG_GAP_US) < LOG_GAP_US:
+            self.core.counters.add(f"{counter}: {reason.value}")
+        if now - self.logged_us.get(reason, -LOG_INTERVAL_US) < LOG_INTERVAL_US:
             self.unlogged[reason] = self.unlogged.get(reason, 0) + 1
             return
         self.logged_us[reason] = now
@@ -77,16 +77,16 @@
             self.unlogged.pop(reason, 0),
         )
 
-    def on_send(self, attempt: Attempt, room: SlowStartAllowance | None) -> None:
-        """A request goes to a server, which is in slow start where it had this `room`."""
-        if room is None:
+    def on_send(self, attempt: Attempt, allowance: SlowStartAllowance | None) -> None:
+        """An attempt begins; with an `allowance` its backend is in slow start."""
+        if allowance is None:
             return
         self.core.counters.add("slow_start_sends")
         log.info(
             "request %s goes to %s in slow start: %s",
             attempt.connection.connect_request.connection_id,
             attempt.backend,
-            room,
+            allowance,
         )
 
     def on_attempt_end(self, attempt: Attempt, error: AttemptError) -> None:
--- a/gradefront/core/silence.py
+++ b/gradefront/core/silence.py
@@ -1,58 +1,63 @@
-"""Which backends owe replies and have said nothing since: the first sign of a machine that vanished."""
+"""Which backends owe replies and have sent nothing since: the first sign of a machine that vanished."""
 
 from __future__ import annotations
 
 from balancer.settings import RequestClass
 
-LOOK_US = 100_000  # us: between two looks, while any backend owes a reply
-AIMS = 2  # longest message aims after which a reply that is owed is worth nothing, and a sign
-LEAST_US = 200_000  # us: and no sooner, so that a pause of a sound machine is none; also where no aim is told
-AGAIN_US = 1_000_000  # us: between two connect checks at a backend that opens but goes on owing
-OTHERS = 3  # backends checked for each that vanished: each that has vanished too leads on to others
+CHECK_INTERVAL_US = 100_000  # while any backend owes a reply
+OBJECTIVES_UNTIL_SILENT = 2  # longest message latency objectives after which an owed reply is of no use
+MIN_TIMEOUT_US = 200_000  # so that a pause of a sound machine is no sign; also where there is no objective
+RECHECK_INTERVAL_US = 1_000_000  # between two connect checks of a backend that opens but still owes
+MAX_NEIGHBOURS = 3  # backends checked for each that vanished; each that has vanished too leads on to others
 
 
 class SilenceDetector:
-    """By backend, since when a reply is owed with no word from it on any connection. At most one entry a backend."""
+    """By backend, since when a reply is owed with nothing received on any connection. Times are in microseconds."""
 
     def __init__(self, classes: tuple[RequestClass, ...]) -> None:
-        self.timeout_us = max(LEAST_US, AIMS * max(c.message_latency_objective_us for c in classes))
-        self.owed: dict[str, int] = {}
-        self.on_connect_checked: dict[str, int] = {}  # when last
+        self.timeout_us = max(
+            MIN_TIMEOUT_US, OBJECTIVES_UNTIL_SILENT * max(c.message_latency_objective_us for c in classes)
+        )
+        self.owed: dict[str, int] = {}  # at most one entry a backend: when its first unanswered message was sent
+        self.last_checked_us: dict[str, int] = {}
 
-    def asked(self, backend: str, now: int) -> None:
-        """A message went to the backend; the first one since its last word counts."""
-        self.owed.setdefault(backend, now)
+    def on_sent(self, backend: str, now_us: int) -> None:
+        """A message went to the backend; the first one since it last sent anything counts."""
+        self.owed.setdefault(backend, now_us)
 
-    def heard(self, backend: str) -> None:
-        """A word came, on whatever connection, or the backend opened: the machine is there, and owes from the next
-        message on. Guards against connect checks for ever at one whose client left with a message out."""
+    def on_received(self, backend: str) -> None:
+        """The backend sent something, on any connection, or opened one: it owes from the next message on.
+
+        Guards against connect checks for ever of a backend whose client left with a message unanswered.
+        """
         self.owed.pop(backend, None)
 
-    def due(self, now: int) -> list[str]:
-        """Backends to check now: by a new connection, which a machine that vanished never takes."""
+    def pop_due(self, now_us: int) -> list[str]:
+        """Backends to check now by a new connection, which a machine that vanished never accepts."""
         due = [
             backend
-            for backend, since in self.owed.items()
-            if now - since >= self.timeout_us and now - self.on_connect_checked.get(backend, -AGAIN_US) >= AGAIN_US
+            for backend, since_us in self.owed.items()
+            if now_us - since_us >= self.timeout_us and self._may_check(backend, now_us)
         ]
-        self.on_connect_checked |= dict.fromkeys(due, now)
+        self.last_checked_us |= dict.fromkeys(due, now_us)
         return due
 
-    def others(self, backends: list[str], now: int) -> list[str]:
-        """A few more backends to check, near one that vanished: they are taken to owe a word from now on."""
-        few = [backend for backend in backends if now - self.on_connect_checked.get(backend, -AGAIN_US) >= AGAIN_US][
-            :OTHERS
-        ]
-        for backend in few:
-            self.owed.setdefault(backend, now)
-            self.on_connect_checked[backend] = now
-        return few
+    def pop_neighbours(self, backends: list[str], now_us: int) -> list[str]:
+        """A few more backends to check, near one that vanished: they owe a reply from now on."""
+        neighbours = [backend for backend in backends if self._may_check(backend, now_us)][:MAX_NEIGHBOURS]
+        for backend in neighbours:
+            self.owed.setdefault(backend, now_us)
+            self.last_checked_us[backend] = now_us
+        return neighbours
+
+    def _may_check(self, backend: str, now_us: int) -> bool:
+        return now_us - self.last_checked_us.get(backend, -RECHECK_INTERVAL_US) >= RECHECK_INTERVAL_US
 
-    def vanished(self, backend: str) -> bool:
-        """Nobody opened. Whether the backend still owes: a word that came meanwhile says that it is there."""
+    def pop_vanished(self, backend: str) -> bool:
+        """After a failed connect check: whether the backend still owes. Anything received meanwhile clears it."""
         return self.owed.pop(backend, None) is not None
 
     def forget(self, backend: str) -> None:
-        """The backend is gone from the list."""
+        """The backend is gone from the endpoint list."""
         self.owed.pop(backend, None)
-        self.on_connect_checked.pop(backend, None)
+        self.last_checked_us.pop(backend, None)
--- a/gradefront/core/start_times.py
+++ b/gradefront/core/start_times.py
@@ -1,22 +1,22 @@
-"""When a backend started, on this relay's own clock: what slow start goes by. No I/O, no clock of its own.
+"""When a backend started, on this relay's own clock, for slow start. No I/O, no clock of its own.
 
-Discovery tells a start by the wall clock, which may be stepped, here or elsewhere, by seconds or an hour. A start
-that seems earlier than it was would end slow start too soon and push a cold backend over. So where the clocks can't
-be trusted, a backend counts as started when the relay heard of it.
+Discovery gives a start by the wall clock, which may be stepped, here or elsewhere, by seconds or an hour. A start
+that seems earlier than it was would end slow start too soon and overload a backend that is still warming up. So where
+the clocks can't be trusted, a backend counts as started when the relay learned of it.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-NOTICE_US = 6_000_000  # us: whatever discovery has to tell counts as told so late at the latest, by the protocol page
+NOTICE_US = 6_000_000  # within so long discovery passes on whatever changed, by the protocol page
 
 
 @dataclass(slots=True, frozen=True)
 class Start:
-    """One start of a backend: as discovery told it, and on this relay's clock. 0 in both: long ago."""
+    """One start of a backend: as discovery reported it, and on this relay's clock. 0 in both: long ago."""
 
-    told_us: int
+    reported_us: int
     at_us: int
 
 
@@ -24,25 +24,25 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Hearing:
-    """The moment at which a list is heard, and how far its times of day can be believed."""
+class ListReading:
+    """The moment at which an endpoint list is read, and how far its times of day can be trusted."""
 
     now_us: int
-    stepped: bool = False  # the wall clock has been stepped since this relay began
-    news: bool = False  # the list tells changes since one that the relay had; what is new in it happened of late
-    oldest_us: int = 0  # how long ago a start can have been that is news only now
+    is_stepped: bool = False  # the wall clock has been stepped since this relay began
+    is_update: bool = False  # the relay had a list before: what is new in this one happened lately
+    oldest_us: int = 0  # how long ago a start can have been that only this update reports
 
 
-def start_time(told_us: int, known: Start | None, hearing: Hearing) -> Start:
-    """The start that discovery tells as `told_us`, where `known` is what was told of this backend before."""
-    if told_us <= 0:
+def start_time(reported_us: int, known: Start | None, reading: ListReading) -> Start:
+    """The start that discovery reports as `reported_us`, where `known` is the last one of this backend."""
+    if reported_us <= 0:
         return LONG_AGO
-    if known and known.told_us == told_us:
+    if known and known.reported_us == reported_us:
         return known
-    age_us = hearing.now_us - told_us
-    news = hearing.news or known is not None
-    believed = 0 <= age_us and not (news and (hearing.stepped or age_us > hearing.oldest_us))
-    at_us = told_us if believed else hearing.now_us
+    age_us = reading.now_us - reported_us
+    is_update = reading.is_update or known is not None
+    is_trusted = age_us >= 0 and not (is_update and (reading.is_stepped or age_us > reading.oldest_us))
+    at_us = reported_us if is_trusted else reading.now_us
     if known and at_us <= known.at_us:  # another start, however the clocks stand: it is the later one
         at_us = known.at_us + 1
-    return Start(told_us, at_us)
+    return Start(reported_us, at_us)
--- a/gradefront/net/endpoint_list.py
+++ b/gradefront/net/endpoint_list.py
@@ -9,7 +9,7 @@
 from balancer.events import BackendState, Endpoint, EndpointListUpdate
 from gradefront.config import Config
 from gradefront.core.relay import RelayCore
-from gradefront.core.start_times import NOTICE_US, Hearing, Start, start_time
+from gradefront.core.start_times import NOTICE_US, ListReading, Start, start_time
 
 STATES = {"SERVING": BackendState.READY, "DRAINING": BackendState.DRAINING, "DELETED": BackendState.GONE}
 
@@ -37,13 +37,13 @@
         """Discovery is there, and has nothing else to tell."""
         self.last_heartbeat_us = self.core.clock()
 
-    def _hearing(self) -> Hearing:
+    def _hearing(self) -> ListReading:
         """How far the times of day in a list that comes now can be believed."""
         now = self.core.clock()
         since_us = now - self.last_heartbeat_us if self.last_heartbeat_us is not None else 0
         oldest_us = max(self.core.settings.warm_up_us, since_us + NOTICE_US)
         # What differs from a list that this relay had, be it from before its start, happened of late.
-        return Hearing(now, self.stepped(), bool(self.places), oldest_us)
+        return ListReading(now, self.stepped(), bool(self.places), oldest_us)
 
     def address(self, backend: str) -> tuple[str, int] | None:
         """Where a backend listens."""
@@ -85,7 +85,7 @@
             self.on_heartbeat()
         self.core.on_endpoint_list(EndpointListUpdate(tuple(entries), full))
 
-    def _place(self, member: Any, hearing: Hearing) -> Place:
+    def _place(self, member: Any, hearing: ListReading) -> Place:
         """One line of the list. Raises where it makes no sense."""
         config = self.config
         state = STATES.get(member["phase"], BackendState.UNKNOWN)
--- a/gradefront/quic/front.py
+++ b/gradefront/quic/front.py
@@ -276,7 +276,7 @@
             if not owner.confirmed:
                 owner.confirmed = True
                 self.unconfirmed.pop(owner, None)
-                self.admission.credit(client[0], came=True)
+                self.admission.credit(client[0], responded=True)
 
     def close(self) -> None:
         """Stop listening."""
--- a/gradefront/quic/maintenance.py
+++ b/gradefront/quic/maintenance.py
@@ -71,7 +71,7 @@
     def _nobody_there(self, owner: QuicClientConnection) -> None:
         """The backend answered, and no client went on: a made-up sender, or one who left."""
         self.core.counters.add("quic_unconfirmed")
-        self.admission.credit(owner.client[0], came=False)
+        self.admission.credit(owner.client[0], responded=False)
         if owner.connection:
             self.core.on_client_closed(owner.connection, ConnectionEnd.ORDERLY)
         owner.forget()
--- a/gradefront/routing/admission.py
+++ b/gradefront/routing/admission.py
@@ -1,10 +1,10 @@
-"""Who may ask at a door that anyone on the Internet can write to under any address. No I/O.
+"""Admission control for a listener that anyone on the Internet can write to under any address. No I/O.
 
 A request costs the relay and backends; a datagram with a made-up sender costs its sender nothing. What stands
 between them, cheapest first: networks allowed and denied; a proof of address (a Retry's token) where backends
-can read it; under pressure, where no proof is to be had, the second sight: a sender that nobody knows is heard
-when it repeats itself, as every QUIC client does and a made-up one doesn't; rates by address and by network; a
-budget of CPU; a bound on those who wait, with a fair share of it for each network.
+can read it; under pressure, where no proof is to be had, the second sight: an unknown sender is admitted when it
+repeats itself, as every QUIC client does and a made-up one doesn't; rates by address and by network; a budget of
+CPU; a bound on pending requests, with a fair share of it for each network.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from .buckets import Bucket, BucketTable
 from .networks import NetworkSet, Prefixes
 
-LOOK_US = 250_000  # the window in which fresh requests are counted
+PRESSURE_WINDOW_US = 250_000  # in which fresh requests are counted
 CALM_US = 2_000_000  # calm for so long ends the pressure
 SECOND_SIGHT_US = 50_000  # a repeat that comes sooner is the same burst, not a client's timer
 MEMORY_US = 2_000_000  # a first sight is remembered for one to two of these
 MOST_FIRST_SIGHTS = 32_768  # in each of two halves; about 120 octets each
 MOST_PROVEN = 8_192  # addresses; about 200 octets each
-CREDIT = 2  # one client that is there outweighs so many requests that nobody stood behind
+CREDIT = 2  # one client that responds outweighs so many requests without one
 MOST_CREDIT = 64
-FULL_PAUSE_US = 500_000  # a place among those who wait frees as soon as one of them is answered
+NO_CAPACITY_RETRY_AFTER_US = 500_000  # capacity frees as soon as a pending request is answered
 
 
 class Verdict(Enum):
@@ -32,10 +32,10 @@
 
     TAKE = "take"
     PROVE = "prove"  # ask for a proof of address
-    AGAIN = "again"  # not a word: a client repeats itself, and is heard then
-    LATER = "later"  # refuse, with a pause
-    DENY = "deny"  # not a word: this network may not come
-    DROP = "drop"  # not a word: over the rate, and not worth a rejection
+    AGAIN = "again"  # no answer: a client repeats itself, and is admitted then
+    LATER = "later"  # reject, with a Retry-After
+    DENY = "deny"  # no answer: this network is denied
+    DROP = "drop"  # no answer: over the rate, even that of rejections
 
 
 class Prove(Enum):
@@ -48,15 +48,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What a door bears. Rates are requests a second."""
+    """What a listener admits. Rates are requests a second."""
 
     prove: Prove = Prove.NEVER
-    pressure: float = 200.0  # fresh requests a second, from which on the door is under pressure
+    pressure: float = 200.0  # fresh requests a second, from which on the listener is under pressure
     address_rate: float = 100.0
     address_burst: float = 1_000.0
     network_rate: float = 400.0
     network_burst: float = 2_000.0
-    unknown_rate: float = 200.0  # senders without a proof, all together, under pressure
+    unknown_rate: float = 200.0  # all senders without a proof together, under pressure
     refusal_rate: float = 100.0
     cpu_share: float = 0.25  # of one core, for opening what fresh requests bring
     most_waiting: int = 256
@@ -66,7 +66,7 @@
 
 
 class Admission:
-    """The door's memory: every table has its size from the start, or a bound and an order of going."""
+    """The state of admission control: every table has a fixed size, or a bound and an order of eviction."""
 
     def __init__(self, limits: Limits, now_us: int) -> None:
         self.limits = limits
@@ -77,7 +77,7 @@
         self.cpu = Bucket(limits.cpu_share * 1e6, limits.cpu_share * 250_000, now_us)  # microseconds
         self.proven: OrderedDict[str, int] = OrderedDict()
         self.sights: list[dict[bytes, int]] = [{}, {}]
-        self.turned_us = now_us
+        self.sights_rotated_us = now_us
         self.waiting: Counter[bytes] = Counter()  # by network; no more entries than may wait
         self.count = 0
         self.window_us = now_us
@@ -87,50 +87,52 @@
     # ---- what a fresh request gets
 
     def judge(self, now_us: int, host: str, request: bytes, proven: bool) -> tuple[Verdict, int]:
-        """What becomes of a request from this address, and for `LATER` the pause. `request` tells one request
-        of a sender from another; `proven`: it came with a sound proof of address."""
+        """What becomes of a request from this address, and for `LATER` the Retry-After in microseconds.
+
+        `request` distinguishes one request of a sender from another; `proven`: it came with a sound proof of address.
+        """
         limits = self.limits
         if host in limits.deny or (limits.allow and host not in limits.allow):
             return Verdict.DENY, 0
-        self._feel(now_us)
+        self._update_pressure(now_us)
         pressure = self.under_pressure
         trusted = proven or self.is_proven(host)
         has_token = self.addresses.take(host, now_us) if trusted or not pressure else False
         if not proven and (limits.prove is Prove.ALWAYS or limits.prove is Prove.AUTO and pressure and not has_token):
             return Verdict.PROVE, 0
         if pressure and not proven and not has_token:
-            # Nobody known, or someone known who floods, or in whose name someone does.
+            # An unknown sender, or a known one who floods, or in whose name someone does.
             if not self._seen_before(now_us, host, request):
                 return Verdict.AGAIN, 0
             if not self.unknown.take(now_us):
                 return Verdict.DROP, 0
         elif not has_token:
-            return self._refusal(now_us, trusted, self.addresses.wait_us(host, now_us))
+            return self._reject(now_us, trusted, self.addresses.wait_us(host, now_us))
         network = limits.prefixes.of(host)
-        if not self.has_room(network):
-            return self._refusal(now_us, trusted, FULL_PAUSE_US)
+        if not self.has_capacity(network):
+            return self._reject(now_us, trusted, NO_CAPACITY_RETRY_AFTER_US)
         if not self.networks.take(network, now_us):
-            return self._refusal(now_us, trusted, self.networks.wait_us(network, now_us))
+            return self._reject(now_us, trusted, self.networks.wait_us(network, now_us))
         if self.cpu.level(now_us) <= 0:
-            return self._refusal(now_us, trusted, self.cpu.wait_us(now_us))
+            return self._reject(now_us, trusted, self.cpu.wait_us(now_us))
         return Verdict.TAKE, 0
 
-    def _refusal(self, now_us: int, known: bool, pause_us: int) -> tuple[Verdict, int]:
-        """A rejection costs a packet too: senders that nobody knows get none under pressure."""
-        if self.under_pressure and not known or not self.refusals.take(now_us):
+    def _reject(self, now_us: int, is_known: bool, retry_after_us: int) -> tuple[Verdict, int]:
+        """A rejection costs a packet too: unknown senders get none under pressure."""
+        if self.under_pressure and not is_known or not self.refusals.take(now_us):
             return Verdict.DROP, 0
-        return Verdict.LATER, max(1_000, pause_us)
+        return Verdict.LATER, max(1_000, retry_after_us)
 
     # ---- pressure, with hysteresis
 
-    def _feel(self, now_us: int) -> None:
+    def _update_pressure(self, now_us: int) -> None:
         self.count += 1
         passed = now_us - self.window_us
-        bound = self.limits.pressure * LOOK_US / 1e6
-        if self.count > bound and passed <= LOOK_US:
+        bound = self.limits.pressure * PRESSURE_WINDOW_US / 1e6
+        if self.count > bound and passed <= PRESSURE_WINDOW_US:
             self.under_pressure, self.calm_since_us = True, now_us
-        if passed > LOOK_US:
-            if self.count * LOOK_US > bound * passed / 2:
+        if passed > PRESSURE_WINDOW_US:
+            if self.count * PRESSURE_WINDOW_US > bound * passed / 2:
                 self.calm_since_us = now_us
             self.window_us, self.count = now_us, 0
         if self.under_pressure and now_us - self.calm_since_us > CALM_US:
@@ -139,34 +141,36 @@
     # ---- first and second sight
 
     def _seen_before(self, now_us: int, host: str, request: bytes) -> bool:
-        if now_us - self.turned_us > MEMORY_US or len(self.sights[0]) >= MOST_FIRST_SIGHTS:
-            self.sights, self.turned_us = [{}, self.sights[0]], now_us
-        what = host.encode() + b" " + request
-        first = self.sights[0].get(what) or self.sights[1].get(what)
-        if first is None:
-            self.sights[0][what] = now_us
+        if now_us - self.sights_rotated_us > MEMORY_US or len(self.sights[0]) >= MOST_FIRST_SIGHTS:
+            self.sights, self.sights_rotated_us = [{}, self.sights[0]], now_us
+        key = host.encode() + b" " + request
+        first_us = self.sights[0].get(key) or self.sights[1].get(key)
+        if first_us is None:
+            self.sights[0][key] = now_us
             return False
-        return now_us - first >= SECOND_SIGHT_US
+        return now_us - first_us >= SECOND_SIGHT_US
+
+    # ---- addresses that have responded
 
-    # ---- addresses that have proved to be there
+    def credit(self, host: str, responded: bool) -> None:
+        """Record whether a client at this address responded to what was sent to it.
 
-    def credit(self, host: str, came: bool) -> None:
-        """Someone at this address read what was sent to it, or (`came` false) nobody did. Where made-up senders
-        use an address that is proven, it soon isn't any more."""
-        level = self.proven.get(host, 0) + (CREDIT if came else -1)
+        Where made-up senders use a proven address, it soon isn't one any more.
+        """
+        level = self.proven.get(host, 0) + (CREDIT if responded else -1)
         self.proven[host] = max(-MOST_CREDIT, min(MOST_CREDIT, level))
         self.proven.move_to_end(host)
         if len(self.proven) > MOST_PROVEN:
             self.proven.popitem(last=False)
 
     def is_proven(self, host: str) -> bool:
-        """Whether more came of this address's requests than not."""
+        """Whether this address responded more than not."""
         return self.proven.get(host, 0) > 0
 
-    # ---- those who wait
+    # ---- pending requests
 
-    def has_room(self, network: bytes) -> bool:
-        """Whether one more of this network may wait: while half is free anyone may, then each its share."""
+    def has_capacity(self, network: bytes) -> bool:
+        """Whether one more request of this network may wait: while half is free any may, then each its share."""
         most, waiting = self.limits.most_waiting, sum(self.waiting.values())
         if waiting >= most:
             return False
@@ -174,11 +178,11 @@
         return waiting < most // 2 or self.waiting[network] < max(1, share)
 
     def enter(self, network: bytes) -> None:
-        """One of this network waits."""
+        """A request of this network begins to wait."""
         self.waiting[network] += 1
 
     def leave(self, network: bytes) -> None:
-        """One of this network waits no more."""
+        """A request of this network waits no more."""
         self.waiting[network] -= 1
         if self.waiting[network] <= 0:
             del self.waiting[network]
--- a/gradefront/routing/buckets.py
+++ b/gradefront/routing/buckets.py
@@ -1,8 +1,8 @@
 """Token buckets in memory that is fixed at the start, however many keys come.
 
-A flood brings a new key with every packet. A table that keeps keys must then grow or throw keys out, and what is
-thrown out comes back with a full bucket. Here a key has a place in each of two rows of buckets, by a hash that
-nobody outside can foresee. It is let through while either of its two has a token: a key that keeps within its
+A flood brings a new key with every packet. A table that keeps keys must then grow or evict keys, and what is
+evicted comes back with a full bucket. Here a key has a place in each of two rows of buckets, by a hash that
+nobody outside can foresee. It is admitted while either of its two has a token: a key that keeps within its
 rate suffers only if floods hit both of its places.
 """
 
@@ -24,7 +24,7 @@
         self.at_us = now_us
 
     def level(self, now_us: int) -> float:
-        """The tokens that there are."""
+        """The tokens left."""
         if now_us > self.at_us:
             self.tokens = min(self.burst, self.tokens + (now_us - self.at_us) * self.rate / 1e6)
             self.at_us = now_us
@@ -38,17 +38,17 @@
         return True
 
     def spend(self, now_us: int, amount: float) -> None:
-        """Take what has been used already; the level may go below nothing."""
+        """Take what has been used already; the level may go below zero."""
         self.level(now_us)
         self.tokens -= amount
 
     def wait_us(self, now_us: int, amount: float = 1.0) -> int:
-        """How long until there will be so many tokens, if nobody takes any."""
+        """Microseconds until there will be so many tokens, if none are taken."""
         return max(0, round((amount - self.level(now_us)) / self.rate * 1e6))
 
 
 class BucketTable:
-    """Buckets by key, 16 octets a place, two places a key. `size` is made a power of two."""
+    """Buckets by key, 16 octets a place, two places a key. `size` is rounded up to a power of two."""
 
     def __init__(self, rate: float, burst: float, size: int = 8_192) -> None:
         self.rate = rate / 1e6
@@ -58,12 +58,12 @@
 
     @property
     def octets(self) -> int:
-        """The memory that the table takes, now and for ever."""
+        """The memory that the table takes; it never grows."""
         return sum(len(a) * a.itemsize for row in self.rows for a in row)
 
     def _places(self, key: Hashable) -> tuple[int, int]:
-        known = hash(key)  # SipHash with a secret of this process, for bytes and str
-        return known & self.mask, known >> 24 & self.mask
+        digest = hash(key)  # SipHash with a secret of this process, for bytes and str
+        return digest & self.mask, digest >> 24 & self.mask
 
     def _level(self, row: int, place: int, now_us: int) -> float:
         tokens, times = self.rows[row]
@@ -81,7 +81,7 @@
         return allowed
 
     def wait_us(self, key: bytes | str, now_us: int) -> int:
-        """How long until this key will have a token, if only it takes any."""
+        """Microseconds until this key will have a token, if only it takes any."""
         one, other = self._places(key)
         level = max(self._level(0, one, now_us), self._level(1, other, now_us))
         return max(0, round((1 - level) / self.rate))
--- a/gradefront/routing/networks.py
+++ b/gradefront/routing/networks.py
@@ -9,9 +9,14 @@
 import netaddr
 import pytricia
 
+MIN_PREFIX_V4_BITS = 8
+MAX_PREFIX_V4_BITS = 32
+MIN_PREFIX_V6_BITS = 16
+MAX_PREFIX_V6_BITS = 128
+
 
 class NetworkSet:
-    """Networks, IPv4 and IPv6, asked for an address. Raises ValueError on what is no network."""
+    """IPv4 and IPv6 networks, with `in` for addresses. Raises ValueError on what is no network."""
 
     def __init__(self, texts: Iterable[str] = ()) -> None:
         networks = []
@@ -32,22 +37,22 @@
         return bool(self.networks)
 
     def overlap(self, other: NetworkSet) -> str:
-        """A network that is in both sets, or nothing."""
+        """A network that is in both sets, or an empty text."""
         shared = netaddr.IPSet(self.networks) & netaddr.IPSet(other.networks)
         return next((str(network) for network in shared.iter_cidrs()), "")
 
 
 class Prefixes:
-    """The network that an address counts as: so many leading bits. Answers are remembered, at most 8,192."""
+    """The network that an address counts as: so many leading bits. Raises ValueError on lengths out of range."""
 
     def __init__(self, bits_v4: int = 24, bits_v6: int = 56) -> None:
-        if not 8 <= bits_v4 <= 32:
+        if not MIN_PREFIX_V4_BITS <= bits_v4 <= MAX_PREFIX_V4_BITS:
             raise ValueError("prefix_v4: must be from 8 to 32")
-        if not 16 <= bits_v6 <= 128:
+        if not MIN_PREFIX_V6_BITS <= bits_v6 <= MAX_PREFIX_V6_BITS:
             raise ValueError("prefix_v6: must be from 16 to 128")
         self.bits_v4 = bits_v4
         self.bits_v6 = bits_v6
-        self.of = lru_cache(maxsize=8_192)(self._of)
+        self.of = lru_cache(maxsize=8_192)(self._of)  # the network of an address, as bytes
 
     def _of(self, host: str) -> bytes:
         if ":" in host:
--- a/lab/conform/cases_paths.py
+++ b/lab/conform/cases_paths.py
@@ -278,7 +278,7 @@
 async def stray_to_a_draining_box(place: Place) -> None:
     backend = place.backends[0]
     async with told(place, backend, "DRAINING"):
-        await place.relay.line(f"push box {backend.name} drains")
+        await place.relay.line(f"backend {backend.name} is draining")
         client = await place.client()
         an_id = backend.new_id()
         client.send(
--- a/lab/demo.py
+++ b/lab/demo.py
@@ -81,7 +81,7 @@
         before = len(town.quics[0].connections), len(town.lines[0].first_lines)
         town.discovery.tell("box-0", "DRAINING")
         story.tell("box-0 drains: it gets nothing new, what stands there goes on until it is moved")
-        await town.relay.line("push box box-0 drains")
+        await town.relay.line("backend box-0 is draining")
         await town.come("while box-0 drains")
         after = len(town.quics[0].connections), len(town.lines[0].first_lines)
         story.tell(f"box-0 got {after[0] + after[1] - before[0] - before[1]} new visits since")
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -49,7 +49,7 @@
         assert here.ask(host, request) is Verdict.AGAIN, "the same burst is no repeat"
         here.spend(S // 5, 5_000)
         assert here.ask(host, request) is Verdict.TAKE
-        here.door.credit(host, came=True)
+        here.door.credit(host, responded=True)
         assert here.ask(host, b"another") is Verdict.TAKE, "who was there needs no second sight"
     assert here.flood.count(Verdict.TAKE) == taken
 
@@ -79,14 +79,14 @@
 
 def test_an_address_in_whose_name_others_flood_loses_its_credit_and_an_honest_one_keeps_it() -> None:
     here = Listener()
-    here.door.credit("203.0.113.5", came=True)
+    here.door.credit("203.0.113.5", responded=True)
     here.spend(S, 5_000)
     assert here.ask("203.0.113.5", b"a") is Verdict.TAKE
     for _ in range(200):
-        here.door.credit("203.0.113.5", came=False)
+        here.door.credit("203.0.113.5", responded=False)
     assert here.ask("203.0.113.5", b"b") is Verdict.AGAIN
     for _ in range(40):
-        here.door.credit("203.0.113.5", came=True)
+        here.door.credit("203.0.113.5", responded=True)
     assert here.ask("203.0.113.5", b"c") is Verdict.TAKE
 
 
@@ -105,12 +105,12 @@
     here = Listener(pressure=1e6, most_waiting=100)
     greedy, small = here.door.limits.prefixes.of("203.0.113.1"), here.door.limits.prefixes.of("198.51.100.1")
     entered = 0
-    while here.door.has_room(greedy):
+    while here.door.has_capacity(greedy):
         here.door.enter(greedy)
         entered += 1
     assert entered == 50, "one alone leaves half"
     for _ in range(20):
-        assert here.door.has_room(small)
+        assert here.door.has_capacity(small)
         here.door.enter(small)
     assert here.ask("203.0.113.1", b"a") in (Verdict.LATER, Verdict.DROP)
     for _ in range(50):
@@ -139,7 +139,7 @@
     assert here.door.addresses.octets == size == 8_192 * 2 * 16
     assert sum(map(len, here.door.sights)) <= 2 * MOST_FIRST_SIGHTS and len(here.door.waiting) == 0
     for n in range(20_000):
-        here.door.credit(f"host-{n}", came=True)
+        here.door.credit(f"host-{n}", responded=True)
     assert len(here.door.proven) == 8_192 and sys.getsizeof(here.door.proven) < 4 << 20
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -105,11 +105,11 @@
     for took in (5_000, 30_000, 31_000):
         message_latency.add("box-1", 7, took)
     message_latency.add("box-2", 8, 19_000)
-    assert message_latency.look() == [(7, "box-1", 30_000.0)]
+    assert message_latency.pop_reports() == [(7, "box-1", 30_000.0)]
     message_latency.add("box-1", 9, 1_000)
-    assert message_latency.look() == [(9, "box-1", 1_000.0)]
+    assert message_latency.pop_reports() == [(9, "box-1", 1_000.0)]
     message_latency.add("box-1", 9, 1_000)
-    assert message_latency.look() == []
+    assert message_latency.pop_reports() == []
 
 
 def test_module_hears_of_late_messages_and_load() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -271,7 +271,7 @@
         async with Handing(tmp_path) as here:
             alone = await here.start("alone")
             alone.process.send_signal(signal.SIGTERM)
-            await alone.line("leaving: 0 visits")
+            await alone.line("leaving: 0 connections to migrate")
             device = await LineDevice.connect(alone.ports[0])
             device.open(d=4000)
             assert [await device.line(), await device.line()] == ["UP r-1", "MOVE"]
