--- a/tests/faults.py
+++ b/tests/faults.py
@@ -20,7 +20,7 @@
     def __init__(self, real: socket.socket) -> None:
         self.real = real
         self.errors: dict[str, list[int]] = {}  # by call: the errors that the next calls give, in order
-        self.room: int | None = None  # bytes that `send` still takes; None: as the kernel says
+        self.send_capacity: int | None = None  # bytes that `send` still takes; None: as the kernel says
         self.piece: int | None = None  # bytes that one `send` takes at most
         self.on_send: Callable[[], None] = lambda: None  # called before each `send`
 
@@ -50,11 +50,11 @@
         piece = bytes(data)
         if self.piece is not None:
             piece = piece[: self.piece]
-        if self.room is not None:
-            piece = piece[: self.room]
+        if self.send_capacity is not None:
+            piece = piece[: self.send_capacity]
             if not piece and len(data):
                 raise failure(errno.EAGAIN)
-            self.room -= len(piece)
+            self.send_capacity -= len(piece)
         return self.real.send(piece, flags)
 
 
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -1,4 +1,4 @@
-"""The one helper that the new tests share: a relay core on a hand-moved clock, with ports that only record."""
+"""A relay core on a clock that the test moves, with ports that only record."""
 
 from __future__ import annotations
 
@@ -15,49 +15,49 @@
 
 
 class Upstream:
-    """A way to a backend that records its end."""
+    """A connection to a backend that records how it was closed."""
 
     def __init__(self) -> None:
-        self.hung: list[ConnectionEnd] = []
+        self.closed: list[ConnectionEnd] = []
 
     def close(self, how: ConnectionEnd) -> None:
-        self.hung.append(how)
+        self.closed.append(how)
 
 
 class Client:
-    """A client's side that records all it is told, in order."""
+    """A client's side that records all calls, in order."""
 
     def __init__(self) -> None:
-        self.told: list[str] = []
-        self.pause_us = 0
+        self.calls: list[str] = []
+        self.retry_after_us = 0
 
     def establish(self, upstream: BackendConnection, response_line: object) -> None:
-        self.told.append("seat")
+        self.calls.append("establish")
 
-    def reject(self, pause_us: int) -> None:
-        self.pause_us = pause_us
-        self.told.append("refuse")
+    def reject(self, retry_after_us: int) -> None:
+        self.retry_after_us = retry_after_us
+        self.calls.append("reject")
 
     def fail(self) -> None:
-        self.told.append("fail")
+        self.calls.append("fail")
 
     def migrate(self) -> None:
-        self.told.append("move")
+        self.calls.append("migrate")
 
     def close(self, how: ConnectionEnd) -> None:
-        self.told.append("end")
+        self.calls.append("close")
 
     def has_disconnected(self) -> bool:
         return False
 
 
 class Bench:
-    """A relay core, its clock, its backend caller, and a decision module that does what the test says."""
+    """A relay core, its clock, its connector, and a decision module that returns the actions of the test."""
 
     def __init__(self, settings: Settings = SETTINGS) -> None:
         self.now = 1_000_000
         self.events: list[Event] = []
-        self.orders: list[Action] = []
+        self.actions: list[Action] = []
         self.broken = False  # the module raises
         self.attempts: list[Attempt] = []
         self.upstreams: list[Upstream] = []
@@ -67,7 +67,7 @@
         self.core.on_endpoint_list(EndpointListUpdate((Endpoint("box-1"), Endpoint("box-2"))))
 
     def check(self, backend: str) -> None:
-        """As the one who asks backends; the module here asks for nothing."""
+        """Part of the health checker; the module here asks for none."""
 
     def check_connect(self, backend: str, timeout_us: int) -> None:
         self.connect_checks.append(backend)
@@ -76,8 +76,8 @@
         self.events.append(event)
         if self.broken:
             raise IndexError("the module broke")
-        orders, self.orders = self.orders, []
-        return orders
+        actions, self.actions = self.actions, []
+        return actions
 
     def count_unavailable(self, now_us: int) -> int:
         return 0
@@ -87,10 +87,10 @@
         self.upstreams.append(Upstream())
         return self.upstreams[-1]
 
-    def order(self, *orders: Action) -> None:
-        """Have the module say this now."""
+    def order(self, *actions: Action) -> None:
+        """Have the module return these actions now."""
         self.core.run_turn()
-        self.orders += orders
+        self.actions += actions
         self.core.enqueue(TimerFired(0))
         self.core.run_turn()
 
@@ -102,20 +102,20 @@
             self.core.run_turn()
 
     def arrive(self, timeout_us: int = 2_000_000) -> tuple[Connection, Client]:
-        """A client comes."""
+        """A client requests a connection."""
         client = Client()
-        connection = self.core.accept(ConnectRequest(timeout_us, "parcel"), client, self)
+        connection = self.core.accept(ConnectRequest(timeout_us, "request line"), client, self)
         self.core.run_turn()
         return connection, client
 
     def standing(self, backend: str = "box-1") -> tuple[Connection, Client, Attempt]:
-        """A client whose connection stands."""
+        """A client whose connection is established."""
         connection, client = self.arrive()
         self.order(StartAttempt(connection.number, backend, 1_000_000))
-        self.attempts[-1].succeed("receipt")
+        self.attempts[-1].succeed("response line")
         self.core.run_turn()
         return connection, client, self.attempts[-1]
 
     def outcomes(self, connection: Connection) -> list[AttemptEnded]:
-        """The ends of attempts that the module was told."""
+        """The ends of attempts that were reported to the module."""
         return [e for e in self.events if isinstance(e, AttemptEnded) and e.request_id == connection.number]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""The door's decisions on a clock of the test's: floods, made-up senders, fair shares, fixed memory."""
+"""Admission control on a clock that the test moves: floods, made-up senders, fair shares, fixed memory."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     def __init__(self, **limits: object) -> None:
         self.now = 0
         self.rng = random.Random(7)
-        self.door = Admission(Limits(**limits), 0)  # type: ignore[arg-type]
+        self.admission = Admission(Limits(**limits), 0)  # type: ignore[arg-type]
         self.flood: list[Verdict] = []
 
     def spend(self, us: int, rate: float) -> None:
@@ -35,13 +35,13 @@
             self.flood.append(self.ask(made_up(self.rng), self.rng.randbytes(8)))
 
     def ask(self, host: str, request: bytes, proven: bool = False) -> Verdict:
-        return self.door.judge(self.now, host, request, proven)[0]
+        return self.admission.judge(self.now, host, request, proven)[0]
 
 
-def test_a_client_that_repeats_itself_is_heard_and_a_made_up_flood_is_not() -> None:
+def test_a_client_that_repeats_itself_is_admitted_and_a_made_up_flood_is_not() -> None:
     here = Listener()
     here.spend(S, 5_000)
-    assert here.flood.count(Verdict.TAKE) <= 51, "what came before the door felt it"
+    assert here.flood.count(Verdict.TAKE) <= 51, "what came before the pressure showed"
     taken = here.flood.count(Verdict.TAKE)
     for n in range(40):  # honest ones come as nobody known, and repeat themselves after 200 ms
         host, request = f"203.0.113.{n}", b"request%d" % n
@@ -49,7 +49,7 @@
         assert here.ask(host, request) is Verdict.AGAIN, "the same burst is no repeat"
         here.spend(S // 5, 5_000)
         assert here.ask(host, request) is Verdict.TAKE
-        here.door.credit(host, responded=True)
+        here.admission.credit(host, responded=True)
         assert here.ask(host, b"another") is Verdict.TAKE, "who was there needs no second sight"
     assert here.flood.count(Verdict.TAKE) == taken
 
@@ -57,13 +57,13 @@
 def test_pressure_ends_and_begins_with_hysteresis() -> None:
     here = Listener(pressure=100.0)
     here.spend(S, 90)
-    assert not here.door.under_pressure
+    assert not here.admission.under_pressure
     here.spend(S, 400)
-    assert here.door.under_pressure
+    assert here.admission.under_pressure
     here.spend(2 * S, 70)  # over half of the bound: not calm yet
-    assert here.door.under_pressure
+    assert here.admission.under_pressure
     here.spend(4 * S, 20)
-    assert not here.door.under_pressure
+    assert not here.admission.under_pressure
 
 
 def test_proofs_are_asked_for_as_set_and_taken() -> None:
@@ -79,43 +79,46 @@
 
 def test_an_address_in_whose_name_others_flood_loses_its_credit_and_an_honest_one_keeps_it() -> None:
     here = Listener()
-    here.door.credit("203.0.113.5", responded=True)
+    here.admission.credit("203.0.113.5", responded=True)
     here.spend(S, 5_000)
     assert here.ask("203.0.113.5", b"a") is Verdict.TAKE
     for _ in range(200):
-        here.door.credit("203.0.113.5", responded=False)
+        here.admission.credit("203.0.113.5", responded=False)
     assert here.ask("203.0.113.5", b"b") is Verdict.AGAIN
     for _ in range(40):
-        here.door.credit("203.0.113.5", responded=True)
+        here.admission.credit("203.0.113.5", responded=True)
     assert here.ask("203.0.113.5", b"c") is Verdict.TAKE
 
 
-def test_whoever_floods_from_one_address_pays_alone_and_is_told_the_truth() -> None:
+def test_whoever_floods_from_one_address_pays_alone_and_gets_the_true_wait() -> None:
     here = Listener(pressure=1e6, address_rate=10.0, address_burst=20.0)
     verdicts = [here.ask("203.0.113.5", b"%d" % n) for n in range(60)]
     assert verdicts.count(Verdict.TAKE) == 20 and Verdict.LATER in verdicts
     assert here.ask("203.0.113.6", b"x") is Verdict.TAKE
-    verdict, pause_us = here.door.judge(here.now, "203.0.113.5", b"y", False)
+    verdict, pause_us = here.admission.judge(here.now, "203.0.113.5", b"y", False)
     assert verdict is Verdict.LATER and pause_us == 100_000
     here.now += pause_us + 1
     assert here.ask("203.0.113.5", b"y") is Verdict.TAKE
 
 
-def test_networks_share_the_waiting_room_fairly() -> None:
+def test_networks_share_the_pending_requests_fairly() -> None:
     here = Listener(pressure=1e6, most_waiting=100)
-    greedy, small = here.door.limits.prefixes.of("203.0.113.1"), here.door.limits.prefixes.of("198.51.100.1")
+    greedy, small = (
+        here.admission.limits.prefixes.of("203.0.113.1"),
+        here.admission.limits.prefixes.of("198.51.100.1"),
+    )
     entered = 0
-    while here.door.has_capacity(greedy):
-        here.door.enter(greedy)
+    while here.admission.has_capacity(greedy):
+        here.admission.enter(greedy)
         entered += 1
     assert entered == 50, "one alone leaves half"
     for _ in range(20):
-        assert here.door.has_capacity(small)
-        here.door.enter(small)
+        assert here.admission.has_capacity(small)
+        here.admission.enter(small)
     assert here.ask("203.0.113.1", b"a") in (Verdict.LATER, Verdict.DROP)
     for _ in range(50):
-        here.door.leave(greedy)
-    assert here.ask("203.0.113.1", b"b") is Verdict.TAKE and greedy not in here.door.waiting
+        here.admission.leave(greedy)
+    assert here.ask("203.0.113.1", b"b") is Verdict.TAKE and greedy not in here.admission.waiting
 
 
 def test_networks_are_allowed_and_denied() -> None:
@@ -134,13 +137,13 @@
 
 def test_memory_stays_as_it_is_whatever_comes() -> None:
     here = Listener()
-    size = here.door.addresses.octets
+    size = here.admission.addresses.octets
     here.spend(30 * S, 5_000)
-    assert here.door.addresses.octets == size == 8_192 * 2 * 16
-    assert sum(map(len, here.door.sights)) <= 2 * MOST_FIRST_SIGHTS and len(here.door.waiting) == 0
+    assert here.admission.addresses.octets == size == 8_192 * 2 * 16
+    assert sum(map(len, here.admission.sights)) <= 2 * MOST_FIRST_SIGHTS and len(here.admission.waiting) == 0
     for n in range(20_000):
-        here.door.credit(f"host-{n}", responded=True)
-    assert len(here.door.proven) == 8_192 and sys.getsizeof(here.door.proven) < 4 << 20
+        here.admission.credit(f"host-{n}", responded=True)
+    assert len(here.admission.proven) == 8_192 and sys.getsizeof(here.admission.proven) < 4 << 20
 
 
 @given(st.floats(0.5, 1e4), st.floats(1, 1e4), st.lists(st.integers(0, 10 * S), max_size=60))
--- a/tests/test_connection_model.py
+++ b/tests/test_connection_model.py
@@ -16,7 +16,7 @@
 
 from .helper import SETTINGS, Bench, Client
 
-ANSWERS = {"seat", "refuse", "fail"}
+ANSWERS = {"establish", "reject", "fail"}
 
 
 @dataclass
@@ -31,7 +31,7 @@
     left: bool = False
 
 
-class Visits(RuleBasedStateMachine):
+class Connections(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
         self.bench = Bench()
@@ -56,39 +56,39 @@
             if model.stage is ConnectionState.QUEUED and model.attempts < SETTINGS.max_attempts:
                 model.stage, model.attempts = ConnectionState.CONNECTING, model.attempts + 1
 
-    @rule(n=st.integers(0), refuses=st.booleans())
-    def module_answers(self, n: int, refuses: bool) -> None:
+    @rule(n=st.integers(0), rejects=st.booleans())
+    def module_answers(self, n: int, rejects: bool) -> None:
         model = self.pick(n)
         if model and model.stage is not ConnectionState.ESTABLISHED:
             number = model.connection.number
-            self.bench.order(Reject(number, 5_000) if refuses else Fail(number))
+            self.bench.order(Reject(number, 5_000) if rejects else Fail(number))
             model.stage = ConnectionState.CLOSED
 
     @rule(n=st.integers(0))
-    def module_moves(self, n: int) -> None:
+    def module_migrates(self, n: int) -> None:
         if model := self.pick(n):
             self.bench.order(Migrate(model.connection.number))
             if model.stage is ConnectionState.ESTABLISHED:
-                assert model.client.told[-1] == "move"
+                assert model.client.calls[-1] == "migrate"
                 model.stage = ConnectionState.CLOSED
 
     @rule(n=st.integers(0), phase=st.sampled_from([AttemptPhase.WRITING, AttemptPhase.SENT]))
-    def leg_comes_further(self, n: int, phase: AttemptPhase) -> None:
+    def attempt_advances(self, n: int, phase: AttemptPhase) -> None:
         model = self.pick(n)
         if model and (attempt := self.out(model)):
             self.sent += attempt.phase < phase is AttemptPhase.SENT
             attempt.advance(phase)
 
     @rule(n=st.integers(0))
-    def box_takes(self, n: int) -> None:
+    def backend_accepts(self, n: int) -> None:
         model = self.pick(n)
         if model and (attempt := self.out(model)):
             if model.stage is ConnectionState.CONNECTING:
-                attempt.succeed("receipt")
+                attempt.succeed("response line")
                 model.stage = ConnectionState.ESTABLISHED
 
     @rule(n=st.integers(0), cause=st.sampled_from([Cause.BROKEN, Cause.FULL, Cause.ERROR, Cause.SENT_AWAY]))
-    def box_ends(self, n: int, cause: Cause) -> None:
+    def backend_ends(self, n: int, cause: Cause) -> None:
         model = self.pick(n)
         if model and (attempt := self.out(model)):
             attempt.end(cause, ConnectionEnd.BROKEN)
@@ -97,7 +97,7 @@
             )
 
     @rule(n=st.integers(0), cause=st.sampled_from(list(Cause)))
-    def old_leg_speaks(self, n: int, cause: Cause) -> None:
+    def ended_attempt_is_called(self, n: int, cause: Cause) -> None:
         for attempt in self.bench.attempts:
             if attempt.is_over:
                 attempt.succeed("late")
@@ -120,11 +120,15 @@
                 assert model.stage in (ConnectionState.QUEUED, ConnectionState.CONNECTING, ConnectionState.CLOSED)
 
     @invariant()
-    def the_figures_are_what_the_clients_heard(self) -> None:
-        told = [t for model in self.models for t in model.client.told]
+    def the_figures_are_what_the_clients_got(self) -> None:
+        calls = [call for model in self.models for call in model.client.calls]
         counters = self.bench.core.counters
-        for name, answer in (("answered_total", "seat"), ("deferred_total", "refuse"), ("errored_total", "fail")):
-            assert counters.of_class(name, "visit-checkin") == told.count(answer)
+        for name, answer in (
+            ("answered_total", "establish"),
+            ("deferred_total", "reject"),
+            ("errored_total", "fail"),
+        ):
+            assert counters.of_class(name, "visit-checkin") == calls.count(answer)
         assert counters.counts["sends_total"] == self.sent
 
     @invariant()
@@ -133,19 +137,19 @@
         for model in self.models:
             assert model.connection.state is model.stage
             assert model.connection.attempts == model.attempts <= SETTINGS.max_attempts
-            answers = [t for t in model.client.told if t in ANSWERS]
+            answers = [t for t in model.client.calls if t in ANSWERS]
             answered = not model.left and (model.stage is ConnectionState.CLOSED or self.bench.now >= model.deadline)
             assert len(answers) <= 1 and (answers or not answered), "exactly one answer, in time"
             assert (model.stage is ConnectionState.CLOSED) == (
                 model.connection.number not in self.bench.core.connections
             )
             mine = [a for a in self.bench.attempts if a.connection is model.connection]
-            assert sum(not a.is_over for a in mine) <= 1, "a second copy"
+            assert sum(not a.is_over for a in mine) <= 1, "a hedged request"
             ends = [
                 o.attempt for o in self.bench.outcomes(model.connection) if o.result is not AttemptResult.NOT_SENT
             ]
             assert sorted(ends) == [a.number for a in mine if a.is_over], "one outcome for each attempt"
 
 
-Visits.TestCase.settings = settings(max_examples=150, stateful_step_count=40)
-TestVisits = Visits.TestCase
+Connections.TestCase.settings = settings(max_examples=150, stateful_step_count=40)
+TestConnections = Connections.TestCase
--- a/tests/test_lifecycle_state.py
+++ b/tests/test_lifecycle_state.py
@@ -1,4 +1,4 @@
-"""Whether the relay takes clients, and how it is emptied, against random steps."""
+"""Whether the relay accepts clients, and how it drains, against random steps."""
 
 from __future__ import annotations
 
@@ -14,8 +14,10 @@
 FOUR_S = 4_000_000
 
 
-def test_every_word_has_an_answer_in_every_state_and_leaving_has_no_way_back() -> None:
-    granted = {(state, word) for state in LifecycleState for word in LifecycleEvent if step(state, word) is not None}
+def test_a_running_relay_may_leave_or_drain_and_leaving_has_no_way_back() -> None:
+    granted = {
+        (state, event) for state in LifecycleState for event in LifecycleEvent if step(state, event) is not None
+    }
     assert all(
         (state, LifecycleEvent.LEAVE) in granted
         for state in (LifecycleState.STARTING, LifecycleState.SERVING, LifecycleState.LAME_DUCK)
@@ -23,17 +25,17 @@
     assert all(
         (state, LifecycleEvent.LAMEDUCK) in granted for state in LifecycleState if state is not LifecycleState.STOPPED
     )
-    assert {step(LifecycleState.LEAVING, word) for word in LifecycleEvent} == {
+    assert {step(LifecycleState.LEAVING, event) for event in LifecycleEvent} == {
         LifecycleState.LEAVING,
         LifecycleState.STOPPING,
         None,
     }
-    assert {step(LifecycleState.STOPPING, word) for word in LifecycleEvent} == {
+    assert {step(LifecycleState.STOPPING, event) for event in LifecycleEvent} == {
         LifecycleState.STOPPING,
         LifecycleState.STOPPED,
         None,
     }
-    assert {step(LifecycleState.STOPPED, word) for word in LifecycleEvent} == {None}
+    assert {step(LifecycleState.STOPPED, event) for event in LifecycleEvent} == {None}
     assert (
         step(LifecycleState.LEAVING, LifecycleEvent.REJOIN) is None
         and step(LifecycleState.LAME_DUCK, LifecycleEvent.READY) is None
@@ -46,16 +48,16 @@
     clients = [bench.standing()[1] for _ in range(30)]
     _, waiting = bench.arrive(4_800_000)
     assert bench.core.lifecycle.lame_duck() and not bench.core.lifecycle.accepts_clients
-    told = []
+    migrated = []
     for _ in range(40):
         bench.wait(100_000)
-        told.append(sum("move" in c.told for c in clients))
-    assert told[3] == 0, "the front still sends clients for a moment"
-    assert all(b - a <= 3 for a, b in zip(told, told[1:], strict=False)), "no herd"
-    assert told[-1] == 30 and waiting.told == ["refuse"]
+        migrated.append(sum("migrate" in c.calls for c in clients))
+    assert migrated[3] == 0, "the load balancer still sends clients for a moment"
+    assert all(b - a <= 3 for a, b in zip(migrated, migrated[1:], strict=False)), "no herd"
+    assert migrated[-1] == 30 and waiting.calls == ["reject"]
     _, late, _ = bench.standing()
     bench.wait(100_000)
-    assert late.told == ["seat", "move"], "who comes all the same is served, then moved"
+    assert late.calls == ["establish", "migrate"], "who comes all the same is served, then migrated"
 
 
 def test_after_the_end_of_a_drain_nobody_is_moved_on_its_account() -> None:
@@ -64,15 +66,15 @@
     bench.core.lifecycle.lame_duck()
     bench.wait(1_000_000)
     assert bench.core.lifecycle.rejoin() and bench.core.lifecycle.accepts_clients
-    moved = sum("move" in c.told for c in clients)
+    moved = sum("migrate" in c.calls for c in clients)
     assert 0 < moved < 10
     bench.wait(6_000_000)
-    assert sum("move" in c.told for c in clients) == moved
+    assert sum("migrate" in c.calls for c in clients) == moved
     bench.core.on_endpoint_list(EndpointListUpdate(()))
-    assert not bench.core.lifecycle.accepts_clients, "no push box, no clients"
+    assert not bench.core.lifecycle.accepts_clients, "no backend, no clients"
 
 
-class Duties(RuleBasedStateMachine):
+class Lifecycles(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
         self.bench = Bench()
@@ -104,7 +106,7 @@
         self.bench.core.lifecycle.leave(done)
 
     @rule()
-    def a_visit_stands(self) -> None:
+    def a_connection_is_established(self) -> None:
         if not self.gone:
             self.stood.append((self.bench.now, self.bench.standing()[1]))
 
@@ -116,12 +118,12 @@
     def yes_only_in_service_and_nobody_is_held_beyond_the_drain(self) -> None:
         core = self.bench.core
         assert core.lifecycle.accepts_clients == (not self.lame_us and not self.left_us)
-        held = [came for came, client in self.stood if "move" not in client.told]
+        held = [arrived_us for arrived_us, client in self.stood if "migrate" not in client.calls]
         if self.lame_us and not self.gone and self.bench.now - self.lame_us >= FOUR_S:
-            assert all(self.bench.now - came < 200_000 for came in held)
+            assert all(self.bench.now - arrived_us < 200_000 for arrived_us in held)
         if self.left_us and self.bench.now - self.left_us >= core.lifecycle.kill_us:
             assert self.gone and not held
 
 
-Duties.TestCase.settings = settings(max_examples=80, stateful_step_count=25)
-TestDuties = Duties.TestCase
+Lifecycles.TestCase.settings = settings(max_examples=80, stateful_step_count=25)
+TestLifecycles = Lifecycles.TestCase
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -21,7 +21,7 @@
     return [loop.standing(backend) for _ in range(many)]
 
 
-def fill(loop: Loop, client: Peer, served: Peer) -> int:
+def send_until_blocked(loop: Loop, client: Peer, served: Peer) -> int:
     """Send a client lines until neither the kernel nor it takes more, since it does not read. The bytes sent."""
     side, sent = loop.side(client), 0
     while not side.wire.unsent:
@@ -32,13 +32,13 @@
 
 
 @pytest.mark.parametrize("why", ["the relay stops", "the backend has vanished", "the relay is emptied"])
-def test_hundreds_that_are_moved_in_one_turn_all_hear_of_it(tmp_path: Path, why: str) -> None:
+def test_hundreds_that_are_moved_at_once_are_all_notified(tmp_path: Path, why: str) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     clients = stand(loop, backend, MANY)
     slow = clients[MANY // 2]
     slow[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    sent = fill(loop, *slow)
+    sent = send_until_blocked(loop, *slow)
     if why == "the relay stops":
         loop.core.lifecycle.stop(lambda: None)
     for connection in list(loop.core.connections.values()):
@@ -57,7 +57,7 @@
     assert not loop.core.connections
 
 
-def test_a_move_is_not_thrown_away_to_make_room_for_a_crowd(tmp_path: Path) -> None:
+def test_a_move_is_not_thrown_away_for_a_crowd(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     clients = stand(loop, backend, 20)
@@ -128,9 +128,9 @@
 
 
 @pytest.mark.parametrize("end", ["reset", "an orderly end"])
-@pytest.mark.parametrize("room", [0, 3])
+@pytest.mark.parametrize("send_capacity", [0, 3])
 def test_what_a_short_write_left_of_an_answer_arrives_though_the_backend_ends(
-    tmp_path: Path, end: str, room: int
+    tmp_path: Path, end: str, send_capacity: int
 ) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
@@ -140,12 +140,12 @@
     served = backend.accept()
     loop.until(lambda: served.read().endswith(b"\r\n"))
     sock = faulty(loop.side(client).wire)
-    sock.room = room
+    sock.send_capacity = send_capacity
     served.send(b"UP r-1\r\none line\r\n")
     served.close(reset=end == "reset")
     loop.until(lambda: not loop.core.connections)
     loop.step(2)
-    sock.room = None
+    sock.send_capacity = None
     loop.until(lambda: client.read() and client.ended)
     assert client.got == b"UP r-1\r\none line\r\n"
 
@@ -166,13 +166,13 @@
     loop = Loop(tmp_path, [backend])
     client, _ = loop.standing(backend)
     sock = faulty(loop.side(client).wire)
-    sock.room = 0
+    sock.send_capacity = 0
     began = loop.now_us
     loop.leave()
     kill_us = loop.core.lifecycle.kill_us
     loop.wait(kill_us - 150_000)
     assert not loop.stopped, "its client has not been sent its last word"
-    sock.room = None
+    sock.send_capacity = None
     loop.until(lambda: loop.wait(4_000) or loop.stopped)
     assert loop.stopped - began < kill_us - 50_000
     assert client.read() == b"MOVE\r\n" and not client.reset
@@ -265,13 +265,13 @@
     loop = Loop(tmp_path, [])
     client = loop.client()
     loop.open(client, d=300)
-    turn, broken = loop.core.run_turn, list[int]()
+    run_turn, broken = loop.core.run_turn, list[int]()
 
     def breaks() -> None:
         if not broken:
             broken.append(1)
             raise RuntimeError("a turn that breaks")
-        turn()
+        run_turn()
 
     loop.relay.driver.core.run_turn = breaks  # type: ignore[method-assign, union-attr]
     loop.wait(1_000_000)
--- a/tests/test_lost_model.py
+++ b/tests/test_lost_model.py
@@ -72,8 +72,8 @@
 
     @initialize(safe=st.booleans())
     def begin(self, safe: bool) -> None:
-        told = settings(aim_ms=200, deadline_ms=1200, maxAttempts=MOST_ATTEMPTS)
-        for grade in told["grades"]:
+        values = settings(aim_ms=200, deadline_ms=1200, maxAttempts=MOST_ATTEMPTS)
+        for grade in values["grades"]:
             grade["semantics"] = "safe" if safe else "unsafe"
         self.safe = safe
         self.backends = [Backend(), Backend()]
@@ -81,13 +81,13 @@
 
         def recorded(line: BackendProtocol) -> None:
             sent = line.wire.socket = Sent(line.wire.socket, oracle.request_left)
-            sent.room = oracle.piece
+            sent.send_capacity = oracle.piece
             oracle.attempts.append(sent)
             made(line)
 
         self.patch = patch.object(BackendProtocol, "connectionMade", recorded)
         self.patch.start()
-        self.loop = Loop(Path(self.folder.name), self.backends, told)
+        self.loop = Loop(Path(self.folder.name), self.backends, values)
         faulty(self.loop.relay.port)
         (Path(self.folder.name) / "config.json").write_text(json.dumps(self.loop.told))
 
@@ -111,18 +111,18 @@
             self.wrong.append("one attempt too many")
 
     def check(self) -> None:
-        """What clients have heard so far."""
+        """What clients have got so far."""
         assert not self.wrong, self.wrong
         for client in self.clients:
             lines = client.lines()
-            heard = lines[0] if len(lines) > 1 else b""
-            assert not heard or FINAL.fullmatch(heard), f"a wrong answer: {heard!r}"
-            if heard and not heard.startswith(b"UP"):
+            answer = lines[0] if len(lines) > 1 else b""
+            assert not answer or FINAL.fullmatch(answer), f"a wrong answer: {answer!r}"
+            if answer and not answer.startswith(b"UP"):
                 assert lines[1:] == [b""], f"more than one answer: {lines!r}"
             if lines.count(b"MOVE"):
                 assert lines[-2:] == [b"MOVE", b""], "something after MOVE"
             if client.asked and not client.gone and self.loop.now_us > client.due_us and client.peer.sock:
-                assert heard, "no answer in its time"
+                assert answer, "no answer in its time"
 
     def settle(self) -> None:
         """Some turns of the loop, and the backends' new connections."""
@@ -259,7 +259,7 @@
     def first_lines_leave_in_pieces(self, piece: int | None) -> None:
         self.piece = piece
         for sent in self.attempts if piece is None else ():
-            sent.room = None
+            sent.send_capacity = None
         self.settle()
 
     def transports(self) -> set[Any]:
@@ -274,20 +274,20 @@
         side = sorted(sides, key=lambda s: s.fileno())[n % len(sides)]
         return side.socket if isinstance(side.socket, FaultySocket) else faulty(side)
 
-    @rule(n=NUMBERS, room=st.sampled_from([0, 3, 1_000]))
-    def client_takes_little(self, n: int, room: int) -> None:
+    @rule(n=NUMBERS, send_capacity=st.sampled_from([0, 3, 1_000]))
+    def client_takes_little(self, n: int, send_capacity: int) -> None:
         if sock := self.client_socket(n):
-            sock.room = room
+            sock.send_capacity = send_capacity
 
     @rule()
     def clients_take_all(self) -> None:
-        self.all_room()
+        self.lift_send_limits()
         self.settle()
 
-    def all_room(self) -> None:
+    def lift_send_limits(self) -> None:
         for end in self.transports():
             if isinstance(getattr(end, "socket", None), FaultySocket):
-                end.socket.room = None
+                end.socket.send_capacity = None
 
     @rule(n=NUMBERS, call=st.sampled_from(["recv", "send"]), number=st.sampled_from(PASSING), times=st.integers(1, 3))
     def a_call_fails(self, n: int, call: str, number: int, times: int) -> None:
@@ -307,7 +307,7 @@
     @rule(us=st.sampled_from([4_000, 40_000, 160_000, 400_000]))
     def time_passes(self, us: int) -> None:
         self.settle()
-        self.all_room()  # whoever takes nothing for so long has itself to blame
+        self.lift_send_limits()  # whoever takes nothing for so long has itself to blame
         self.loop.wait(us)
         self.settle()
 
@@ -325,7 +325,7 @@
 
     @precondition(lambda self: len(self.clients) > 4)
     @rule()
-    def the_relay_is_told_to_end(self) -> None:
+    def the_relay_is_stopped(self) -> None:
         """SIGTERM: time runs on, as far as the last answers."""
         self.stopping = True
         self.loop.leave()
@@ -337,10 +337,10 @@
             return
         try:
             self.settle()
-            self.all_room()
+            self.lift_send_limits()
             self.piece = None
             for sent in self.attempts:
-                sent.room = None
+                sent.send_capacity = None
             self.stopping = True
             self.loop.leave()
             self.loop.wait(self.loop.core.lifecycle.kill_us, 10_000)
--- a/tests/test_lost_processes.py
+++ b/tests/test_lost_processes.py
@@ -22,34 +22,34 @@
 LEFT_S = 0.1  # the longest time after its client's end in which an attempt may begin
 MOST_ATTEMPTS = 4
 FINAL = re.compile(r"UP r-1|BUSY( \d+)?|ERR")
-#: What the unsound backend does, in turn.
-TROUBLES = ["UP r-1", None, "reset", "close", "BUSY", "ERR", "UP r-1", "UP, then reset", "half", "reset"]
+#: What the unsound backend does, one after another.
+FAULTS = ["UP r-1", None, "reset", "close", "BUSY", "ERR", "UP r-1", "UP, then reset", "half", "reset"]
 
 
 class Recorded(StandInBackend):
     """A backend that notes when each request came."""
 
-    def __init__(self, troubles: list[str | None]) -> None:
+    def __init__(self, faults: list[str | None]) -> None:
         super().__init__(self._answers)
-        self.troubles = troubles
-        self.turn = count()
-        self.came: list[tuple[str, float]] = []
+        self.faults = faults
+        self.numbers = count()
+        self.arrivals: list[tuple[str, float]] = []
 
     def _answers(self, line: str) -> str | None:
-        self.came.append((line[5:21], time.monotonic()))
-        trouble = self.troubles[next(self.turn) % len(self.troubles)]
+        self.arrivals.append((line[5:21], time.monotonic()))
+        fault = self.faults[next(self.numbers) % len(self.faults)]
         writer = self.writers[-1]
-        if trouble == "reset":
+        if fault == "reset":
             writer.transport.abort()
             return None
-        if trouble == "UP, then reset":
+        if fault == "UP, then reset":
             writer.write(b"UP r-1\r\n")
             asyncio.get_running_loop().call_soon(writer.transport.abort)
             return None
-        if trouble == "half":
+        if fault == "half":
             writer.write(b"UP r-")
             return "close"
-        return trouble
+        return fault
 
 
 class Relays:
@@ -68,9 +68,9 @@
             program(home, self.discovery, settings(deadline_ms=2500, maxAttempts=MOST_ATTEMPTS), name=name)
         )
 
-    def port(self, turn: int) -> int:
+    def port(self, number: int) -> int:
         programs = list(self.up.values())
-        return programs[turn % len(programs)].ports[0]
+        return programs[number % len(programs)].ports[0]
 
     async def restart(self, name: str, number: signal.Signals) -> None:
         """End one, by a signal, and start it again."""
@@ -95,9 +95,9 @@
         self.done = 0
         self.progress = asyncio.Condition()
 
-    async def ask(self, turn: int) -> None:
+    async def ask(self, number: int) -> None:
         """One request, at whatever relay is there."""
-        port = self.relays.port(turn)
+        port = self.relays.port(number)
         try:
             device = await LineDevice.connect(port)
         except ConnectionError:
@@ -106,7 +106,7 @@
         try:
             began = time.monotonic()
             device.open(d=WAITS_MS)
-            if turn % 7 == 0:
+            if number % 7 == 0:
                 await device.writer.drain()
                 device.writer.close()
                 self.left[f"{device.id:016x}"] = time.monotonic()
@@ -136,8 +136,8 @@
 
     async def run(self, number: int) -> None:
         """One client after another."""
-        for turn in range(number, number + REQUESTS * CLIENTS, CLIENTS):
-            await self.ask(turn)
+        for request in range(number, number + REQUESTS * CLIENTS, CLIENTS):
+            await self.ask(request)
             async with self.progress:
                 self.done += 1
                 self.progress.notify_all()
@@ -150,7 +150,7 @@
 
 def test_three_processes_answer_each_request_once_whatever_ends_or_fails(tmp_path: Path) -> None:
     async def play() -> None:
-        backends = [Recorded(["UP r-1"]), Recorded(TROUBLES), Recorded([None, "UP r-1"])]
+        backends = [Recorded(["UP r-1"]), Recorded(FAULTS), Recorded([None, "UP r-1"])]
         discovery = Discovery()
         async with AsyncExitStack() as stack:
             for n, backend in enumerate(backends):
@@ -173,10 +173,10 @@
             await asyncio.wait_for(running, 120)
             assert sum(clients.answers.values()) == CLIENTS * REQUESTS, clients.answers
             assert clients.answers["UP"] > CLIENTS * REQUESTS / 2, clients.answers
-            came = [entry for backend in backends for entry in backend.came]
-            attempts = Counter(request for request, _ in came)
+            arrivals = [entry for backend in backends for entry in backend.arrivals]
+            attempts = Counter(request for request, _ in arrivals)
             assert max(attempts.values()) <= MOST_ATTEMPTS
-            late = [at - clients.left[request] for request, at in came if request in clients.left]
+            late = [at - clients.left[request] for request, at in arrivals if request in clients.left]
             assert all(later < LEFT_S + BUSY_S for later in late), "sent on after its client had ended"
             for relay in relays.up.values():
                 assert "exceptions" not in await relay.counters()
--- a/tests/test_lost_requests.py
+++ b/tests/test_lost_requests.py
@@ -37,7 +37,7 @@
 
     def first_piece(line: BackendProtocol) -> None:
         sock = faulty(line.wire)
-        sock.room = piece
+        sock.send_capacity = piece
         sockets.append(sock)
         made(line)
 
@@ -147,14 +147,14 @@
     loop = Loop(tmp_path, [backend])
     client, served = loop.standing(backend)
     sock = faulty(loop.side(client).wire)
-    sock.room = 0
+    sock.send_capacity = 0
     served.send(b"a line that is under way\r\n")
     loop.step(3)
     client.send(b"half a line")
     client.sock.shutdown(socket.SHUT_WR)
     loop.until(lambda: served.read() and served.ended)
     assert served.got == b"half a line" and not served.reset
-    sock.room = None
+    sock.send_capacity = None
     loop.until(lambda: client.read() and client.ended)
     assert client.got == b"a line that is under way\r\n" and not client.reset
     assert not loop.core.connections
@@ -230,7 +230,7 @@
         loop.now_us = connection.deadline_us + 1_000
     if what.startswith("the client"):
         arrived(side.wire.socket, select.POLLRDHUP)
-    sockets[0].room = None
+    sockets[0].send_capacity = None
     loop.until(lambda: attempt.is_over)
     loop.order.held.clear()
     loop.until(lambda: served.read() and served.ended)
@@ -253,9 +253,9 @@
     served = backend.accept()
     for _ in range(3):
         sockets[0].errors["send"] = [errno.ENOBUFS]
-        sockets[0].room = 10
+        sockets[0].send_capacity = 10
         loop.step(3)
-    sockets[0].room = None
+    sockets[0].send_capacity = None
     loop.until(lambda: served.read().endswith(b"\r\n"))
     assert served.got.count(b"OPEN") == 1 and served.got.startswith(b"OPEN ")
     served.line("UP r-1")
@@ -358,11 +358,11 @@
 def test_a_backend_whose_connection_shows_as_broken_may_have_run_what_was_sent(
     tmp_path: Path, number: int, call: str
 ) -> None:
-    told = settings(aim_ms=300, deadline_ms=1500)
-    for grade in told["grades"]:
+    values = settings(aim_ms=300, deadline_ms=1500)
+    for grade in values["grades"]:
         grade["semantics"] = "unsafe"
     backend = Backend()
-    loop = Loop(tmp_path, [backend, Backend()], told)
+    loop = Loop(tmp_path, [backend, Backend()], values)
     client = loop.client()
     loop.open(client)
     loop.until(lambda: loop.wait(4_000) or any(v.attempt for v in loop.core.connections.values()))
@@ -370,12 +370,12 @@
     attempt = connection.attempt
     assert attempt
     results = list[AttemptResult]()
-    put = loop.core.enqueue
+    enqueue = loop.core.enqueue
 
     def hear(event: Event) -> None:
         if isinstance(event, AttemptEnded):
             results.append(event.result)
-        put(event)
+        enqueue(event)
 
     loop.core.enqueue = hear  # type: ignore[method-assign]
     loop.until(lambda: loop.wait(4_000) or attempt.write_started_us)
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -94,7 +94,7 @@
     line.connectionLost(DONE)
     bench.core.run_turn()
     loads = [e.load for e in bench.events if isinstance(e, ConnectionLoadReport)]
-    return wire.said, told.told, b"".join(passed), loads, [o.result for o in bench.outcomes(connection)]
+    return wire.said, told.calls, b"".join(passed), loads, [o.result for o in bench.outcomes(connection)]
 
 
 def probe(parts: list[bytes]) -> object:
--- a/tests/test_pre_request.py
+++ b/tests/test_pre_request.py
@@ -119,7 +119,7 @@
     door.bench.order(StartAttempt(2, "box-1", 1_000_000))
     (upstream,) = door.bench.upstreams
     reaching.say(b"hello\r\n")
-    assert reaching.wire.said == b"ERR\r\n" and upstream.hung and not door.bench.core.connections
+    assert reaching.wire.said == b"ERR\r\n" and upstream.closed and not door.bench.core.connections
     door.bench.wait(OWED_US)
     assert early.wire.said == reaching.wire.said == b"ERR\r\n"
     results = [e.result for e in door.bench.events if isinstance(e, AttemptEnded)]
--- a/tests/test_request_log.py
+++ b/tests/test_request_log.py
@@ -1,4 +1,4 @@
-"""What the log tells of single requests: sends to servers in slow start, their ends, why requests were refused."""
+"""The log lines on single requests: attempts at backends in slow start, their ends, reasons of rejections."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from .helper import Bench
 
-ROOM = SlowStartAllowance(7_800_000, 0.45, 50.0, 2.0, 4.5, 3.5, 1_000_000, True)
+ALLOWANCE = SlowStartAllowance(7_800_000, 0.45, 50.0, 2.0, 4.5, 3.5, 1_000_000, True)
 
 
-def test_a_send_to_a_server_in_slow_start_and_its_end_are_logged_with_the_reason(
+def test_an_attempt_at_a_backend_in_slow_start_and_its_end_are_logged_with_the_reason(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level("INFO")
     bench = Bench()
     connection, _ = bench.arrive()
-    bench.order(StartAttempt(connection.number, "box-1", 900_000, ROOM))
+    bench.order(StartAttempt(connection.number, "box-1", 900_000, ALLOWANCE))
     bench.attempts[0].end(Cause.FULL)
     bench.order(StartAttempt(connection.number, "box-2", 900_000))
     lines = [record.getMessage() for record in caplog.records if record.name == "gradefront.request"]
-    assert len(lines) == 2, "none for a warm server"
+    assert len(lines) == 2, "none for a warm backend"
     assert (
         "goes to box-1" in lines[0]
         and "7.80 s old" in lines[0]
@@ -32,7 +32,7 @@
     assert bench.core.counters.counts["slow_start_sends"] == 1
 
 
-def test_refusals_are_counted_by_reason_and_logged_once_a_second_for_each(caplog: pytest.LogCaptureFixture) -> None:
+def test_rejections_are_counted_by_reason_and_logged_once_a_second_for_each(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO")
     bench = Bench()
     for _ in range(5):
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -120,7 +120,7 @@
     assert not new.may_be_rejected, "what may have run and must not run twice is no invitation to come again"
     bench.core.lifecycle.lame_duck()
     bench.wait(3_700_000)
-    assert client.told == ["fail"]
+    assert client.calls == ["fail"]
 
 
 def test_the_module_counts_the_rounds_of_a_request_by_the_settings_it_came_under() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -64,7 +64,7 @@
     told = []
     for _ in range(22):
         bench.wait(100_000)
-        told.append(sum("move" in c.told for c in clients))
+        told.append(sum("migrate" in c.calls for c in clients))
     assert told[1] > 0 and told[-1] == 30 and max(b - a for a, b in zip(told, told[1:], strict=False)) <= 4
 
 
