--- a/gradefront/net/endpoint_list.py
+++ b/gradefront/net/endpoint_list.py
@@ -9,7 +9,7 @@
 from balancer.events import BackendState, Endpoint, EndpointListUpdate
 from gradefront.config import Config
 from gradefront.core.relay import RelayCore
-from gradefront.core.start_times import NOTICE_US, Hearing, Start, start_time
+from gradefront.core.start_times import NOTICE_US, ListReading, Start, start_time
 
 STATES = {"SERVING": BackendState.READY, "DRAINING": BackendState.DRAINING, "DELETED": BackendState.GONE}
 MAX_PORT = 65_535
@@ -97,15 +97,15 @@
                 backends[backend.endpoint.backend] = backend
         return backends
 
-    def _clock_trust(self) -> Hearing:
+    def _clock_trust(self) -> ListReading:
         """How far the times of day in a document that is applied now can be trusted."""
         now_us = self.core.clock()
         since_us = now_us - self.last_heartbeat_us if self.last_heartbeat_us is not None else 0
         oldest_us = max(self.core.settings.warm_up_us, since_us + NOTICE_US)
         # What differs from a list that this relay had, be it from before its start, happened of late.
-        return Hearing(now_us, self.stepped(), bool(self.backends), oldest_us)
+        return ListReading(now_us, self.stepped(), bool(self.backends), oldest_us)
 
-    def _read_member(self, member: Any, clock_trust: Hearing) -> ListedBackend:
+    def _read_member(self, member: Any, clock_trust: ListReading) -> ListedBackend:
         """Read one member. Raises KeyError, TypeError, ValueError, AttributeError or OverflowError."""
         state = STATES.get(member["phase"], BackendState.UNKNOWN)
         address = ("", 0) if state is BackendState.GONE else _read_address(member["host_port"])
--- a/lab/demo.py
+++ b/lab/demo.py
@@ -83,7 +83,7 @@
         before = len(stage.quics[0].connections), len(stage.lines[0].first_lines)
         stage.discovery.publish("box-0", "DRAINING")
         story.narrate("box-0 drains: it gets nothing new, what stands there goes on until it is moved")
-        await stage.relay.line("push box box-0 drains")
+        await stage.relay.line("backend box-0 is draining")
         await stage.add_devices("while box-0 drains")
         after = len(stage.quics[0].connections), len(stage.lines[0].first_lines)
         story.narrate(f"box-0 got {after[0] + after[1] - before[0] - before[1]} new visits since")
--- a/tests/test_lost_requests.py
+++ b/tests/test_lost_requests.py
@@ -358,11 +358,11 @@
 def test_a_backend_whose_connection_shows_as_broken_may_have_run_what_was_sent(
     tmp_path: Path, number: int, call: str
 ) -> None:
-    told = settings(objective_ms=300, deadline_ms=1500)
-    for grade in told["grades"]:
+    values = settings(objective_ms=300, deadline_ms=1500)
+    for grade in values["grades"]:
         grade["semantics"] = "unsafe"
     backend = Backend()
-    loop = Loop(tmp_path, [backend, Backend()], told)
+    loop = Loop(tmp_path, [backend, Backend()], values)
     client = loop.client()
     loop.open(client)
     loop.until(lambda: loop.wait(4_000) or any(v.attempt for v in loop.core.connections.values()))
@@ -370,12 +370,12 @@
     attempt = connection.attempt
     assert attempt
     results = list[AttemptResult]()
-    put = loop.core.enqueue
+    enqueue = loop.core.enqueue
 
     def hear(event: Event) -> None:
         if isinstance(event, AttemptEnded):
             results.append(event.result)
-        put(event)
+        enqueue(event)
 
     loop.core.enqueue = hear  # type: ignore[method-assign]
     loop.until(lambda: loop.wait(4_000) or attempt.write_started_us)
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -95,7 +95,7 @@
     line.connectionLost(DONE)
     bench.core.run_turn()
     loads = [e.load for e in bench.events if isinstance(e, ConnectionLoadReport)]
-    return wire.written, client_side.told, b"".join(forwarded), loads, [o.result for o in bench.outcomes(connection)]
+    return wire.written, client_side.calls, b"".join(forwarded), loads, [o.result for o in bench.outcomes(connection)]
 
 
 def health_check(parts: list[bytes]) -> object:
--- a/tests/test_pre_request.py
+++ b/tests/test_pre_request.py
@@ -120,7 +120,7 @@
     listener.bench.order(StartAttempt(2, "box-1", 1_000_000))
     (upstream,) = listener.bench.upstreams
     reaching.send(b"hello\r\n")
-    assert reaching.wire.written == b"ERR\r\n" and upstream.hung and not listener.bench.core.connections
+    assert reaching.wire.written == b"ERR\r\n" and upstream.closed and not listener.bench.core.connections
     listener.bench.wait(ANSWER_OWED_US)
     assert early.wire.written == reaching.wire.written == b"ERR\r\n"
     results = [e.result for e in listener.bench.events if isinstance(e, AttemptEnded)]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -64,7 +64,7 @@
     migrated = []
     for _ in range(22):
         bench.wait(100_000)
-        migrated.append(sum("move" in c.told for c in clients))
+        migrated.append(sum("migrate" in c.calls for c in clients))
     assert (
         migrated[1] > 0
         and migrated[-1] == 30
@@ -275,7 +275,7 @@
         async with Upgrade(tmp_path) as here:
             alone = await here.start("alone")
             alone.process.send_signal(signal.SIGTERM)
-            await alone.line("leaving: 0 visits")
+            await alone.line("leaving: 0 connections to migrate")
             device = await LineDevice.connect(alone.ports[0])
             device.open(d=4000)
             assert [await device.line(), await device.line()] == ["UP r-1", "MOVE"]
