--- a/gradefront/admin/calls.py
+++ b/gradefront/admin/calls.py
@@ -9,7 +9,7 @@
 
 
 def admin_calls(core: RelayCore) -> dict[str, Answer]:
-    """What answers each call."""
+    """For each call, the function that answers it."""
 
     def state(is_ok: bool) -> list[str]:
         return [f"{'ok' if is_ok else 'fail'} {core.lifecycle.state.value}"]
--- a/gradefront/admin/metrics.py
+++ b/gradefront/admin/metrics.py
@@ -13,7 +13,7 @@
 
 
 def escape_label(value: str) -> str:
-    """A label's value. Prevents that names with quotes, backslashes or line ends break the format."""
+    """A label's value. Prevents names with quotes, backslashes or line ends from breaking the format."""
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
--- a/gradefront/admin/server.py
+++ b/gradefront/admin/server.py
@@ -43,7 +43,7 @@
         self.server.on_connected(self)
 
     def lineReceived(self, line: bytes) -> None:
-        """Answer the call. Prevents that a fault in an answer ends more than this connection."""
+        """Answer the call. Prevents a fault in an answer from ending more than this connection."""
         if self.answered:
             return
         try:
@@ -57,7 +57,7 @@
         self.answer(["fail an overlong call"])
 
     def answer(self, lines: list[str]) -> None:
-        """Send the answer and end; later answers count for nothing."""
+        """Send the answer and end; later answers are ignored."""
         if self.answered:
             return
         self.answered = True
@@ -96,7 +96,7 @@
         return AdminProtocol(self)
 
     def on_connected(self, caller: AdminProtocol) -> None:
-        """End the oldest caller where they crowd."""
+        """End the oldest caller where there are many."""
         self.callers[caller] = None
         oldest = next(iter(self.callers))
         if len(self.callers) > CROWDED_CALLERS and caller.arrived_us - oldest.arrived_us > NEW_CALLER_US:
--- a/gradefront/config.py
+++ b/gradefront/config.py
@@ -21,17 +21,17 @@
 
 CLASS_NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")  # in the settings, and in the first lines that name it
 PROCESSES_SHARING_LISTENER = 2  # one that leaves and one that takes over
-OPTIONAL_KEYS = ("aimStretch",)  # left out by the platform where they say nothing
+OPTIONAL_KEYS = ("aimStretch",)  # the platform leaves them out where they have no effect
 DEFAULT_SOCKETS = 1024
 MAX_PORT = 65_535
 
 
 class ConfigError(Exception):
-    """A configuration that makes no sense; its text names the file or the setting at fault."""
+    """An invalid configuration; its text names the file or the setting at fault."""
 
 
 class SettingError(ConfigError):
-    """One setting that is missing or makes no sense.
+    """One setting that is missing or invalid.
 
     `field` is the variable, or the key's path in the file; `problem` says what is wrong with it.
     """
@@ -195,8 +195,7 @@
 def missing_key(document: Any, before: Any, where: str = "") -> str:
     """The path of a key that the object `before` had and `document` lacks, or "".
 
-    Prevents that a file that was cut short or written by half is taken: what it leaves out would silently be a
-    default.
+    Prevents a truncated or half-written file from being applied: what it leaves out would silently be a default.
     """
     for key, value in before.items():
         if key in OPTIONAL_KEYS:
--- a/gradefront/listening.py
+++ b/gradefront/listening.py
@@ -30,7 +30,7 @@
             raise OSError("not a TCP socket that listens")
     except OSError as error:
         raise SettingError("LB_SOCKET_FD", f"{fd}: {error.strerror or error}") from None
-    # All holders of a listener share this flag. Prevents a wait for a client that another process has accepted.
+    # All holders of a listener share this flag. Prevents blocking on a client that another process has accepted.
     listener.setblocking(False)
     return listener
 
--- a/gradefront/reload.py
+++ b/gradefront/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: a replaced configuration file is taken whole or not at all."""
+"""SIGHUP: a replaced configuration file is applied completely or not at all."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
         self.quic = quic
 
     def reload(self) -> None:
-        """Read the file anew. Where it makes no sense, that is logged and the old configuration stays."""
+        """Read the file anew. Where it is invalid, that is logged and the old configuration stays."""
         try:
             prepared = self._prepare()
         except (ConfigError, TooManyClasses) as error:
--- a/gradefront/service.py
+++ b/gradefront/service.py
@@ -38,8 +38,8 @@
 class Relay:
     """One relay: the core, the fronts that clients come to, and what starts, reconfigures and ends them.
 
-    `clock` gives Unix time in microseconds; without it the system's is used. Raises ConfigError where a setting makes
-    no sense, and CannotListenError.
+    `clock` gives Unix time in microseconds; without it the system's is used. Raises ConfigError where a setting is
+    invalid, and CannotListenError.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         log.info("counters %s", self.core.counters.line(**levels))
 
     def reload(self) -> None:
-        """Read the configuration file anew; what stands goes on."""
+        """Read the configuration file anew; established connections go on."""
         self._reloader.reload()
 
     def leave(self) -> None:
@@ -141,11 +141,11 @@
 
 
 def serve() -> int:
-    """Serve until told to stop. The exit status: 0 then, 2 where the configuration makes no sense."""
+    """Serve until a signal ends it. The exit status: 0 then, 2 where the configuration is invalid."""
     reactor = cast(Reactor, cast(Any, RelayReactor)())
     cast(Any, installReactor)(reactor)
     relay: Relay
-    # Before the file is read: a signal that comes meanwhile waits for the reactor and ends nothing.
+    # Before the file is read: a signal that arrives meanwhile waits for the reactor instead of ending the process.
     for number, do in (
         (signal.SIGTERM, Relay.leave),
         (signal.SIGINT, Relay.leave),
--- a/gradefront/shutdown.py
+++ b/gradefront/shutdown.py
@@ -19,11 +19,11 @@
 log = logging.getLogger("gradefront")
 
 EMPTY_CHECK_US = 100_000  # between checks whether a replaced process still has connections
-CLOSED_CHECK_US = 8_000  # between checks whether peers have closed or taken their answers
+CLOSED_CHECK_US = 8_000  # between checks whether peers have closed or read their answers
 # After the last answers:
-PRE_REQUEST_END_US = 100_000  # clients without a request are told to come again
+PRE_REQUEST_END_US = 100_000  # clients without a request are rejected
 STOP_US = 250_000  # the process ends, whoever has not closed by then; 0.2 s before SIGKILL
-FORCED_STOP_US = 350_000  # ... even where a client has not taken its answer yet; 0.1 s before SIGKILL
+FORCED_STOP_US = 350_000  # ... even where a client has not read its answer yet; 0.1 s before SIGKILL
 
 
 class Shutdown:
@@ -63,7 +63,7 @@
         self._stop_when_empty()
 
     def _stop_when_empty(self) -> None:
-        """End early: nobody comes here any more, and the time, memory and descriptors are the new process's."""
+        """End early: no client connects here any more, and the new process needs time, memory and descriptors."""
         if self.front.open_connections or self.core.connections:
             self.core.after(EMPTY_CHECK_US, self._stop_when_empty)
         else:
@@ -80,7 +80,7 @@
         self._stop_when_closed()
 
     def _end_pre_request(self) -> None:
-        """Tell clients without a request to come again, also those that wait to be accepted."""
+        """Reject clients without a request, also those that still wait to be accepted."""
         self.listener.accept_last_and_stop()
         self.front.end_rest()
 
@@ -93,7 +93,7 @@
             self._stop()
 
     def _stop_when_sent(self) -> None:
-        """Wait no longer for peers to close, only for those that have not taken their answer."""
+        """Wait no longer for peers to close, only for those that have not read their answer."""
         if self.front.closing.unsent:
             self.core.after(CLOSED_CHECK_US, self._stop_when_sent)
         else:
--- a/gradefront/state/form.py
+++ b/gradefront/state/form.py
@@ -18,7 +18,7 @@
 
 VERSION = 1
 MAX_FORM_BYTES = 24_576  # two unfinished lines and the rest fit many times over
-MAX_TIME_DIFFERENCE_US = 60_000_000  # from now; silence is noticed long before
+MAX_TIME_DIFFERENCE_US = 60_000_000  # from now; silence is detected long before
 
 #: The field of `ConnectionSnapshot` that each stored name stands for.
 STORED_NAMES = {
@@ -40,7 +40,7 @@
 
 
 class FormError(Exception):
-    """A description that makes no sense. `field` is the stored name, "" where it is the whole description."""
+    """An invalid description. `field` is the stored name, "" where it is the whole description."""
 
     def __init__(self, text: str, field: str = "") -> None:
         super().__init__(text)
@@ -90,7 +90,7 @@
 def read(data: bytes, now_us: int) -> ConnectionSnapshot:
     """The connection described.
 
-    Raises FormError. Prevents that a description by another version, or half of one, is taken for a connection.
+    Raises FormError. Prevents a description by another version, or half of one, from becoming a connection.
     """
     try:
         snapshot = _decode(json.loads(data))
--- a/gradefront/state/handover_receiver.py
+++ b/gradefront/state/handover_receiver.py
@@ -130,7 +130,7 @@
     def is_newest(self) -> bool:
         """Whether no newer process holds the name; True also where that can't be known.
 
-        Prevents that requests in the listener's queue are left to a process that does not exist.
+        Prevents requests in the listener's queue from being left to a process that does not exist.
         """
         if self.listener is None:
             return True
@@ -176,8 +176,7 @@
     def adopt(self, data: bytes, fds: list[int], truncated: bool) -> None:
         """Take one connection over.
 
-        Where its description makes no sense its sockets are closed; where its class has other rules here, it is told
-        to move.
+        Where its description is invalid its sockets are closed; where its class has other rules here, it is migrated.
         """
         core = self.core
         try:
--- a/gradefront/state/handover_sender.py
+++ b/gradefront/state/handover_sender.py
@@ -1,7 +1,7 @@
 """The sending side of a handover: a process that is replaced sends its connections to the newest one.
 
-Each connection is one message: its description and its two sockets (SCM_RIGHTS). Whatever can't be handed over is
-told to move, as without a handover.
+Each connection is one message: its description and its two sockets (SCM_RIGHTS). What can't be handed over is
+migrated, as without a handover.
 """
 
 from __future__ import annotations
--- a/gradefront/state/handover_sockets.py
+++ b/gradefront/state/handover_sockets.py
@@ -17,7 +17,7 @@
 
 SOCKET_NAME = "gradefront.handover"
 MAX_SENDERS = 4  # processes that hand over at a time
-CONNECT_TIMEOUT_S = 0.1  # to a listener on this machine: it is there or it isn't
+CONNECT_TIMEOUT_S = 0.1  # to a listener on this machine, which answers at once or not at all
 PEER_CREDENTIALS = struct.Struct("3i")  # process, user, group
 
 
@@ -33,7 +33,7 @@
 
 
 def listen_as_newest(path: Path) -> tuple[socket.socket, int]:
-    """Listen under the name `path`, in place of whoever had it; the listener and its inode. Raises OSError."""
+    """Listen under the name `path`, in place of the process before; the listener and its inode. Raises OSError."""
     own_path = path.with_name(f"{path.name}.{os.getpid()}")
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
