--- a/gradefront/core/counters.py
+++ b/gradefront/core/counters.py
@@ -6,7 +6,7 @@
 import logging
 from collections import Counter
 
-log = logging.getLogger("gradefront.bad")
+log = logging.getLogger("gradefront.invalid_input")
 
 LOG_INTERVAL_US = 1_000_000  # between two log lines of one kind: a line each would cost more than its cause
 
--- a/gradefront/net/backend_connection.py
+++ b/gradefront/net/backend_connection.py
@@ -20,7 +20,7 @@
 from .lines import FirstLine, read_report
 from .reactor import Reactor
 
-log = logging.getLogger("gradefront.upstream")
+log = logging.getLogger("gradefront.backend_connection")
 
 ESTABLISHED_RESPONSE = re.compile(rb"UP [!-~][ -~]*")
 
--- a/gradefront/net/client_protocol.py
+++ b/gradefront/net/client_protocol.py
@@ -24,7 +24,7 @@
 from .lines import InvalidLineError, read_first, read_id
 from .seen_ids import SeenIds
 
-log = logging.getLogger("gradefront.front")
+log = logging.getLogger("gradefront.client")
 
 PRE_REQUEST_TIMEOUT_US = 2_200_000  # from connecting; a client that has made no request is owed an answer within 3 s
 MAX_PINGS = 32  # on one connection, before its request
--- a/gradefront/net/endpoint_watch.py
+++ b/gradefront/net/endpoint_watch.py
@@ -10,7 +10,7 @@
 from .endpoint_watch_call import EndpointWatchCall
 from .reactor import Reactor
 
-log = logging.getLogger("gradefront.watch")
+log = logging.getLogger("gradefront.endpoint_watch")
 
 RESPONSE_TIMEOUT_US = 3_500_000  # discovery fails a call that waited 3 s by itself
 MIN_DRAIN_GRACE_US = 150_000  # where the settings' time after a drain is shorter, or 0
--- a/gradefront/net/endpoint_watch_call.py
+++ b/gradefront/net/endpoint_watch_call.py
@@ -15,7 +15,7 @@
 from .endpoint_watch_protocol import EndpointWatchProtocol
 from .objects import Objects
 
-log = logging.getLogger("gradefront.watch")
+log = logging.getLogger("gradefront.endpoint_watch")
 
 HEARTBEAT_TIMEOUT_US = 3_000_000  # an empty line comes every 2 s; an update is in force after 6 s, received or not
 RECHECK_DELAY_US = 20_000  # for a loop that was held up to read what has come
