--- a/balancer/load_estimate.py
+++ b/balancer/load_estimate.py
@@ -76,7 +76,7 @@
         """Nodes for each backend: over all nodes, a mean backend holds this many times what one node has."""
         return self._context.settings.fleet_size / max(1, len(self._endpoints.backends))
 
-    def connections_to_fill(self, held: float) -> float:
+    def connections_at_capacity(self, held: float) -> float:
         """Mean connections that fill a backend, if this node holds `held` at the mean load."""
         return held * self.nodes_per_backend() / max(self.mean_load, MIN_MEAN_LOAD)
 
@@ -91,5 +91,5 @@
         # started or was emptied a moment ago, when another node sends its clients away.
         mean_work = self._connections.mean_work
         by_work = self.cores() * 1e6 / mean_work if mean_work > 0 else 1.0
-        by_count = self.connections_to_fill(len(self._connections.by_id))
+        by_count = self.connections_at_capacity(len(self._connections.by_id))
         return max(by_count, by_work, MIN_FULL_CONNECTIONS)
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -148,7 +148,7 @@
         """
         estimate = self._load_estimate
         held = len(self._connections.by_id)
-        most = estimate.connections_to_fill(held + DEVIATIONS * math.sqrt(held + 1))
+        most = estimate.connections_at_capacity(held + DEVIATIONS * math.sqrt(held + 1))
         most = max(most, MIN_FULL_CONNECTIONS * estimate.cores())
         # A new node has no count yet; the backends carried what reconnects to it a moment ago.
         full = estimate.full_connections()
--- a/tests/test_basic.py
+++ b/tests/test_basic.py
@@ -31,7 +31,7 @@
     assert all(name in texts[0].split('"""')[1] for name in ("events.py", "actions.py"))
     named = {Path(name).name for name in policy}
     undecided = {
-        *("node.py", "context.py", "timers.py", "decaying.py", "events.py", "actions.py", "settings.py"),
+        *("context.py", "timers.py", "decaying.py", "events.py", "actions.py", "settings.py"),
         *("simulator_wire.py", "simulator_host.py", "__init__.py"),
     }
     assert {p.name for p in Path("balancer").glob("*.py")} == named | undecided, "all that decide are named"
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -247,7 +247,7 @@
         b.handle(
             now, ConnectionEstablished(n, 0, "s0") if good else AttemptEnded(n, 0, start.backend, AttemptResult.ERROR)
         )
-    assert b.endpoints.backends["s0"].ejected_until_us == 0 and b.bad.value == 0
+    assert b.endpoints.backends["s0"].ejected_until_us == 0 and b.throttle.failures.value == 0
 
 
 def far_and_near(load: float, price: float) -> list[str]:
