--- a/gradefront/core/timer_wheel.py
+++ b/gradefront/core/timer_wheel.py
@@ -28,26 +28,26 @@
     def __init__(self, now_us: int) -> None:
         self.tick = now_us // TICK_US  # the last tick that has been run
         self.slots: list[list[Timer]] = [[] for _ in range(SLOTS)]
-        self.taken = 0  # bit mask of the slots that hold timers
+        self.occupied = 0  # bit mask of the slots that hold timers
 
     def set(self, at_us: int, then: Callable[[], None]) -> Timer:
         """Run `then` at the first tick at or after `at_us`."""
         tick = max(-(-at_us // TICK_US), self.tick + 1)
         timer = Timer(tick, then)
         self.slots[tick % SLOTS].append(timer)
-        self.taken |= 1 << tick % SLOTS
+        self.occupied |= 1 << tick % SLOTS
         return timer
 
     def next_due(self) -> int | None:
         """When to call `pop_due` next, in us; for a timer of a later round, when to check again. None: no timers."""
-        if not self.taken:
+        if not self.occupied:
             return None
         start = (self.tick + 1) % SLOTS
-        ahead = self.taken >> start
+        ahead = self.occupied >> start
         if ahead:
             gap = (ahead & -ahead).bit_length() - 1
         else:
-            gap = SLOTS - start + (self.taken & -self.taken).bit_length() - 1
+            gap = SLOTS - start + (self.occupied & -self.occupied).bit_length() - 1
         return (self.tick + 1 + gap) * TICK_US
 
     def pop_due(self, now_us: int) -> list[Callable[[], None]]:
@@ -56,12 +56,12 @@
         due: list[Timer] = []
         for tick in range(self.tick + 1, min(last, self.tick + SLOTS) + 1):
             slot = tick % SLOTS
-            if not self.taken >> slot & 1:
+            if not self.occupied >> slot & 1:
                 continue
             late = [t for t in self.slots[slot] if t.tick <= last]
             due += late
             self.slots[slot] = [t for t in self.slots[slot] if t.tick > last and t.then]
             if not self.slots[slot]:
-                self.taken &= ~(1 << slot)
+                self.occupied &= ~(1 << slot)
         self.tick = max(self.tick, last)
         return [t.then for t in sorted(due, key=lambda t: t.tick) if t.then]
--- a/gradefront/routing/admission.py
+++ b/gradefront/routing/admission.py
@@ -17,14 +17,15 @@
 from .networks import NetworkSet, Prefixes
 
 PRESSURE_WINDOW_US = 250_000  # in which fresh requests are counted
-CALM_US = 2_000_000  # calm for so long ends the pressure
-SECOND_SIGHT_US = 50_000  # a repeat that comes sooner is the same burst, not a client's timer
-MEMORY_US = 2_000_000  # a first sight is remembered for one to two of these
-MOST_FIRST_SIGHTS = 32_768  # in each of two halves; about 120 octets each
-MOST_PROVEN = 8_192  # addresses; about 200 octets each
+CALM_PERIOD_US = 2_000_000  # calm for so long ends the pressure
+MIN_REPEAT_GAP_US = 50_000  # a repeat that comes sooner is the same burst, not a client's timer
+FIRST_SIGHT_MEMORY_US = 2_000_000  # a first sight is remembered for one to two of these
+MAX_FIRST_SIGHTS = 32_768  # in each of two halves; about 120 octets each
+MAX_PROVEN_ADDRESSES = 8_192  # addresses; about 200 octets each
 CREDIT = 2  # one client that responds outweighs so many requests without one
-MOST_CREDIT = 64
+MAX_CREDIT = 64
 NO_CAPACITY_RETRY_AFTER_US = 500_000  # capacity frees as soon as a pending request is answered
+MIN_RETRY_AFTER_US = 1_000
 
 
 class Verdict(Enum):
@@ -79,8 +80,8 @@
         self.sights: list[dict[bytes, int]] = [{}, {}]
         self.sights_rotated_us = now_us
         self.waiting: Counter[bytes] = Counter()  # by network; no more entries than may wait
-        self.count = 0
-        self.window_us = now_us
+        self.window_count = 0
+        self.window_start_us = now_us
         self.calm_since_us = now_us
         self.under_pressure = False
 
@@ -121,34 +122,34 @@
         """A rejection costs a packet too: unknown senders get none under pressure."""
         if self.under_pressure and not is_known or not self.refusals.take(now_us):
             return Verdict.DROP, 0
-        return Verdict.LATER, max(1_000, retry_after_us)
+        return Verdict.LATER, max(MIN_RETRY_AFTER_US, retry_after_us)
 
     # ---- pressure, with hysteresis
 
     def _update_pressure(self, now_us: int) -> None:
-        self.count += 1
-        passed = now_us - self.window_us
+        self.window_count += 1
+        passed_us = now_us - self.window_start_us
         bound = self.limits.pressure * PRESSURE_WINDOW_US / 1e6
-        if self.count > bound and passed <= PRESSURE_WINDOW_US:
+        if self.window_count > bound and passed_us <= PRESSURE_WINDOW_US:
             self.under_pressure, self.calm_since_us = True, now_us
-        if passed > PRESSURE_WINDOW_US:
-            if self.count * PRESSURE_WINDOW_US > bound * passed / 2:
+        if passed_us > PRESSURE_WINDOW_US:
+            if self.window_count * PRESSURE_WINDOW_US > bound * passed_us / 2:
                 self.calm_since_us = now_us
-            self.window_us, self.count = now_us, 0
-        if self.under_pressure and now_us - self.calm_since_us > CALM_US:
+            self.window_start_us, self.window_count = now_us, 0
+        if self.under_pressure and now_us - self.calm_since_us > CALM_PERIOD_US:
             self.under_pressure = False
 
     # ---- first and second sight
 
     def _seen_before(self, now_us: int, host: str, request: bytes) -> bool:
-        if now_us - self.sights_rotated_us > MEMORY_US or len(self.sights[0]) >= MOST_FIRST_SIGHTS:
+        if now_us - self.sights_rotated_us > FIRST_SIGHT_MEMORY_US or len(self.sights[0]) >= MAX_FIRST_SIGHTS:
             self.sights, self.sights_rotated_us = [{}, self.sights[0]], now_us
         key = host.encode() + b" " + request
         first_us = self.sights[0].get(key) or self.sights[1].get(key)
         if first_us is None:
             self.sights[0][key] = now_us
             return False
-        return now_us - first_us >= SECOND_SIGHT_US
+        return now_us - first_us >= MIN_REPEAT_GAP_US
 
     # ---- addresses that have responded
 
@@ -158,9 +159,9 @@
         Where made-up senders use a proven address, it soon isn't one any more.
         """
         level = self.proven.get(host, 0) + (CREDIT if responded else -1)
-        self.proven[host] = max(-MOST_CREDIT, min(MOST_CREDIT, level))
+        self.proven[host] = max(-MAX_CREDIT, min(MAX_CREDIT, level))
         self.proven.move_to_end(host)
-        if len(self.proven) > MOST_PROVEN:
+        if len(self.proven) > MAX_PROVEN_ADDRESSES:
             self.proven.popitem(last=False)
 
     def is_proven(self, host: str) -> bool:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gradefront.routing.admission import MOST_FIRST_SIGHTS, Admission, Limits, Prove, Verdict
+from gradefront.routing.admission import MAX_FIRST_SIGHTS, Admission, Limits, Prove, Verdict
 from gradefront.routing.buckets import Bucket, BucketTable
 from gradefront.routing.networks import NetworkSet, Prefixes
 
@@ -140,7 +140,7 @@
     size = here.admission.addresses.octets
     here.spend(30 * S, 5_000)
     assert here.admission.addresses.octets == size == 8_192 * 2 * 16
-    assert sum(map(len, here.admission.sights)) <= 2 * MOST_FIRST_SIGHTS and len(here.admission.waiting) == 0
+    assert sum(map(len, here.admission.sights)) <= 2 * MAX_FIRST_SIGHTS and len(here.admission.waiting) == 0
     for n in range(20_000):
         here.admission.credit(f"host-{n}", responded=True)
     assert len(here.admission.proven) == 8_192 and sys.getsizeof(here.admission.proven) < 4 << 20
