--- a/benchmarks/quic_initials.py
+++ b/benchmarks/quic_initials.py
@@ -92,7 +92,7 @@
         }
         self.core = RelayCore(Balancer(SETTINGS, 1), SETTINGS, lambda: self.now, lambda: None)
         self.core.on_endpoint_list(EndpointListUpdate((Endpoint("box-0"),), True))
-        self.core.run_turn()
+        self.core.run_once()
         reactor: Any = Still()
         self.front = QuicFront(CONFIG, quic_config.parse(given, CONFIG), self.core, reactor)
         self.hub = reactor.hub
@@ -102,7 +102,7 @@
         """Let the relay do what there is; its CPU seconds."""
         began = time.process_time()
         self.hub._serve(0)
-        self.core.run_turn()
+        self.core.run_once()
         return time.process_time() - began
 
     def answer(self) -> None:
--- a/gradefront/core/relay.py
+++ b/gradefront/core/relay.py
@@ -123,7 +123,7 @@
             self.wake()
         self.pending_events.append(event)
 
-    def run_turn(self) -> None:
+    def run_once(self) -> None:
         """One turn: due timers, then all gathered events to the module, then all its actions."""
         for then in self.timers.pop_due(self.clock()):
             try:
--- a/gradefront/net/reactor.py
+++ b/gradefront/net/reactor.py
@@ -144,7 +144,7 @@
         if self.core is None:
             return
         try:
-            self.core.run_turn()
+            self.core.run_once()
         finally:  # guards all timers against an error that the core did not catch
             self._schedule(self.core)
 
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -89,23 +89,23 @@
 
     def order(self, *actions: Action) -> None:
         """Have the module return these actions now."""
-        self.core.run_turn()
+        self.core.run_once()
         self.actions += actions
         self.core.enqueue(TimerFired(0))
-        self.core.run_turn()
+        self.core.run_once()
 
     def wait(self, us: int) -> None:
         """Let time pass, with a turn whenever the wheel is due."""
         end = self.now + us
         while self.now < end:
             self.now = min(end, max(self.now + 1, self.core.timers.next_due() or end))
-            self.core.run_turn()
+            self.core.run_once()
 
     def arrive(self, timeout_us: int = 2_000_000) -> tuple[Connection, Client]:
         """A client requests a connection."""
         client = Client()
         connection = self.core.accept(ConnectRequest(timeout_us, "request line"), client, self)
-        self.core.run_turn()
+        self.core.run_once()
         return connection, client
 
     def standing(self, backend: str = "box-1") -> tuple[Connection, Client, Attempt]:
@@ -113,7 +113,7 @@
         connection, client = self.arrive()
         self.order(StartAttempt(connection.number, backend, 1_000_000))
         self.attempts[-1].succeed("response line")
-        self.core.run_turn()
+        self.core.run_once()
         return connection, client, self.attempts[-1]
 
     def outcomes(self, connection: Connection) -> list[AttemptEnded]:
--- a/tests/test_connection_model.py
+++ b/tests/test_connection_model.py
@@ -133,7 +133,7 @@
 
     @invariant()
     def as_the_model_says(self) -> None:
-        self.bench.core.run_turn()
+        self.bench.core.run_once()
         for model in self.models:
             assert model.connection.state is model.stage
             assert model.connection.attempts == model.attempts <= SETTINGS.max_attempts
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -183,7 +183,7 @@
     assert not [e for e in bench.events if isinstance(e, Request | AttemptEnded | ConnectionAdopted)]
     connection = bench.core.adopt_connection(ConnectRequest(1, "request line"), client, bench, "box-2")
     bench.attempts[-1].succeed("response line")
-    bench.core.run_turn()
+    bench.core.run_once()
     assert [e.backend for e in bench.events if isinstance(e, ConnectionAdopted)] == ["box-2"]
     assert connection.state is ConnectionState.ESTABLISHED
 
@@ -226,7 +226,7 @@
     clients[2][1].on_message_received()
     bench.core.liveness.on_connect_checked("box-2", opened=False)  # it has sent something meanwhile, so it is there
     bench.core.liveness.on_connect_checked("box-3", opened=False)
-    bench.core.run_turn()
+    bench.core.run_once()
     assert [n for n, (c, _) in enumerate(clients) if "migrate" in c.calls] == [0, 3, 7, 10]
     assert bench.connect_checks[4:] == ["box-4", "box-5"], "each that has vanished leads on, none is asked twice"
     silent = [e.backend for e in bench.events if isinstance(e, AttemptEnded) and e.result is AttemptResult.RESET]
@@ -281,7 +281,7 @@
     _, client, attempt = bench.standing()
     attempt.on_message_sent()
     bench.now += 3_000_000  # no turn for so long; the reply has come meanwhile, and is read after the look
-    bench.core.run_turn()
+    bench.core.run_once()
     attempt.on_message_received()
     bench.wait(1_000_000)
     assert client.calls == ["establish"]
@@ -304,7 +304,7 @@
     other, other_client, _ = bench.standing()
     bench.broken = True
     bench.core.enqueue(AttemptEnded(connection.number, 0, "box-1", AttemptResult.OVERLOADED))
-    bench.core.run_turn()
+    bench.core.run_once()
     assert (
         client.calls == ["fail"]
         and other_client.calls == ["establish"]
@@ -350,5 +350,5 @@
     bench = Bench()
     connection, client, attempt = bench.standing()
     attempt.end(Cause.BROKEN, ConnectionEnd.BROKEN)
-    bench.core.run_turn()
+    bench.core.run_once()
     assert client.calls == ["establish", "close"] and bench.outcomes(connection)[-1].is_final
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -261,18 +261,18 @@
         loop.until(lambda: client.read() == b"UP r-1\r\n")  # noqa: B023
 
 
-def test_a_turn_that_breaks_leaves_the_timers_running(tmp_path: Path) -> None:
+def test_an_iteration_that_fails_leaves_the_timers_running(tmp_path: Path) -> None:
     loop = Loop(tmp_path, [])
     client = loop.client()
     loop.open(client, d=300)
-    run_turn, broken = loop.core.run_turn, list[int]()
+    run_once, broken = loop.core.run_once, list[int]()
 
     def breaks() -> None:
         if not broken:
             broken.append(1)
             raise RuntimeError("a turn that breaks")
-        run_turn()
+        run_once()
 
-    loop.relay.driver.core.run_turn = breaks  # type: ignore[method-assign, union-attr]
+    loop.relay.driver.core.run_once = breaks  # type: ignore[method-assign, union-attr]
     loop.wait(1_000_000)
     assert broken and client.read().split()[0] in (b"BUSY", b"ERR")
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -146,7 +146,7 @@
     }
     bad = [{}, 7, {**good, "host_port": None}, {**good, "id": "s-9", "host_port": "x:y"}, {"id": "s-8"}]
     endpoint_list.apply(json.loads(json.dumps({"revision": 4, "complete": True, "members": [good, *bad]})))
-    bench.core.run_turn()
+    bench.core.run_once()
     assert bench.events[-1] == EndpointListUpdate((Endpoint("s-1", BackendState.READY, 1, 3, 1, 1.5, 5000),), True)
     assert endpoint_list.address("s-1") == ("127.0.0.1", 3000) and endpoint_list.address("s-9") is None
     assert endpoint_list.revision == 4 and bench.core.counters.counts["bad_list_lines"] == 5
@@ -216,7 +216,7 @@
         bench.wait(104_000)
     assert len(reactor.ports) == 9, "an agent that refuses is called again at a pace, a third of the drain grace"
     bench.now += 500_000  # this relay is held up, and has not read what came meanwhile
-    bench.core.run_turn()
+    bench.core.run_once()
     assert len(reactor.ports) == 9
     assert not any(isinstance(e, EndpointListError) for e in bench.events), "the module has no part in it"
 
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -73,7 +73,7 @@
         line.dataReceived(part)
         if line.connection and not line.upstream:
             line.upstream = upstream  # established at once, whatever comes in the same piece
-    bench.core.run_turn()
+    bench.core.run_once()
     requests = [(e.request_class, e.sticky_group, e.idempotency_key) for e in bench.events if isinstance(e, Request)]
     line.connectionLost(DONE)
     return wire.written, requests, upstream.forwarded
@@ -93,7 +93,7 @@
     for part in parts:
         line.dataReceived(part)
     line.connectionLost(DONE)
-    bench.core.run_turn()
+    bench.core.run_once()
     loads = [e.load for e in bench.events if isinstance(e, ConnectionLoadReport)]
     return wire.written, client_side.calls, b"".join(forwarded), loads, [o.result for o in bench.outcomes(connection)]
 
@@ -109,7 +109,7 @@
     line.makeConnection(Piped())
     for part in parts:
         line.dataReceived(part)
-    bench.core.run_turn()
+    bench.core.run_once()
     return [(e.result, e.load_report) for e in bench.events if isinstance(e, HealthCheckResult)]
 
 
--- a/tests/test_quic_ids.py
+++ b/tests/test_quic_ids.py
@@ -50,7 +50,7 @@
         IdForm(0, 3, 4, True, KEY[:15])
 
 
-def test_a_book_tells_configurations_apart_and_stays_within_its_bound() -> None:
+def test_a_book_distinguishes_configurations_and_stays_within_its_bound() -> None:
     old, new = IdForm(0, 2, 9), IdForm(5, 3, 4, True, KEY)
     book = IdBook([old, new], cached=64)
     first, second = old.make(b"\0\1"), new.make(b"\0\0\2")
--- a/tests/test_quic_model.py
+++ b/tests/test_quic_model.py
@@ -108,7 +108,7 @@
         self.clients = [port() for _ in range(4)]
         self.known: list[bytes] = [FORM.make(b"\0\0")]  # ids that clients have seen
         self.first: list[tuple[bytes, bytes]] = []  # first and client ids of Initials
-        self.at_boxes: list[tuple[int, bytes, Any]] = []
+        self.at_backends: list[tuple[int, bytes, Any]] = []
         self.answers: dict[bytes, int] = {}
         self.settle()
 
@@ -121,10 +121,10 @@
         """Let everything that is under way arrive."""
         for _ in range(3):
             self.hub._serve(0)
-            self.core.run_turn()
+            self.core.run_once()
         for n, backend in enumerate(self.backends):
-            self.at_boxes += [(n, data, where) for data, where in drained(backend)]
-        del self.at_boxes[:-20]
+            self.at_backends += [(n, data, where) for data, where in drained(backend)]
+        del self.at_backends[:-20]
         for client in self.clients:
             for data, _ in drained(client):
                 for packet in split(data, 8)[:1]:
@@ -136,9 +136,9 @@
         self.clients[client].sendto(data, self.front.listeners[0].address)
         self.settle()
 
-    @rule(client=st.integers(0, 3), names_box=st.booleans())
-    def come(self, client: int, names_box: bool) -> None:
-        first = FORM.make(b"\0\1") if names_box else os.urandom(8)
+    @rule(client=st.integers(0, 3), names_backend=st.booleans())
+    def come(self, client: int, names_backend: bool) -> None:
+        first = FORM.make(b"\0\1") if names_backend else os.urandom(8)
         self.first.append((first, os.urandom(8)))
         del self.first[:-6]
         self.send(client, seal_initial(1, first, first, self.first[-1][1], HELLO, True))
@@ -150,10 +150,10 @@
         payload = b"\x1c\x00\x00\x00".ljust(1_160, b"\0") if close else HELLO
         self.send(client, seal_initial(1, first, first, own, payload, True))
 
-    @precondition(lambda self: self.at_boxes)
+    @precondition(lambda self: self.at_backends)
     @rule(which=st.integers(0, 19), how=st.sampled_from(["serve", "refuse", "fail", "noise", "talk"]))
     def answer(self, which: int, how: str) -> None:
-        n, data, where = self.at_boxes[which % len(self.at_boxes)]
+        n, data, where = self.at_backends[which % len(self.at_backends)]
         packets = split(data, 9)
         if not packets:
             return
@@ -185,7 +185,7 @@
         end = self.now + ms * 1_000
         while self.now < end:
             self.now = min(end, max(self.now + 4_000, self.core.timers.next_due() or end))
-            self.core.run_turn()
+            self.core.run_once()
         self.settle()
 
     @rule(states=st.tuples(*[st.sampled_from([BackendState.READY, BackendState.DRAINING, BackendState.GONE])] * 2))
@@ -194,7 +194,7 @@
         self.wait(130)
 
     @invariant()
-    def the_tables_fit_each_other(self) -> None:
+    def the_tables_agree(self) -> None:
         front = self.front
         assert len(front.route_ids) <= MOST_PATHS and len(front.pool.ports) <= 4
         waiting = [v for v in front.connections if v.waits]
@@ -231,31 +231,33 @@
 TestTables.settings = settings(max_examples=60, stateful_step_count=40, derandomize=True, deadline=None)
 
 
-def test_a_relay_that_stops_answers_what_comes_and_takes_no_visit_over() -> None:
-    town = Tables()
-    front, client = town.front, town.clients[0]
+def test_a_relay_that_stops_answers_what_comes_and_adopts_no_connection() -> None:
+    service = Tables()
+    front, client = service.front, service.clients[0]
     an_id = FORM.make(b"\0\0")
     for _ in range(
         3
     ):  # a connection from before this relay's start: both sides speak along a path without a connection
-        town.send(0, b"\x40" + an_id + b"talk to me, somebody who can read this")
-        where = town.at_boxes[-1][2]
-        town.backends[0].sendto(b"\x40" + os.urandom(8) + b"talk", where)
-        town.settle()
+        service.send(0, b"\x40" + an_id + b"talk to me, somebody who can read this")
+        where = service.at_backends[-1][2]
+        service.backends[0].sendto(b"\x40" + os.urandom(8) + b"talk", where)
+        service.settle()
     (path,) = front.route_ids
     assert path.owner is None and path.received >= 2
-    assert town.core.lifecycle.transition(LifecycleEvent.STOP)
-    town.wait(3_000)
-    assert path.owner is None and not town.core.counters.counts["visits_brought"], "a visit taken over at the end"
+    assert service.core.lifecycle.transition(LifecycleEvent.STOP)
+    service.wait(3_000)
+    assert path.owner is None and not service.core.counters.counts["visits_brought"], "a visit taken over at the end"
     drained(client)
-    town.at_boxes.clear()
+    service.at_backends.clear()
     first = os.urandom(8)
     client.sendto(seal_initial(1, first, first, b"its own.", HELLO, True), front.listeners[0].address)
     for _ in range(10):
-        town.hub._serve(0)
-        town.now += 4_000
-        town.core.run_turn()
+        service.hub._serve(0)
+        service.now += 4_000
+        service.core.run_once()
     assert len(drained(client)) == 1, "answered at once"
-    assert not drained(town.backends[0]) + drained(town.backends[1]) and not front.connections, "sent on to nobody"
-    assert not town.core.counters.counts["exceptions"]
-    town.teardown()
+    assert not drained(service.backends[0]) + drained(service.backends[1]) and not front.connections, (
+        "sent on to nobody"
+    )
+    assert not service.core.counters.counts["exceptions"]
+    service.teardown()
--- a/tests/test_quic_parts.py
+++ b/tests/test_quic_parts.py
@@ -50,7 +50,7 @@
 
 
 @given(FORMS, st.data())
-def test_an_id_names_the_box_that_made_it(form: IdForm, data: st.DataObject) -> None:
+def test_an_id_names_the_backend_that_made_it(form: IdForm, data: st.DataObject) -> None:
     server_id = data.draw(st.binary(min_size=form.server_id_length, max_size=form.server_id_length))
     made = form.make(server_id)
     assert len(made) == form.length <= 20 and made[0] >> 5 == form.number
@@ -110,10 +110,10 @@
 
 
 @given(st.binary(min_size=1, max_size=20), st.integers(0, 100))
-def test_a_reset_looks_like_a_short_packet_and_ends_in_the_token(an_id: bytes, room: int) -> None:
+def test_a_reset_resembles_a_short_packet_and_ends_in_the_token(an_id: bytes, space: int) -> None:
     key = os.urandom(16)
-    reset = stateless_reset(key, an_id, room)
-    assert reset[0] & 0xC0 == 0x40 and 21 <= len(reset) <= max(21, min(room, 43))
+    reset = stateless_reset(key, an_id, space)
+    assert reset[0] & 0xC0 == 0x40 and 21 <= len(reset) <= max(21, min(space, 43))
     assert reset[-16:] == reset_token(key, an_id) != reset_token(key + b"x", an_id)
 
 
--- a/tests/test_quic_recovery.py
+++ b/tests/test_quic_recovery.py
@@ -27,7 +27,7 @@
 CONNECTIONS = 200
 
 
-class EchoBox(RawBackend):
+class EchoBackend(RawBackend):
     """Answers a short packet with its own name, to the client id that the packet tells."""
 
     forms: tuple[IdForm, ...] = (OLD,)
@@ -45,24 +45,26 @@
 class Phone(Client):
     """A client whose messages are answered by an echo backend."""
 
-    backend: EchoBox
+    backend: EchoBackend
     an_id = b""
     count = 0
 
     def __init__(self, place: Place) -> None:
         super().__init__(place)
-        self.turn = asyncio.Lock()  # guards against two who read one queue: each would throw the other's answer away
+        self.exclusive = (
+            asyncio.Lock()
+        )  # guards against two who read one queue: each would throw the other's answer away
 
-    async def ask(self, patience_s: float = 5.0) -> bool:
+    async def ask(self, timeout_s: float = 5.0) -> bool:
         """One message, after those that are out; whether its own backend answered."""
-        async with self.turn:
-            return await self._ask(patience_s)
+        async with self.exclusive:
+            return await self._ask(timeout_s)
 
-    async def _ask(self, patience_s: float) -> bool:
+    async def _ask(self, timeout_s: float) -> bool:
         self.count += 1
         mark = self.client_id + self.count.to_bytes(4)
         self.say(self.an_id, mark)
-        deadline = time.monotonic() + patience_s
+        deadline = time.monotonic() + timeout_s
         while (left := deadline - time.monotonic()) > 0:
             try:
                 answer = await asyncio.wait_for(self.heard.get(), left)
@@ -75,10 +77,10 @@
 
 
 @asynccontextmanager
-async def echo_town(folder: Path, **more: Any) -> AsyncIterator[tuple[Place, dict[str, Any], Discovery]]:
+async def echo_service(folder: Path, **more: Any) -> AsyncIterator[tuple[Place, dict[str, Any], Discovery]]:
     """Three echo backends, and what the front's file says of them. The relay is the test's to start."""
     place, discovery = Place(("", 0)), Discovery()
-    place.backends += [EchoBox(n, place.inbox, place.over) for n in range(3)]
+    place.backends += [EchoBackend(n, place.inbox, place.over) for n in range(3)]
     for backend in place.backends:
         backend.form = OLD
         await backend.open()
@@ -112,9 +114,9 @@
     return one
 
 
-def test_a_killed_relay_routes_by_id_from_the_first_packet_and_counts_its_visits_again(tmp_path: Path) -> None:
+def test_a_killed_relay_routes_by_id_from_the_first_packet_and_counts_its_connections_again(tmp_path: Path) -> None:
     async def play() -> None:
-        async with echo_town(tmp_path) as (place, file, discovery):
+        async with echo_service(tmp_path) as (place, file, discovery):
             async with program(tmp_path, discovery, settings(), file) as relay:
                 await soon(discovery.asked.wait())
                 place.front = ("127.0.0.1", relay.ports[1])
@@ -141,9 +143,9 @@
 
 def test_keys_rotate_under_load_without_a_lost_packet(tmp_path: Path) -> None:
     async def play() -> None:
-        async with echo_town(tmp_path) as (place, file, discovery):
+        async with echo_service(tmp_path) as (place, file, discovery):
             for backend in place.backends:
-                assert isinstance(backend, EchoBox)
+                assert isinstance(backend, EchoBackend)
                 backend.forms = (OLD, NEW)
             async with program(tmp_path, discovery, settings(), file) as relay:
                 await soon(discovery.asked.wait())
@@ -185,9 +187,9 @@
     asyncio.run(play())
 
 
-def test_a_box_that_comes_back_under_another_address_is_reached_there(tmp_path: Path) -> None:
+def test_a_backend_that_returns_under_another_address_is_reached_there(tmp_path: Path) -> None:
     async def play() -> None:
-        async with echo_town(tmp_path) as (place, file, discovery):
+        async with echo_service(tmp_path) as (place, file, discovery):
             async with program(tmp_path, discovery, settings(), file) as relay:
                 await soon(discovery.asked.wait())
                 place.front = ("127.0.0.1", relay.ports[1])
@@ -206,7 +208,7 @@
 
 def test_a_connection_goes_on_at_another_relay_that_shares_nothing(tmp_path: Path) -> None:
     async def play() -> None:
-        async with echo_town(tmp_path) as (place, file, discovery):
+        async with echo_service(tmp_path) as (place, file, discovery):
             async with program(tmp_path, discovery, settings(), file) as first:
                 await soon(discovery.asked.wait())
                 other = tmp_path / "other"
@@ -284,9 +286,9 @@
                     client.send(junk())
                 sent += 25
                 usual[0].say(usual[2])
-                while (came := await place.reached())[1][:1] != b"\x41":
+                while (arrived := await place.reached())[1][:1] != b"\x41":
                     pass
-                came[0].wire.sendto(b"\x40" + usual[0].client_id + b"heard", came[2])
+                arrived[0].wire.sendto(b"\x40" + usual[0].client_id + b"heard", arrived[2])
                 assert (await usual[0].hear())[9:] == b"heard", "the usual client notices"
                 while not client.heard.empty():
                     client.heard.get_nowait()
--- a/tests/test_quic_service.py
+++ b/tests/test_quic_service.py
@@ -18,7 +18,7 @@
 DEVICES = 6
 
 
-class Town:
+class QuicService:
     """Backends, the program, and devices that come to it."""
 
     def __init__(self, backends: list[QuicBackend], discovery: Discovery, relay: Program) -> None:
@@ -35,14 +35,14 @@
         await device.start()
         return device
 
-    def box_of(self, answer: bytes) -> QuicBackend:
+    def backend_of(self, answer: bytes) -> QuicBackend:
         return next(b for b in self.backends if answer.startswith(b.name.encode()))
 
 
 @asynccontextmanager
-async def town(
+async def service(
     folder: Path, moods: list[str], told: dict[str, Any] | None = None, **quic: object
-) -> AsyncIterator[Town]:
+) -> AsyncIterator[QuicService]:
     backends = [QuicBackend(f"box-{n}", bytes([7, n]), mood) for n, mood in enumerate(moods)]
     discovery = Discovery()
     for backend in backends:
@@ -51,7 +51,7 @@
     file = file_of(backends, **quic)
     async with program(folder, discovery, told or settings(), file) as relay:
         await soon(discovery.asked.wait())
-        here = Town(backends, discovery, relay)
+        here = QuicService(backends, discovery, relay)
         yield here
         for device in here.devices:
             device.close()
@@ -61,11 +61,11 @@
 
 def test_hundreds_of_port_changes_and_every_request_gets_one_answer(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["serve"] * 3) as here:
+        async with service(tmp_path, ["serve"] * 3) as here:
 
             async def client(n: int) -> None:
                 device = await here.device()
-                home = here.box_of(await device.ask(f"{n}: first"))
+                home = here.backend_of(await device.ask(f"{n}: first"))
                 for hop in range(HOPS):
                     await device.hop(fresh=hop % 2 == 1)
                     answer = await device.ask(f"{n}: {hop}")
@@ -87,11 +87,11 @@
     asyncio.run(play())
 
 
-def test_drained_box_gets_nothing_new_and_its_old_connections_go_on(tmp_path: Path) -> None:
+def test_drained_backend_gets_nothing_new_and_its_old_connections_go_on(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["serve"] * 2) as here:
+        async with service(tmp_path, ["serve"] * 2) as here:
             old = [await here.device() for _ in range(16)]
-            homes = [here.box_of(await d.ask("hello")) for d in old]
+            homes = [here.backend_of(await d.ask("hello")) for d in old]
             drained = homes[0]
             before = len(drained.connections)
             told = here.discovery.publish(drained.name, "DRAINING")
@@ -107,7 +107,7 @@
                     asked = asyncio.ensure_future(one.ask(f"old {new}"))
                     await asyncio.wait({asked, one.reset}, return_when=asyncio.FIRST_COMPLETED)
                     if asked.done():
-                        assert here.box_of(asked.result()) is homes[new % len(old)]
+                        assert here.backend_of(asked.result()) is homes[new % len(old)]
                         went_on += homes[new % len(old)] is drained and time.monotonic() > told + 0.5
                     asked.cancel()
             assert new > 10 and before >= 1 and went_on >= 1
@@ -118,9 +118,9 @@
     asyncio.run(play())
 
 
-def test_full_boxes_are_tried_once_each_and_the_client_is_closed_at_once(tmp_path: Path) -> None:
+def test_full_backends_are_tried_once_each_and_the_client_is_closed_at_once(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["refuse"] * 6) as here:
+        async with service(tmp_path, ["refuse"] * 6) as here:
             began = time.monotonic()
             device = await here.device()
             over = await soon(device.over)
@@ -136,13 +136,13 @@
     asyncio.run(play())
 
 
-def test_silent_box_is_left_for_another_and_its_late_word_reaches_nobody(tmp_path: Path) -> None:
+def test_silent_backend_is_left_for_another_and_its_late_answer_reaches_nobody(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["silent", "serve"], settings(objective_ms=150, deadline_ms=4000)) as here:
+        async with service(tmp_path, ["silent", "serve"], settings(objective_ms=150, deadline_ms=4000)) as here:
             silent, good = here.backends
             while not silent.initials:  # the first pick is random: come until it was the silent one
                 device = await here.device()
-                assert here.box_of(await device.ask("hello")) is good
+                assert here.backend_of(await device.ask("hello")) is good
             received = device.received
             silent.wake()
             counts = await here.relay.counters()  # a round trip after the late answers were sent
@@ -156,7 +156,7 @@
 
 def test_unsound_answers_do_not_count_and_the_deadline_is_kept(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["fail", "silent"], settings(objective_ms=200, deadline_ms=1000)) as here:
+        async with service(tmp_path, ["fail", "silent"], settings(objective_ms=200, deadline_ms=1000)) as here:
             began = time.monotonic()
             device = await here.device()
             over = await soon(device.over)
@@ -169,9 +169,9 @@
     asyncio.run(play())
 
 
-def test_a_box_where_nothing_listens_is_left_for_another(tmp_path: Path) -> None:
+def test_a_backend_where_nothing_listens_is_left_for_another(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["serve", "serve"]) as here:
+        async with service(tmp_path, ["serve", "serve"]) as here:
             here.backends[0].wire.close()
             for n in range(6):
                 device = await here.device()
@@ -185,7 +185,7 @@
 
 def test_malformed_datagrams_end_nothing(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["serve"]) as here:
+        async with service(tmp_path, ["serve"]) as here:
             device = await here.device()
             await device.ask("hello")
             for junk in (
@@ -215,7 +215,7 @@
 
 def test_a_move_is_a_stateless_reset_that_the_client_can_check(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["serve"] * 2) as here:
+        async with service(tmp_path, ["serve"] * 2) as here:
             device = await here.device()
             await device.ask("hello")
             await device.hop(fresh=True)
@@ -226,26 +226,26 @@
     asyncio.run(play())
 
 
-def test_a_gone_box_ends_its_visits_by_reset_and_its_ids_lead_nowhere(tmp_path: Path) -> None:
+def test_a_gone_backend_ends_its_connections_by_reset_and_its_ids_lead_nowhere(tmp_path: Path) -> None:
     async def play() -> None:
-        async with town(tmp_path, ["serve"] * 2) as here:
+        async with service(tmp_path, ["serve"] * 2) as here:
             device = await here.device()
-            home = here.box_of(await device.ask("hello"))
+            home = here.backend_of(await device.ask("hello"))
             here.discovery.publish(home.name, "DELETED")
             await soon(device.reset)
             device.wire.sendto(b"\x40" + FORM.make(home.server_id) + b"late" * 10, here.front)
             fresh = await here.device()
-            assert here.box_of(await fresh.ask("hello")) is not home
+            assert here.backend_of(await fresh.ask("hello")) is not home
             counts = await here.relay.counters()
             assert counts["quic_dropped_gone_box"] >= 1 and counts["visits_now"] == 1
 
     asyncio.run(play())
 
 
-def test_visits_expire_idle_and_paths_are_bounded(tmp_path: Path) -> None:
+def test_connections_expire_idle_and_paths_are_bounded(tmp_path: Path) -> None:
     async def play() -> None:
         # No path may expire meanwhile, however busy the machine: it would not be evicted then.
-        async with town(tmp_path, ["serve"], path_idle_s=60, visit_idle_s=3, most_paths=5) as here:
+        async with service(tmp_path, ["serve"], path_idle_s=60, visit_idle_s=3, most_paths=5) as here:
             device = await here.device()
             for hop in range(20):
                 await device.hop()
--- a/tests/test_quic_tokens.py
+++ b/tests/test_quic_tokens.py
@@ -21,7 +21,7 @@
 NOW = 1_800_000_000_000_000
 
 
-def test_a_token_is_worth_something_at_its_address_to_its_id_in_its_time_only() -> None:
+def test_a_token_is_valid_at_its_address_to_its_id_in_its_time_only() -> None:
     token = MINT.make(CLIENT, b"first-id", b"retry-id", NOW)
 
     def shown(
@@ -49,7 +49,7 @@
         TokenMint(KEYS, 9, 1)
 
 
-def test_a_box_s_new_token_passes_and_ours_prove_the_address_from_any_port() -> None:
+def test_a_backend_s_new_token_passes_and_ours_prove_the_address_from_any_port() -> None:
     ours = MINT.make_new(CLIENT, NOW, 86_400_000_000)
     assert MINT.read(ours, (CLIENT[0], 9), b"any-id..", NOW).standing is Standing.PROVEN
     for token in (ours[:-1] + b"x", b"\x84" + b"a box's own, of any length" * 3):
@@ -146,7 +146,7 @@
     assert opened is None or all(len(piece) <= len(payload) for _, piece in opened.crypto)
 
 
-def test_version_negotiation_turns_ids_round_and_names_our_versions() -> None:
+def test_version_negotiation_swaps_ids_and_names_our_versions() -> None:
     head = invariants(bytes.fromhex("c0babababa") + b"\x03abc" + b"\x02de" + bytes(1_200))
     assert head
     told = version_negotiation(head)
