--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -33,7 +33,7 @@
 
 async def play(tree: Path) -> dict[str, float]:
     """One round: us of processor time a placement, s of it up to the first one, MB, us of wall time of one."""
-    discovery, backends = Discovery(), [StandInBackend(lambda line: "UP r-1") for _ in range(3)]
+    discovery, backends = Discovery(), [StandInBackend(lambda _: "UP r-1") for _ in range(3)]
     for number, backend in enumerate(backends):
         discovery.add(f"box-{number}", await backend.open())
     with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/quic_flood.py
+++ b/benchmarks/quic_flood.py
@@ -18,6 +18,7 @@
 from lab.quic import Device, QuicBackend, file_of
 from lab.stand_ins import Discovery, program, settings, soon
 
+IN_TIME_S = 0.5  # a set-up that counts as in time
 HONEST = 60
 PACE_S = 0.05  # 20 honest devices a second
 KEY = {"sequence": 1, "key": "00112233445566778899aabbccddeeff", "iv": "000102030405060708090a0b"}
@@ -93,7 +94,7 @@
         "rate": sent,
         "retry": retry,
         "stood": len(stood),
-        "in_500": sum(t < 0.5 for t in took),
+        "in_500": sum(t < IN_TIME_S for t in took),
         "median_ms": round(statistics.median(took) * 1000),
         "worst_ms": round(max(took) * 1000),
         "phantoms": sum(len(b.connections) for b in backends) - len(devices),
--- a/benchmarks/quic_scale.py
+++ b/benchmarks/quic_scale.py
@@ -28,6 +28,7 @@
 from .quic_flood import cpu_s, resident_kb
 from .quic_forward import child
 
+RECOVERY_S = 20  # longest wait for the connections after a restart
 FORM = IdForm(0, 2, 9, True, bytes(range(16)))
 BACKENDS = 3
 DESCRIPTORS = 1_024
@@ -162,7 +163,7 @@
     return len(os.listdir(f"/proc/{pid}/fd"))
 
 
-async def report(
+async def report(  # noqa: PLR0913 - the columns of the table
     name: str, relay: Program, phones: Phones, asked: tuple[int, int], misled: int, since: float
 ) -> None:
     """One line of the table."""
@@ -239,7 +240,7 @@
             await relay.line("endpoint list from")
             began, start = cpu_s(relay.process.pid), time.monotonic()
             await report("kill and restart", relay, phones, await asyncio.to_thread(phones.ask), misled(), began)
-            while (await relay.counters())["visits_now"] < count and time.monotonic() - start < 20:
+            while (await relay.counters())["visits_now"] < count and time.monotonic() - start < RECOVERY_S:
                 asked = await asyncio.to_thread(phones.ask)
             await report(f"{time.monotonic() - start:.0f} s later", relay, phones, asked, misled(), began)
 
--- a/benchmarks/scrape.py
+++ b/benchmarks/scrape.py
@@ -72,7 +72,7 @@
 
 async def main() -> None:
     """All rounds."""
-    backend, discovery = StandInBackend(lambda line: "UP r-1"), Discovery()
+    backend, discovery = StandInBackend(lambda _: "UP r-1"), Discovery()
     discovery.add("box-0", await backend.open())
     with tempfile.TemporaryDirectory() as folder:
         async with program(Path(folder), discovery, settings(deadline_ms=4000), admin=True) as relay:
--- a/fuzz/quic.py
+++ b/fuzz/quic.py
@@ -21,6 +21,9 @@
 from gradefront.quic.initials import make_retry, open_initial, read_frames, seal_initial, sound_retry
 from gradefront.quic.tokens import Standing, TokenKey, TokenMint, packed
 
+LONGEST_CONNECTION_ID = 255  # octets that its length field can say
+MOST_PROTOCOLS = 16
+REMOVE = 2  # the third way to change an input
 KEY = bytes(range(16))
 FORMS = [IdForm(0, 2, 9), IdForm(1, 2, 9, True, KEY), IdForm(2, 4, 12, True, KEY), IdForm(3, 3, 4, False, KEY)]
 MINT = TokenMint({2: TokenKey(KEY, bytes(12))}, 2, 10_000_000)
@@ -33,7 +36,7 @@
     packets = split(data, 12)
     assert sum(len(p.data) for p in packets) <= len(data)
     for packet in packets:
-        assert len(packet.to_id) <= 255 and packet.payload_at <= len(packet.data)
+        assert len(packet.to_id) <= LONGEST_CONNECTION_ID and packet.payload_at <= len(packet.data)
     head = invariants(data)
     if head:
         assert head.end <= len(data)
@@ -64,7 +67,7 @@
     """ClientHellos, whole and in pieces."""
     try:
         found = read_hello(data)
-        assert len(found.protocols) <= 16
+        assert len(found.protocols) <= MOST_PROTOCOLS
     except InvalidHelloError:
         pass
     reader, whole = HelloReader(), HelloReader()
@@ -160,7 +163,7 @@
                     data[at % len(data)] = rng.randrange(256)
                 elif how == 1:
                     data[at:at] = rng.randbytes(rng.randrange(8))
-                elif how == 2:
+                elif how == REMOVE:
                     del data[at : at + rng.randrange(16)]
                 else:
                     data[at:] = rng.choice(inputs)[at:]
