--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -45,6 +45,24 @@
     assert code == 1 and "1 failed, 1 passed" in output
 
 
+@pytest.mark.parametrize(("test", "counts"), [("test_red", "1 passed, 1 xfailed"), ("test_green", "1 xpassed")])
+def test_an_intermittent_fault_may_show_or_not_in_ci_alone(tmp_path: Path, test: str, counts: str) -> None:
+    tests = TESTS if test == "test_red" else "def test_green(): pass\n"
+    listed = f"test_it.py::{test} | run it, seed 7 | intermittent: a fault | issue 1\n"
+    code, output = run(tmp_path, listed, tests)
+    assert code == 0 and counts in output
+    assert f"KNOWN RED test_it.py::{test}: intermittent: a fault (issue 1); run: run it, seed 7" in output
+    if test == "test_red":
+        code, output = run(tmp_path, listed, tests, ci=False)
+        assert code == 1 and "1 failed, 1 passed" in output
+
+
+def test_only_a_fault_that_is_said_to_be_intermittent_may_not_show(tmp_path: Path) -> None:
+    listed = "test_it.py::test_green | run it, seed 7 | an intermittent: fault | issue 1\n"
+    code, output = run(tmp_path, listed)
+    assert code != 0 and "XPASS(strict)" in output
+
+
 def test_without_the_file_nothing_changes(tmp_path: Path) -> None:
     code, output = run(tmp_path, None)
     assert code == 1 and "1 failed, 1 passed" in output and "KNOWN RED" not in output
