--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -23,7 +23,7 @@
 )
 
 
-class InvalidSetting(ValueError):
+class InvalidSettingError(ValueError):
     """A setting that makes no sense.
 
     Attributes: `field` is the name of the field here, with `classes.` before one of a request class;
@@ -71,7 +71,8 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of requests. A set-up within `aim_us` is in time; the client waits `deadline_us`."""
+    """One class of requests. A connection is in time within `latency_objective_us`; the client waits
+    for `deadline_us`. A key is kept for `dedup_window_us` where `key_scope` says."""
 
     latency_objective_us: int
     deadline_us: int
@@ -125,21 +126,27 @@
     overload_window_us: int = 1_000_000
 
     def __post_init__(self) -> None:
-        """Raise InvalidSetting for values that make no sense."""
+        """Raise InvalidSettingError for values that make no sense."""
         if not self.classes:
-            raise InvalidSetting("classes", "at least one is needed")
+            raise InvalidSettingError("classes", "at least one is needed")
         for request_class in self.classes:
-            for name in CLASS_FIELDS_ABOVE_0:
-                if getattr(request_class, name) <= 0:
-                    raise InvalidSetting(f"classes.{name}", "must be above 0")
-            for name in CLASS_FIELDS_NOT_NEGATIVE:
-                if not getattr(request_class, name) >= 0:
-                    raise InvalidSetting(f"classes.{name}", "must not be negative")
+            _check_above_0(request_class, CLASS_FIELDS_ABOVE_0, "classes.")
+            _check_not_negative(request_class, CLASS_FIELDS_NOT_NEGATIVE, "classes.")
         for name in FIELDS_FROM_1:
             if getattr(self, name) < 1:
-                raise InvalidSetting(name, "must be 1 or more")
-        for name in FIELDS_NOT_NEGATIVE:
-            if not getattr(self, name) >= 0:
-                raise InvalidSetting(name, "must not be negative")
+                raise InvalidSettingError(name, "must be 1 or more")
+        _check_not_negative(self, FIELDS_NOT_NEGATIVE)
         if not 0 <= self.initial_capacity <= 1:
-            raise InvalidSetting("initial_capacity", "must be from 0 to 1")
+            raise InvalidSettingError("initial_capacity", "must be from 0 to 1")
+
+
+def _check_above_0(owner: object, names: tuple[str, ...], prefix: str = "") -> None:
+    for name in names:
+        if getattr(owner, name) <= 0:
+            raise InvalidSettingError(prefix + name, "must be above 0")
+
+
+def _check_not_negative(owner: object, names: tuple[str, ...], prefix: str = "") -> None:
+    for name in names:
+        if not getattr(owner, name) >= 0:  # NaN is no better
+            raise InvalidSettingError(prefix + name, "must not be negative")
--- a/balancer/simulator_host.py
+++ b/balancer/simulator_host.py
@@ -1,4 +1,4 @@
-"""Adapter: hosts one Balancer for each `nodeId` on the simulator's wire. It only translates."""
+"""Simulator host: one Balancer for each `nodeId` on the simulator's wire. It only translates."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
         seed = message.get("initSeed")
         if not isinstance(seed, int):
             raise simulator_wire.WireError("Up: field 'initSeed' is missing")
-        told, self.names = simulator_wire.settings(info)
-        self.balancer = Balancer(told, seed)
+        settings, self.names = simulator_wire.settings(info)
+        self.balancer = Balancer(settings, seed)
 
 
 def serve(source: IO[bytes], sink: IO[bytes]) -> None:
-    """Answer batches until the input ends."""
+    """Answer batches from `source` to `sink` until the input ends. Raises WireError."""
     nodes: dict[int, Node] = {}
     replies: list[str] = []
     now = 0
@@ -72,7 +72,7 @@
         actions = node.balancer.handle(now, event) if event is not None else []
     except simulator_wire.WireError:
         raise
-    except Exception as error:  # guards against a defect in the module: the bench must name its cause
+    except Exception as error:  # noqa: BLE001 - a defect in the module: the bench must name its cause
         replies.append(
             json.dumps(
                 {"type": "Broken", "nodeId": number, "text": f"{kind}: {type(error).__name__}: {error}"}
--- a/balancer/simulator_wire.py
+++ b/balancer/simulator_wire.py
@@ -1,4 +1,7 @@
-"""Translation between the simulator's wire and the interface. No decisions are made here."""
+"""Translation between the simulator's wire and the balancer's events, actions and settings.
+
+The wire's names end here, and so do the published names of settings. No decisions are made here.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +39,7 @@
 )
 from .settings import (
     Idempotency,
-    InvalidSetting,
+    InvalidSettingError,
     KeyScope,
     LoadReportSource,
     RequestClass,
@@ -67,20 +70,20 @@
     return float(value) if good else default  # type: ignore[arg-type]
 
 
-REPEATS = {r.value: r for r in Idempotency}
-SCOPES = {s.value: s for s in KeyScope}
+IDEMPOTENCY = {r.value: r for r in Idempotency}
+KEY_SCOPES = {s.value: s for s in KeyScope}
 STATES = {
     "healthy": BackendState.READY,
     "cordoned": BackendState.DRAINING,
     "deregistered": BackendState.GONE,
 }
-WEIGHTS = {
+WEIGHT_KINDS = {
     "silent": WeightKind.NONE,
     "nominal": WeightKind.NOMINAL,
     "rough": WeightKind.ROUGH,
     "live": WeightKind.LIVE,
 }
-REPORTS = {
+LOAD_REPORT_SOURCES = {
     "piggyback": LoadReportSource.ATTEMPT_RESULTS,
     "pull": LoadReportSource.HEALTH_CHECKS,
     "silent": LoadReportSource.NONE,
@@ -97,6 +100,9 @@
 }
 
 
+#: Values of the field `what` of a measurement: work in us a second, message latency in ms.
+LOAD_MEASUREMENT, LATENCY_MEASUREMENT = 1, 2
+
 #: Field names that operators see in errors and that differ from the names in the code.
 PUBLISHED_FIELDS = {
     "classes.latency_objective_us": "classes.aim_us",
@@ -120,7 +126,7 @@
     """
     try:
         return _settings(info)
-    except InvalidSetting as error:
+    except InvalidSettingError as error:
         raise ValueError(f"{PUBLISHED_FIELDS.get(error.field, error.field)}: {error.problem}") from None
 
 
@@ -130,18 +136,18 @@
     allow: Message = info.get("permissions") or {}
     rules: Message = info.get("rules") or {}
     report: Message = info.get("report") or {}
-    aims = family.get("messageAimUs") or []
+    objectives_us = family.get("messageAimUs") or []
     quotas = family.get("tenantQuotaConnections") or []
     names = tuple(str(n) for n in report.get("names") or [])
     classes = tuple(
         RequestClass(
             latency_objective_us=int(_need(g, "aimUs", float, "grades")),
             deadline_us=int(_need(g, "deadlineUs", float, "grades")),
-            idempotency=REPEATS.get(g.get("semantics", ""), Idempotency.NOT_IDEMPOTENT),
-            key_scope=SCOPES.get(g.get("keyScope", ""), KeyScope.CELL),
+            idempotency=IDEMPOTENCY.get(g.get("semantics", ""), Idempotency.NOT_IDEMPOTENT),
+            key_scope=KEY_SCOPES.get(g.get("keyScope", ""), KeyScope.CELL),
             dedup_window_us=int(g.get("dedupWindowUs", 0)),
             priority_weight=_number(g.get("points"), 1.0),
-            message_latency_objective_us=int(aims[n]) if n < len(aims) else 0,
+            message_latency_objective_us=int(objectives_us[n]) if n < len(objectives_us) else 0,
         )
         for n, g in enumerate(grades)
     )
@@ -149,7 +155,7 @@
         Tenant(_number(p.get("share")), _number(quotas[n]) if n < len(quotas) else 0.0)
         for n, p in enumerate(info.get("parties") or [])
     )
-    told = Settings(
+    parsed = Settings(
         classes=classes,
         tenants=tenants,
         zone=int(info.get("zone", 0)),
@@ -158,10 +164,10 @@
         polls_endpoint_list=info.get("discovery") == "ask",
         poll_within_us=int(rules.get("askWithinUs", 10_000_000)),
         may_check_health=bool(allow.get("probes")),
-        load_report_source=REPORTS.get(report.get("how", ""), LoadReportSource.NONE),
+        load_report_source=LOAD_REPORT_SOURCES.get(report.get("how", ""), LoadReportSource.NONE),
         reports_load="x0" in names,
         reports_utilization="cpu_share" in names,
-        weight_kind=WEIGHTS.get(info.get("weights", ""), WeightKind.NONE),
+        weight_kind=WEIGHT_KINDS.get(info.get("weights", ""), WeightKind.NONE),
         max_attempts=int(allow.get("maxAttempts", 5)),
         may_hedge=bool(allow.get("secondCopies")),
         connect_timeout_us=int(allow.get("connectTimeoutUs", 250_000)),
@@ -179,7 +185,7 @@
         overload_multiple=_number(rules.get("tipMultiple"), 3.0),
         overload_window_us=int(rules.get("fallUs", 1_000_000)),
     )
-    return told, names
+    return parsed, names
 
 
 def _report(row: object, names: tuple[str, ...]) -> LoadReport | None:
@@ -221,57 +227,78 @@
     )
 
 
-def event(m: Message, names: tuple[str, ...]) -> Event | None:
-    """One event for the module, or None where the message carries nothing for it."""
-    t = m["type"]
-    if t == "Accept":
-        return _request(m, t)
-    if t == "Ring":
-        return TimerFired(_need(m, "keyBack", int, t))
-    if t == "StatusBack":
-        return HealthCheckResult(
-            _need(m, "host", str, t),
-            _result(m, t),
-            int(m.get("tookUs", 0)),
-            _report(m.get("healthInfo"), names),
-        )
-    if t == "UnderWay":
-        return ConnectionEstablished(
-            _need(m, "corr", int, t),
-            _need(m, "go", int, t),
-            _need(m, "host", str, t),
-            int(m.get("tookUs", 0)),
-        )
-    if t == "Settled":
-        return AttemptEnded(
-            _need(m, "corr", int, t),
-            _need(m, "go", int, t),
-            _need(m, "host", str, t),
-            _result(m, t),
-            bool(m.get("doneFlag")),
-            int(m.get("tookUs", 0)),
-            _report(m.get("healthInfo"), names),
-        )
-    if t == "Change":
-        amount = _number(_need(m, "amount", float, t))
-        request, backend = _need(m, "corr", int, t), _need(m, "host", str, t)
-        what = _need(m, "what", int, t)
-        if what == 1:
-            return ConnectionLoadReport(request, backend, amount)
-        return MessageLatencyReport(request, backend, amount * 1000) if what == 2 else None
-    if t == "Expired":
-        return ClientDisconnected(_need(m, "corr", int, t))
-    if t == "View":
-        how = _need(m, "how", str, t)
-        if how == "error":
-            return EndpointListError()
-        entries = tuple(_entry(e) for e in m.get("elements") or [])
-        return EndpointListUpdate(entries, how != "diff")
-    if t == "Handover":
-        return ConnectionAdopted(_request(m, t), _need(m, "host", str, t))
-    if t == "Peer":
-        return None
-    raise WireError(f"unknown message type '{t}'")
+def _established(m: Message, t: str) -> ConnectionEstablished:
+    return ConnectionEstablished(
+        _need(m, "corr", int, t), _need(m, "go", int, t), _need(m, "host", str, t), int(m.get("tookUs", 0))
+    )
+
+
+def _attempt_ended(m: Message, t: str, names: tuple[str, ...]) -> AttemptEnded:
+    return AttemptEnded(
+        _need(m, "corr", int, t),
+        _need(m, "go", int, t),
+        _need(m, "host", str, t),
+        _result(m, t),
+        bool(m.get("doneFlag")),
+        int(m.get("tookUs", 0)),
+        _report(m.get("healthInfo"), names),
+    )
+
+
+def _health_check_result(m: Message, t: str, names: tuple[str, ...]) -> HealthCheckResult:
+    return HealthCheckResult(
+        _need(m, "host", str, t),
+        _result(m, t),
+        int(m.get("tookUs", 0)),
+        _report(m.get("healthInfo"), names),
+    )
+
+
+def _measurement(m: Message, t: str) -> ConnectionLoadReport | MessageLatencyReport | None:
+    amount = _number(_need(m, "amount", float, t))
+    request, backend = _need(m, "corr", int, t), _need(m, "host", str, t)
+    what = _need(m, "what", int, t)
+    if what == LOAD_MEASUREMENT:
+        return ConnectionLoadReport(request, backend, amount)
+    return MessageLatencyReport(request, backend, amount * 1000) if what == LATENCY_MEASUREMENT else None
+
+
+def _endpoint_list(m: Message, t: str) -> EndpointListError | EndpointListUpdate:
+    how = _need(m, "how", str, t)
+    if how == "error":
+        return EndpointListError()
+    entries = tuple(_entry(e) for e in m.get("elements") or [])
+    return EndpointListUpdate(entries, how != "diff")
+
+
+def event(m: Message, names: tuple[str, ...]) -> Event | None:  # noqa: C901 - one branch a message
+    """One event for the module, or None where the message carries nothing for it.
+
+    `names` of the load report's values. Raises WireError for an unknown message or a field out of form.
+    """
+    match m["type"]:
+        case "Accept" as t:
+            return _request(m, t)
+        case "Ring" as t:
+            return TimerFired(_need(m, "keyBack", int, t))
+        case "StatusBack" as t:
+            return _health_check_result(m, t, names)
+        case "UnderWay" as t:
+            return _established(m, t)
+        case "Settled" as t:
+            return _attempt_ended(m, t, names)
+        case "Change" as t:
+            return _measurement(m, t)
+        case "Expired" as t:
+            return ClientDisconnected(_need(m, "corr", int, t))
+        case "View" as t:
+            return _endpoint_list(m, t)
+        case "Handover" as t:
+            return ConnectionAdopted(_request(m, t), _need(m, "host", str, t))
+        case "Peer":
+            return None
+        case unknown:
+            raise WireError(f"unknown message type '{unknown}'")
 
 
 def _result(m: Message, t: str) -> AttemptResult:
