--- a/tests/test_basic.py
+++ b/tests/test_basic.py
@@ -37,7 +37,7 @@
     assert {p.name for p in Path("balancer").glob("*.py")} == named | undecided, "all that decide are named"
 
 
-def test_a_group_goes_where_it_stands_already_until_there_is_less_than_a_third_of_the_room() -> None:
+def test_a_group_goes_where_it_stands_already_until_there_is_less_than_a_third_of_the_spare_capacity() -> None:
     def placed(load: float) -> int:
         """Of 40 groups, how many have their second connection beside the first, at this load there."""
         together = 0
@@ -89,7 +89,7 @@
     assert now < 2_000_000
 
 
-def test_a_look_that_finds_no_room_is_no_attempt_where_one_attempt_is_told() -> None:
+def test_a_round_that_finds_no_capacity_is_no_attempt_where_one_attempt_is_allowed() -> None:
     placed = 0
     for seed in range(20):
         b = Balancer(
@@ -102,17 +102,17 @@
             seed,
         )
         b.handle(0, EndpointListUpdate((Endpoint("s1"), Endpoint("s2"))))
-        told = b.handle(1_000, Request(7, 2_000_000))
-        assert any(isinstance(a, CheckHealth) for a in told)
+        actions = b.handle(1_000, Request(7, 2_000_000))
+        assert any(isinstance(a, CheckHealth) for a in actions)
         for backend in ("s1", "s2"):  # both are full now
-            told += b.handle(2_000, HealthCheckResult(backend, AttemptResult.OK, load_report=LoadReport(1.5)))
-        assert not any(isinstance(a, Reject | Fail) for a in told), "given up without an attempt"
-        (timer, wait) = [(a.timer_id, a.delay_us) for a in told if isinstance(a, SetTimer)][-1]
+            actions += b.handle(2_000, HealthCheckResult(backend, AttemptResult.OK, load_report=LoadReport(1.5)))
+        assert not any(isinstance(a, Reject | Fail) for a in actions), "given up without an attempt"
+        (timer, wait) = [(a.timer_id, a.delay_us) for a in actions if isinstance(a, SetTimer)][-1]
         for backend in ("s1", "s2"):  # and have room again
             b.handle(2_500, HealthCheckResult(backend, AttemptResult.OK, load_report=LoadReport(0.1)))
         starts = [a for a in b.handle(2_000 + wait, TimerFired(timer)) if isinstance(a, StartAttempt)]
         placed += len(starts)
         if starts:  # the one attempt fails: nothing more is sent
-            told = b.handle(2_100 + wait, AttemptEnded(7, 0, starts[0].backend, AttemptResult.CONNECT_FAILED))
-            assert [a for a in told if isinstance(a, Reject)] and not any(isinstance(a, SetTimer) for a in told)
+            actions = b.handle(2_100 + wait, AttemptEnded(7, 0, starts[0].backend, AttemptResult.CONNECT_FAILED))
+            assert [a for a in actions if isinstance(a, Reject)] and not any(isinstance(a, SetTimer) for a in actions)
     assert placed >= 10
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""What stands on a draining server is told to move before the server leaves."""
+"""What stands on a draining server is notified to move before the server leaves."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 CLASS = RequestClass(latency_objective_us=500_000, deadline_us=2_000_000)
 
 
-def test_a_draining_server_is_emptied_over_some_seconds_and_each_connection_told_once() -> None:
+def test_a_draining_server_is_emptied_over_some_seconds_and_each_connection_notified_once() -> None:
     b = Balancer(Settings(classes=(CLASS,)), 1)
     b.handle(0, EndpointListUpdate((Endpoint("s1"), Endpoint("s2"))))
     for n in range(20):
         b.handle(1, ConnectionAdopted(Request(n, 1), "s1" if n < 15 else "s2"))
     timers = list[tuple[int, int]]()
-    for at in (1_000, 2_000):  # told twice: by a change and by a whole list
+    for at in (1_000, 2_000):  # notified twice: by a change and by a whole list
         change = EndpointListUpdate((Endpoint("s1", BackendState.DRAINING),), is_complete=False)
         timers += [(at + a.delay_us, a.timer_id) for a in b.handle(at, change) if isinstance(a, SetTimer)]
     moved = list[tuple[int, int]]()
@@ -38,7 +38,7 @@
     assert moved[-1][0] - moved[0][0] > 2_000_000 and moved[-1][0] < 6_000_000
 
 
-def test_a_connection_set_up_while_its_server_begins_to_drain_is_told_too() -> None:
+def test_a_connection_set_up_while_its_server_begins_to_drain_is_notified_too() -> None:
     b = Balancer(Settings(classes=(CLASS,)), 1)
     b.handle(0, EndpointListUpdate((Endpoint("s1"),)))
     b.handle(1, Request(7, 2_000_000))
@@ -57,8 +57,8 @@
         b.handle(1, ConnectionAdopted(Request(n, 1), "s1"))
 
     def timers(load: float, now: int) -> int:
-        told = b.handle(now, HealthCheckResult("s1", AttemptResult.OK, 0, LoadReport(load)))
-        return sum(isinstance(a, SetTimer) for a in told)
+        actions = b.handle(now, HealthCheckResult("s1", AttemptResult.OK, 0, LoadReport(load)))
+        return sum(isinstance(a, SetTimer) for a in actions)
 
     assert timers(0.95, 10) == 0, "below what it can do: late messages decide"
     assert 18 <= timers(1.4, 20) <= 22, "half, so that 0.7 is left of 1.4"
@@ -74,19 +74,19 @@
     b.handle(0, EndpointListUpdate((Endpoint("s1"), Endpoint("s2"))))
     for n in range(40):
         b.handle(1, ConnectionAdopted(Request(n, 1), "s1"))
-    told = b.handle(1_000, AttemptEnded(0, 0, "s1", AttemptResult.RESET, True))
-    assert CheckHealth("s1") in told
+    actions = b.handle(1_000, AttemptEnded(0, 0, "s1", AttemptResult.RESET, True))
+    assert CheckHealth("s1") in actions
 
     def timers(load: float, now: int) -> int:
-        told = b.handle(now, HealthCheckResult("s1", AttemptResult.OK, 0, LoadReport(load)))
-        return sum(isinstance(a, SetTimer) for a in told)
+        actions = b.handle(now, HealthCheckResult("s1", AttemptResult.OK, 0, LoadReport(load)))
+        return sum(isinstance(a, SetTimer) for a in actions)
 
     assert timers(0.8, 10_000) == 0
     assert timers(0.9, 2_000_000) > 0, "while the drop is fresh"
     assert timers(0.9, 7_000_000) == 0, "later only a report above what it can do"
 
 
-def test_draining_and_suspect_servers_count_as_avoided() -> None:
+def test_draining_and_ejected_servers_count_as_unavailable() -> None:
     b = Balancer(Settings(classes=(CLASS,)), 1)
     b.handle(0, EndpointListUpdate((Endpoint("s1"), Endpoint("s2", BackendState.DRAINING), Endpoint("s3"))))
     b.handle(1, Request(7, 2_000_000))
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -76,7 +76,7 @@
     assert of(actions, SetTimer)
 
 
-def test_waiting_clients_do_not_herd_into_the_last_room() -> None:
+def test_waiting_clients_do_not_herd_into_the_last_capacity() -> None:
     """Guards against many nodes filling one place within the lag of reports (incident i254692)."""
     b = node(2, 1, fleet_size=50, **PROBED)
     for n in range(40):
@@ -87,7 +87,7 @@
     assert starts < 12
 
 
-def test_those_left_after_a_lost_zone_are_not_filled_past_their_room_by_all_nodes_at_once() -> None:
+def test_those_left_after_a_lost_zone_are_not_loaded_past_their_capacity_by_all_nodes_at_once() -> None:
     """Guards against a guard that counts the lost servers among those which share what all nodes send."""
     starts = 0
     for seed in range(40):
@@ -220,7 +220,7 @@
     assert len(outputs) == 1 and "StartAttempt(" in outputs.pop()
 
 
-def test_a_server_that_errs_in_a_row_is_left_and_holds_nobody_else_back() -> None:
+def test_a_server_that_errs_in_a_row_is_ejected_and_holds_nobody_else_back() -> None:
     """Guards against one backend that answers ERR at once, looks idle, draws all, and feeds the throttle."""
     b = node(4, 1, **PROBED)
     now, erring, errors, stood = 1_000, "s1", 0, 0
@@ -250,7 +250,7 @@
     assert b.endpoints.backends["s0"].ejected_until_us == 0 and b.throttle.failures.value == 0
 
 
-def far_and_near(load: float, price: float) -> list[str]:
+def cross_and_same_zone(load: float, price: float) -> list[str]:
     chosen = []
     for seed in range(60):
         b = Balancer(Settings(**{**PROBED, "cross_zone_cost": price, "zone": 1}), seed)
@@ -260,15 +260,16 @@
     return chosen
 
 
-def test_near_servers_are_preferred_while_there_is_room_and_crossings_cost() -> None:
+def test_servers_of_the_zone_are_preferred_while_they_have_capacity_and_crossings_cost() -> None:
     near = [
-        sum(s in ("s1", "s3", "s5") for s in far_and_near(*told)) for told in ((0.3, 0.1), (0.3, 0.0), (0.7, 0.1))
+        sum(s in ("s1", "s3", "s5") for s in cross_and_same_zone(*drawn))
+        for drawn in ((0.3, 0.1), (0.3, 0.0), (0.7, 0.1))
     ]
     assert near[0] >= 50 and near[1] < 45 and near[2] >= 50
 
 
 def homeward(
-    near: float, price: float = 0.1, started_us: int = 0, third: BackendState = BackendState.READY, **told: Any
+    near: float, price: float = 0.1, started_us: int = 0, third: BackendState = BackendState.READY, **request: Any
 ) -> list[int]:
     """When, of twenty connections that stand in the other zone, those move that do in 30 s, in ms; the server near
     reports `near`."""
@@ -288,7 +289,7 @@
     timers = {
         t.timer_id: t.delay_us
         for n in range(20)
-        for t in of(b.handle(0, ConnectionAdopted(Request(n, 1, **told), "far")), SetTimer)
+        for t in of(b.handle(0, ConnectionAdopted(Request(n, 1, **request), "far")), SetTimer)
     }
     for _ in range(30):
         b.handle(0, HealthCheckResult("near", AttemptResult.OK, load_report=LoadReport(near)))
@@ -302,18 +303,18 @@
     return moved
 
 
-def test_connections_that_cross_zones_come_home_spread_once_there_is_room() -> None:
+def test_connections_that_cross_zones_come_home_spread_once_there_is_capacity() -> None:
     """Guards against paying for a crossing each second of a long life where one move would end it."""
     moved = homeward(0.3)
     assert len(moved) == 20 and moved[-1] - moved[0] > 5_000
     assert not homeward(0.7), "no room near"
     assert not homeward(0.3, price=0.0), "crossings are free"
     assert not homeward(0.3, is_reconnect=True), "at most one move for it"
-    assert not homeward(0.1, started_us=1), "cold servers have no room, whatever they report"
+    assert not homeward(0.1, started_us=1), "warming servers have no spare capacity, whatever they report"
     assert not homeward(0.3, third=BackendState.DRAINING), "set-ups enough while a server is emptied"
 
 
-def test_far_servers_are_taken_where_the_near_are_full() -> None:
+def test_servers_of_another_zone_are_taken_where_those_of_this_one_are_full() -> None:
     b = Balancer(Settings(**{**PROBED, "cross_zone_cost": 0.1, "zone": 1}), 1)
     b.handle(0, EndpointListUpdate((Endpoint("near", zone=1), Endpoint("far", zone=0))))
     (start,) = of(place(b, 1_000, 1, {"near": 0.79, "far": 0.1}), StartAttempt)
@@ -344,22 +345,22 @@
     assert crowd(60_000_000, weight_kind=WeightKind.ROUGH) > 90 > crowd(60_000_000)
 
 
-def moved_at(report: float, mean: float, late_told: bool = False) -> int:
+def moved_at(report: float, mean: float, latency_reported: bool = False) -> int:
     """How many of twenty are moved off a server whose health check says `report`."""
     b = node(2, 1, **PROBED)
     b.load_estimate.mean_load = mean
     for n in range(20):
         stand(b, n, "s0")
-    if late_told:
+    if latency_reported:
         b.handle(1_000, MessageLatencyReport(0, "s0", 1_000.0))
     actions = b.handle(2_000, HealthCheckResult("s0", AttemptResult.OK, load_report=LoadReport(report)))
     return sum(len(of(b.handle(1_100_000, TimerFired(t.timer_id)), Migrate)) for t in of(actions, SetTimer))
 
 
-def test_a_report_near_full_moves_some_where_messages_tell_nothing_and_others_have_room() -> None:
+def test_a_report_near_full_moves_some_where_messages_show_nothing_and_others_have_capacity() -> None:
     """Guards against a backend that stands at 0.86 for long while the others are half empty."""
     assert 2 <= moved_at(0.9, 0.3) <= 8
-    assert not moved_at(0.8, 0.3) and not moved_at(0.9, 0.7) and not moved_at(0.9, 0.3, late_told=True)
+    assert not moved_at(0.8, 0.3) and not moved_at(0.9, 0.7) and not moved_at(0.9, 0.3, latency_reported=True)
 
 
 def test_what_comes_back_to_a_new_node_is_not_held_off_as_a_herd() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -111,8 +111,8 @@
         elif isinstance(a, (Reject, Fail)):
             assert a.request_id in self.deadline and a.request_id not in self.answered, "two answers"
             assert a.request_id not in self.pending and self.now <= self.deadline[a.request_id] + 1_000
-            ran = any(may for _, _, may in self.attempts.get(a.request_id, []))
-            if isinstance(a, Reject) and ran:
+            executed = any(may for _, _, may in self.attempts.get(a.request_id, []))
+            if isinstance(a, Reject) and executed:
                 assert self.request_class.idempotency is Idempotency.IDEMPOTENT or (
                     self.request_class.idempotency is Idempotency.KEYED
                     and self.request_class.key_scope is KeyScope.ALL
--- a/tests/test_send_slots.py
+++ b/tests/test_send_slots.py
@@ -1,4 +1,4 @@
-"""Turns at servers in slow start: whatever is drawn, their sum is what the server bears, and all nodes have some."""
+"""Send slots in slow start: whatever is drawn, their sum is what a server tolerates, and all nodes have some."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from .test_failures import PROBED, of, place
 
 PERIODS = 4
-DEALERS = st.builds(
+SCHEDULES = st.builds(
     SlotSchedule,
     position=st.none(),
     nodes=st.integers(1, 200),
@@ -37,49 +37,51 @@
 )
 
 
-def placed(dealer: SlotSchedule, position: int, processes: int = 1) -> SlotSchedule:
+def placed(schedule: SlotSchedule, position: int, processes: int = 1) -> SlotSchedule:
     """The same for the node at a position."""
-    return SlotSchedule(position, dealer.nodes, dealer.span_us, dealer.late_us, processes)
+    return SlotSchedule(position, schedule.nodes, schedule.span_us, schedule.late_us, processes)
 
 
-def all_turns(dealer: SlotSchedule, mean: float, processes: int = 1) -> list[tuple[SendSlot, int]]:
-    """The turns of all nodes and their processes at one server over some periods, by time, and whose they are."""
+def all_slots(schedule: SlotSchedule, mean: float, processes: int = 1) -> list[tuple[SendSlot, int]]:
+    """The slots of all nodes and their processes at one server over some periods, by time, and whose they are."""
     return sorted(
         (
-            (turn, position)
-            for position in range(dealer.nodes)
+            (slot, position)
+            for position in range(schedule.nodes)
             for _ in range(processes)
             for period in range(PERIODS)
-            for turn in placed(dealer, position, processes).assign("s0", period, mean, Random(1))
+            for slot in placed(schedule, position, processes).assign("s0", period, mean, Random(1))
         ),
-        key=lambda dealt: dealt[0].start_us,
+        key=lambda pair: pair[0].start_us,
     )
 
 
 @settings(deadline=None, max_examples=60)
-@given(DEALERS, st.floats(0.0, 120.0), st.integers(1, 2))
-def test_no_span_takes_more_turns_than_the_server_bears(dealer: SlotSchedule, mean: float, processes: int) -> None:
-    """Each turn is used at its worst moment, and the request arrives as late as it may."""
-    starts = [turn.start_us for turn, _ in all_turns(dealer, mean, processes)]
-    reach_us = dealer.span_us + dealer.open_us + dealer.late_us
+@given(SCHEDULES, st.floats(0.0, 120.0), st.integers(1, 2))
+def test_no_span_has_more_slots_than_the_server_tolerates(
+    schedule: SlotSchedule, mean: float, processes: int
+) -> None:
+    """Each slot is used at its worst moment, and the request arrives as late as it may."""
+    starts = [slot.start_us for slot, _ in all_slots(schedule, mean, processes)]
+    reach_us = schedule.span_us + schedule.open_us + schedule.late_us
     for number, start in enumerate(starts):
         assert number - bisect_left(starts, start - reach_us + 2) + 1 <= allowed(mean)
 
 
 @settings(deadline=None, max_examples=60)
-@given(DEALERS, st.floats(0.0, 120.0))
-def test_all_turns_are_dealt_and_each_node_has_some_in_its_time(dealer: SlotSchedule, mean: float) -> None:
+@given(SCHEDULES, st.floats(0.0, 120.0))
+def test_all_slots_are_assigned_and_each_node_has_some_in_its_time(schedule: SlotSchedule, mean: float) -> None:
     """Guards against a server that stays idle, and against relays that never may send to it."""
-    many = placed(dealer, 0).slots_per_period(mean)
+    count = placed(schedule, 0).slots_per_period(mean)
     whose = Counter(
         position
-        for position in range(dealer.nodes)
-        for period in range(dealer.nodes)
-        for _ in placed(dealer, position).assign("s0", period, mean, Random(1))
+        for position in range(schedule.nodes)
+        for period in range(schedule.nodes)
+        for _ in placed(schedule, position).assign("s0", period, mean, Random(1))
     )
-    if many <= 64:
-        assert sum(whose.values()) == many * dealer.nodes
-    assert len(whose) == dealer.nodes
+    if count <= 64:
+        assert sum(whose.values()) == count * schedule.nodes
+    assert len(whose) == schedule.nodes
 
 
 def balancer(started_us: int = 0, **more: object) -> Balancer:
@@ -94,14 +96,14 @@
 
 
 def sent(b: Balancer, now: int, first: int, many: int = 20) -> list[int]:
-    """Of so many requests that come at once, those that are sent to the cold server."""
+    """Of so many requests that come at once, those that are sent to the warming server."""
     loads = {"warm": 0.95, "cold": 0.0}
     starts = [start for n in range(many) for start in of(place(b, now, first + n, loads), StartAttempt)]
     return [start.request_id for start in starts if start.backend == "cold"]
 
 
 def test_what_has_ended_was_sent_all_the_same() -> None:
-    """Guards against room that is free again at once: the rule counts what was rejected, reset or served."""
+    """Guards against capacity that is free again at once: the rule counts what was rejected, reset or served."""
     for result in (
         AttemptResult.OVERLOADED,
         AttemptResult.RESET,
@@ -131,7 +133,7 @@
     assert not sent(b, now + 3, 300), "a new process, which may get what was sent to the one before"
 
 
-def test_a_process_that_starts_has_spent_its_turns() -> None:
+def test_a_process_that_starts_has_used_its_slots() -> None:
     """Guards against a crash: nobody knows what the process before sent a moment ago."""
     b = Balancer(Settings(**{**PROBED, "initial_capacity": 0.12, "warm_up_us": 20_000_000, "position": 0}), 1)
     b.handle(10_000_000, EndpointListUpdate(backends(1)))
@@ -146,12 +148,12 @@
     assert not sent(b, now + 1, 100) and sent(b, now + 3_000_000, 200)
 
 
-def test_requests_without_room_wait_for_the_turns_of_their_relay() -> None:
-    """Guards against rejections while a server in slow start has turns left: each turn finds a request that waits."""
+def test_requests_without_capacity_wait_for_the_slots_of_their_relay() -> None:
+    """Guards against rejections while a server in slow start has slots left: each slot finds a request that waits."""
     b, now, end = balancer(1, fleet_size=2), 10_000_000, 12_000_000
     b.context.now_us = now
-    turns = [turn for turn in b.slow_start.unused_slots() if now < turn.end_us <= end]
-    assert any(turn.start_us > now for turn in turns)
+    slots = [slot for slot in b.slow_start.unused_slots() if now < slot.end_us <= end]
+    assert any(slot.start_us > now for slot in slots)
     timers = [
         (now + wait.delay_us, wait.timer_id)
         for n in range(30)
@@ -165,13 +167,13 @@
             report = LoadReport({"warm": 0.95, "cold": 0.0}[probe.backend])
             actions = actions + b.handle(at, HealthCheckResult(probe.backend, AttemptResult.OK, load_report=report))
         timers += [(at + wait.delay_us, wait.timer_id) for wait in of(actions, SetTimer)]
-    assert all(turn.used for turn in turns)
+    assert all(slot.used for slot in slots)
 
 
-def test_turns_are_no_more_than_a_table_for_each_server_and_period() -> None:
-    """Guards memory: what lies in the past is dropped, whatever was dealt."""
+def test_slots_are_no_more_than_a_table_for_each_server_and_period() -> None:
+    """Guards memory: what lies in the past is dropped, whatever was assigned."""
     table = SendSlotTable(SlotSchedule(0, 4, 1_000_000), Random(1), 0)
     for second in range(100):
         for n in range(20):
             table.slots(second * 1_000_000, f"s{n}", 1, lambda _: 50.0)
-    assert len(table.periods) <= 3 and all(len(dealt) == 20 for dealt in table.periods.values())
+    assert len(table.periods) <= 3 and all(len(assigned) == 20 for assigned in table.periods.values())
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -29,10 +29,10 @@
 )
 
 
-def loads_of_a_cold_server(processes: int, seed: int) -> list[float]:
+def loads_of_a_warming_server(processes: int, seed: int) -> list[float]:
     """Its load over what it can do just then, in 200 steps of its warm-up, below 40 nodes of unequal load: some have
     ten times the clients of others, and a part of it that is under one connection for each."""
-    random, cold_us, mean, full = Random(seed), 20_000_000, 80_000, 50.0
+    random, warm_up_us, mean, full = Random(seed), 20_000_000, 80_000, 50.0
     nodes = [
         Balancer(
             Settings(
@@ -42,7 +42,7 @@
                     "position": n % 40,
                     "processes": processes,
                     "initial_capacity": 0.12,
-                    "warm_up_us": cold_us,
+                    "warm_up_us": warm_up_us,
                     "weight_kind": WeightKind.ROUGH,
                 }
             ),
@@ -61,7 +61,7 @@
         )
     standing, loads = dict[int, float](), list[float]()
     for step in range(200):
-        now = BEGIN_US + step * cold_us // 200
+        now = BEGIN_US + step * warm_up_us // 200
         for n, node in enumerate(nodes):
             for request in (step * 10_000 + n * 10 + k + 1 for k in range(n % 10 // 3 + (step % 5 == 0))):
                 # Reports are late by 1.5 s, so that only the budget guards.
@@ -78,11 +78,11 @@
 
 
 @pytest.mark.parametrize("processes", [1, 2])
-def test_a_cold_server_is_filled_as_it_warms_by_many_nodes_of_unequal_load(processes: int) -> None:
-    """Guards against pushing a cold server over, and against leaving it idle; also while each node has two processes.
+def test_a_warming_server_is_loaded_as_it_warms_by_many_nodes_of_unequal_load(processes: int) -> None:
+    """Guards against overloading a warming server, and against leaving it idle; also with two processes a node.
     Over ten draws: a single one is 0.1 to 1.1 of use, and three times what it can do or not, by the draw of heavy
     connections, whose load nobody knows as they are placed."""
-    draws = [loads_of_a_cold_server(processes, seed) for seed in range(10)]
+    draws = [loads_of_a_warming_server(processes, seed) for seed in range(10)]
     over = [max(loads) for loads in draws if max(loads) >= 3.0]
     assert len(over) <= 2, f"three times what it can do pushes it over: {over}"
     use = sum(sum(loads[:50]) / 50 for loads in draws) / len(draws)
@@ -91,12 +91,12 @@
 
 @pytest.mark.parametrize("fleet", [2, 3, 6, 32])
 @pytest.mark.parametrize("light", [1.0, 0.07])
-def test_a_crowd_that_comes_back_at_once_keeps_to_the_budget_of_cold_servers(fleet: int, light: float) -> None:
-    """Guards against pushing a cold server over within one window: when backends end, all that stood there comes back
-    within a second, at nodes that hold few connections and know nothing of each other (throng+brink, seed
+def test_a_crowd_that_comes_back_at_once_keeps_to_the_budget_of_warming_servers(fleet: int, light: float) -> None:
+    """Guards against overloading a warming server within one window: when backends end, all that stood there comes
+    back within a second, at nodes that hold few connections and know nothing of each other (throng+brink, seed
     203843659382: 22 requests from 32 nodes within a second, at a server that could take 5). `light`: the load of the
     connections that these nodes have learned from, in mean ones."""
-    cold_us, full, mean, crowd = 20_000_000, 50, 80_000, 150
+    warm_up_us, full, mean, crowd = 20_000_000, 50, 80_000, 150
     # What fills it as it is at the window's end, with the page's allowance for chance.
     now_full = (0.12 + 0.88 * 6 / 20) * full
     allowed = now_full + 3 * math.sqrt(now_full + 3)
@@ -108,7 +108,7 @@
                 **PROBED,
                 "fleet_size": fleet,
                 "initial_capacity": 0.12,
-                "warm_up_us": cold_us,
+                "warm_up_us": warm_up_us,
                 "weight_kind": WeightKind.ROUGH,
             }
         )
@@ -131,9 +131,9 @@
     assert worst <= allowed, f"{worst} requests within a second, {allowed:.1f} push it over"
 
 
-def test_cold_servers_that_may_get_nothing_now_are_neither_probed_nor_in_the_way() -> None:
+def test_warming_servers_that_may_get_nothing_now_are_neither_probed_nor_in_the_way() -> None:
     """Guards against a fleet half of whose servers are new: looks that could only end in a wait, and their price."""
-    start, warm, cold, waiting = 10_000_000, {"s0", "s1", "s2", "s3"}, set[str](), 0
+    start, warm, warming, waiting = 10_000_000, {"s0", "s1", "s2", "s3"}, set[str](), 0
     for position in range(200):
         settings = {"fleet_size": 200, "position": position, "initial_capacity": 0.2, "warm_up_us": 20_000_000}
         b = Balancer(Settings(**{**PROBED, **settings}), position)
@@ -142,9 +142,9 @@
         for backend in b.endpoints.backends.values():
             backend.rounding = 0.999
         b.context.now_us = start
-        in_turn = {turn.backend for turn in b.slow_start.unused_slots() if turn.is_open(start)}
+        with_open_slot = {slot.backend for slot in b.slow_start.unused_slots() if slot.is_open(start)}
         probed = {p.backend for p in of(b.handle(start, Request(1, 2_000_000)), CheckHealth)}
-        assert probed <= warm | in_turn, "only who may be sent something"
-        cold |= probed - warm
-        waiting += not in_turn
-    assert cold and waiting > 100
+        assert probed <= warm | with_open_slot, "only who may be sent something"
+        warming |= probed - warm
+        waiting += not with_open_slot
+    assert warming and waiting > 100
--- a/tests/test_slow_start_model.py
+++ b/tests/test_slow_start_model.py
@@ -35,7 +35,7 @@
 STEP_US = 20_000
 BEGIN_US = 10_000_000  # the burst begins
 LENGTH_US = 3_000_000
-WARM, VANISH, COLD = 7, 3, 3
+WARM, VANISH, WARMING = 7, 3, 3
 ENDINGS = (None, AttemptResult.OK, AttemptResult.OVERLOADED, AttemptResult.RESET, AttemptResult.CANCELLED)
 
 
@@ -46,12 +46,12 @@
     nodes: int
     rules: SlowStartRules
     age_s: float  # of backends in slow start as the burst begins
-    fills: float
+    full_connections: float
     work: float  # of a connection, in mean ones
     ending: AttemptResult | None  # how connections end soon; None: they stand
     restarts: bool  # some nodes start anew in the burst
     whole_lists: bool
-    returns: bool  # a cold server comes back under its name
+    returns: bool  # a warming server comes back under its name
 
     @staticmethod
     def of(seed: int) -> Drawn:
@@ -63,7 +63,7 @@
             nodes=random.choice((1, 2, 4, 6, 8, 16, 32, 64)),
             rules=rules,
             age_s=random.uniform(0, 0.7) * warm_s,
-            fills=random.uniform(20, 150),
+            full_connections=random.uniform(20, 150),
             work=random.choice((0.07, 1.0)),
             ending=random.choice(ENDINGS),
             restarts=random.random() < 0.3,
@@ -84,12 +84,12 @@
         self.ends: list[tuple[int, Balancer, int, str]] = []
         self.order = count()
         self.started = {f"s{n}": 0 for n in range(WARM)}
-        self.started |= {f"c{n}": BEGIN_US - int(drawn.age_s * 1e6) for n in range(COLD)}
+        self.started |= {f"c{n}": BEGIN_US - int(drawn.age_s * 1e6) for n in range(WARMING)}
         self.warm_ups = {name: self._warm_up(name) for name in self.started}
         self.nodes = [self._node(position) for position in range(drawn.nodes)]
 
     def _warm_up(self, name: str) -> WarmUp:
-        return WarmUp(name, self.drawn.rules, self.started[name] / 1e6 or -1e6, self.drawn.fills)
+        return WarmUp(name, self.drawn.rules, self.started[name] / 1e6 or -1e6, self.drawn.full_connections)
 
     def _node(self, position: int) -> Balancer:
         drawn, rules = self.drawn, self.drawn.rules
@@ -113,10 +113,10 @@
         """The whole list."""
         return EndpointListUpdate(tuple(Endpoint(name, started_us=at) for name, at in self.started.items()))
 
-    def fill(self) -> None:
-        """Half of what warm servers take stands, dealt at random, before the burst."""
+    def establish_half(self) -> None:
+        """Half of what warm servers take stands, spread at random, before the burst."""
         self.now = BEGIN_US - 2_000_000
-        for n in range(int(WARM * self.drawn.fills / 2)):
+        for n in range(int(WARM * self.drawn.full_connections / 2)):
             node, request = self.random.choice(self.nodes), next(self.numbers)
             stand(node, request, f"s{n % WARM}", self.now)
             node.handle(self.now, ConnectionLoadReport(request, f"s{n % WARM}", self.drawn.work * 80_000))
@@ -169,7 +169,7 @@
         for node in self.nodes:
             gone = tuple(Endpoint(f"s{n}", BackendState.GONE) for n in range(VANISH))
             self.do(node, EndpointListUpdate(gone, is_complete=False))
-        crowd = int(VANISH * drawn.fills)
+        crowd = int(VANISH * drawn.full_connections)
         for step in range(LENGTH_US // STEP_US):
             self.step()
             if step < 75:
@@ -192,7 +192,7 @@
 def played(seed: int) -> FleetModel:
     """The model of a seed, after its burst."""
     model = FleetModel(Drawn.of(seed), seed)
-    model.fill()
+    model.establish_half()
     model.burst()
     return model
 
@@ -207,5 +207,5 @@
 
 def test_a_server_in_slow_start_is_of_use_while_there_is_work() -> None:
     """Guards against a budget that is kept by sending nothing: in the mean over the draws, half of what may come."""
-    used = [played(seed).warm_ups[f"c{n}"].most_used for seed in range(100, 124) for n in range(COLD)]
+    used = [played(seed).warm_ups[f"c{n}"].most_used for seed in range(100, 124) for n in range(WARMING)]
     assert sum(used) / len(used) >= 0.5, f"{sum(used) / len(used):.2f}"
