--- a/balancer/actions.py
+++ b/balancer/actions.py
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Place the request on a backend: the next attempt, given up after `timeout_us`."""
+    """Send the request to a backend: its next attempt, given up after `timeout_us`."""
 
     request_id: int
     backend: str
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: not now, and trying again does no harm."""
+    """Final answer: not now, and the client may retry without harm."""
 
     request_id: int
     retry_after_us: int = 0
@@ -74,14 +74,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Migrate:
-    """End a standing connection politely; its client comes again."""
+    """Ask an established connection to move: its client ends it politely and reconnects."""
 
     request_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class CheckHealth:
-    """Ask a backend for its load."""
+    """Check a backend's health and ask for its load."""
 
     backend: str
 
--- a/balancer/endpoints.py
+++ b/balancer/endpoints.py
@@ -33,7 +33,7 @@
     message_latency: float = 0.0  # as last reported, in latency objectives
     health_check_pending: bool = False
     migration_check_pending: bool = False  # the pending health check decides on migration
-    drain_notified: bool = False  # it drains, and its connections have been told to move
+    drain_notified: bool = False  # it drains, and its connections have been notified to move
     awaiting_probe: list[int] = field(default_factory=list)  # requests
 
 
--- a/balancer/events.py
+++ b/balancer/events.py
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointListUpdate:
-    """The whole list, or its changed lines only."""
+    """The complete list, or its changed lines only."""
 
     entries: tuple[Endpoint, ...]
     is_complete: bool = True
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionAdopted:
-    """A connection that stood through this node before it started. Its attempt 0 counts as made."""
+    """A connection that was established through this node before it started. Its attempt 0 counts as made."""
 
     request: Request
     backend: str
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionEstablished:
-    """The connection stands: neither time-out nor deadline runs any more."""
+    """The connection is established: neither timeout nor deadline runs any more."""
 
     request_id: int
     attempt: int
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionLoadReport:
-    """A standing connection's load now, in microseconds of work a second."""
+    """An established connection's load now, in microseconds of work a second."""
 
     request_id: int
     backend: str
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageLatencyReport:
-    """How long a message takes now at the backend of a standing connection."""
+    """How long a message takes now at the backend of an established connection."""
 
     request_id: int
     backend: str
@@ -127,7 +127,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """How an attempt ended. `final`: the request has ended too and no answer is owed."""
+    """How an attempt ended. `is_final`: the request has ended too, and no answer is owed."""
 
     request_id: int
     attempt: int
@@ -140,7 +140,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client left: no answer is owed. Attempts still out get their outcome."""
+    """The client left: no answer is owed. Attempts in flight still get their `AttemptEnded`."""
 
     request_id: int
 
@@ -157,15 +157,15 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer fell due."""
+    """A timer has fired."""
 
     timer_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """Other settings from now on. What is open keeps the rules under which it came; the numbers of classes
-    that it may hold mean in the new settings what they meant in the old."""
+    """New settings, from now on. Open requests and connections keep the rules under which they came; class
+    numbers that they hold mean the same in the new settings as in the old."""
 
     settings: Settings
 
--- a/balancer/migration.py
+++ b/balancer/migration.py
@@ -1,4 +1,4 @@
-"""Migration: which established connections are told to move to another backend, when, and how many."""
+"""Migration: which established connections move to another backend, when, and how many."""
 
 from __future__ import annotations
 
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start and by a reload.
+"""Settings of a node: given at its start, and again by a reload.
 
 Times are whole microseconds, loads are parts of a backend's capacity.
 """
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant and the count of open connections, over all nodes, within its share (0: not told)."""
+    """A tenant with its quota: a share of all, and open connections over all nodes (0: unknown)."""
 
     quota_share: float = 0.0
     quota_connections: float = 0.0
@@ -93,12 +93,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a node is told at its start."""
+    """Settings of one node. Raises InvalidSettingError for values that make no sense.
+
+    Some fields are read by no rule here. They count all the same when a reload asks whether settings differ.
+    """
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
     zone: int = 0
-    fleet_size: int = 1
+    fleet_size: int = 1  # nodes
     position: int | None = None  # of this node among them, from 0
     processes: int = 1  # that may run at a time under this position, as one takes over from another
     polls_endpoint_list: bool = False
@@ -108,21 +111,21 @@
     reports_load: bool = False
     reports_utilization: bool = False
     weight_kind: WeightKind = WeightKind.NONE
-    max_attempts: int = 5
+    max_attempts: int = 5  # of one request
     may_hedge: bool = False
     connect_timeout_us: int = 250_000
     retry_after: bool = False
     max_retry_after_us: int = 0
-    over_quota_weight: float = 1.0
+    over_quota_weight: float = 1.0  # factor on the priority weight of a tenant over its quota
     cross_zone_cost: float = 0.0  # price of a request that crosses zones
-    weight_by_work: bool = False
+    weight_by_work: bool = False  # priority weights are for a unit of work, not for a connection
     passes_packets: bool = False
     sticky_groups: bool = False
     timer_resolution_us: int = 1_000
     drain_grace_us: int = 0
-    initial_capacity: float = 1.0
+    initial_capacity: float = 1.0  # of a backend as it starts, as a part of its capacity once it is warm
     warm_up_us: int = 0
-    overload_multiple: float = 3.0
+    overload_multiple: float = 3.0  # of its present capacity, sent in the window, overloads a warming backend
     overload_window_us: int = 1_000_000
 
     def __post_init__(self) -> None:
