--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -32,6 +32,7 @@
     "classes": (CLASS,),
     "may_check_health": True,
     "load_report_source": LoadReportSource.HEALTH_CHECKS,
+    "reports_load": True,
 }
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -48,6 +48,7 @@
             polls_endpoint_list=r.random() < 0.5,
             may_check_health=r.random() < 0.7,
             load_report_source=r.choice(list(LoadReportSource)),
+            reports_load=True,
             max_attempts=r.choice([1, 3, 6]),
             sticky_groups=r.random() < 0.3,
             timer_resolution_us=1_000,
