--- a/balancer/selection.py
+++ b/balancer/selection.py
@@ -45,7 +45,7 @@
         entry = backend.entry
         if entry.state is not BackendState.READY or entry.backend in pending.attempted:
             return False
-        return may_attempt_at(entry, pending)
+        return not pending.possibly_executed or may_attempt_at(entry, pending)
 
     def sample(self, pending: PendingRequest) -> list[str]:
         """A few backends from the ring, at random; a group's points come from its name, at every node."""
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -64,7 +64,8 @@
 
         Guards against overloading a warming backend: this node's part of what all may send and have there.
         """
-        capacity = self.capacity(backend)
+        context = self._context
+        capacity = available_capacity(context.settings, backend.entry.started_us, context.now_us)
         if capacity >= 1:
             return True
         # Where backends report their load, that shows what stands there.
@@ -106,10 +107,12 @@
 
     def unused_slots(self) -> list[SendSlot]:
         """This node's unused slots, open or next, at all ready backends in slow start."""
+        settings, now_us = self._context.settings, self._context.now_us
         warming = [
             backend
             for backend in self._endpoints.backends.values()
-            if self.capacity(backend) < 1 and backend.entry.state is BackendState.READY
+            if available_capacity(settings, backend.entry.started_us, now_us) < 1
+            and backend.entry.state is BackendState.READY
         ]
         return [slot for backend in warming for slot in self._slots_at(backend) if not slot.used]
 
