--- a/balancer/simulator_wire.py
+++ b/balancer/simulator_wire.py
@@ -130,7 +130,7 @@
         raise ValueError(f"{PUBLISHED_FIELDS.get(error.field, error.field)}: {error.problem}") from None
 
 
-def _classes(info: Message, family: Message) -> tuple[RequestClass, ...]:
+def _classes(grades: list[Message], family: Message) -> tuple[RequestClass, ...]:
     """The request classes, in the order of their numbers."""
     objectives_us = family.get("messageAimUs") or []
     return tuple(
@@ -143,18 +143,19 @@
             priority_weight=_number(g.get("points"), 1.0),
             message_latency_objective_us=int(objectives_us[n]) if n < len(objectives_us) else 0,
         )
-        for n, g in enumerate(_need(info, "grades", list, "bootInfo"))
+        for n, g in enumerate(grades)
     )
 
 
 def _settings(info: Message) -> tuple[Settings, tuple[str, ...]]:
+    grades = _need(info, "grades", list, "bootInfo")
     family: Message = info.get("familyInfo") or {}
     allow: Message = info.get("permissions") or {}
     rules: Message = info.get("rules") or {}
     report: Message = info.get("report") or {}
     quotas = family.get("tenantQuotaConnections") or []
     names = tuple(str(n) for n in report.get("names") or [])
-    classes = _classes(info, family)
+    classes = _classes(grades, family)
     tenants = tuple(
         Tenant(_number(p.get("share")), _number(quotas[n]) if n < len(quotas) else 0.0)
         for n, p in enumerate(info.get("parties") or [])
