--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -1,5 +1,5 @@
 """The balancer: takes an event (events.py), hands it to the parts that it concerns, and returns what they
-want done (actions.py). It has no rule of its own.
+want done (actions.py). Its one rule of its own is which ended attempts count as failures for the throttle.
 
 Placements follow one mechanism: a random pick among sampled ready backends, weighted toward low load and
 flattened as reports age; failed placements wait a full-jitter exponential backoff and go elsewhere.
@@ -184,7 +184,11 @@
         backend = self.endpoints.backends.get(event.backend)
         if backend is None:
             return
-        awaiting, backend.awaiting_probe, backend.health_check_pending = backend.awaiting_probe, [], False
+        awaiting, backend.awaiting_health_check, backend.health_check_pending = (
+            backend.awaiting_health_check,
+            [],
+            False,
+        )
         unresponsive = event.result in UNRESPONSIVE
         if unresponsive:
             self.outliers.on_unresponsive(backend)
--- a/balancer/capacity.py
+++ b/balancer/capacity.py
@@ -9,7 +9,7 @@
 from .decaying import Decaying
 from .settings import Settings
 
-REPORT_MEMORY_US = 5_000_000  # what lies further back says little about the present traffic
+SHARE_MEMORY_US = 5_000_000  # what lies further back says little about the present traffic
 ALL_KINDS_WEIGHT = 2.0  # in loads: all kinds together beside what was reported of one
 GUESS_WEIGHT = 0.25  # in loads: the guess beside all that was reported
 
@@ -27,8 +27,8 @@
     """This node's connections and the backends' loads, summed over reports, with decay."""
 
     def __init__(self) -> None:
-        self.held = Decaying(REPORT_MEMORY_US)
-        self.load = Decaying(REPORT_MEMORY_US)
+        self.held = Decaying(SHARE_MEMORY_US)
+        self.load = Decaying(SHARE_MEMORY_US)
 
     def add(self, now_us: int, held: float, load: float) -> None:
         """Add one report; zeros only let the sums decay."""
--- a/balancer/context.py
+++ b/balancer/context.py
@@ -48,7 +48,7 @@
 
     def on_adopted(self) -> None:
         """A connection has been adopted: a node with a past knows what is established, and is not new."""
-        self._new_until_us = 1
+        self._new_until_us = 1  # in the past, and not 0: `on_endpoint_list` leaves it
 
     def is_new_node(self) -> bool:
         """Whether this node has seen too few connections to judge by."""
--- a/balancer/endpoints.py
+++ b/balancer/endpoints.py
@@ -33,8 +33,8 @@
     message_latency: float = 0.0  # as last reported, in latency objectives
     health_check_pending: bool = False
     migration_check_pending: bool = False  # the pending health check decides on migration
-    drain_notified: bool = False  # it drains, and its connections have been notified to move
-    awaiting_probe: list[int] = field(default_factory=list)  # requests
+    drain_notified: bool = False  # it has begun to drain, and its connections are being migrated
+    awaiting_health_check: list[int] = field(default_factory=list)  # requests
 
 
 class EndpointTable:
--- a/balancer/events.py
+++ b/balancer/events.py
@@ -41,7 +41,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """A line of the endpoint list. `started_us` is 0 where the backend started long ago."""
+    """A line of the endpoint list.
+
+    `cell`: where idempotency keys are known together (`KeyScope.CELL`); `kind`: the number of its model;
+    `weight`: as `WeightKind` says; `started_us`: 0 where the backend started long ago.
+    """
 
     backend: str
     state: BackendState = BackendState.READY
@@ -62,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointListError:
-    """A watch or a fetch of the list failed, or the watch broke. The last list stays in force."""
+    """A poll of the list failed, or the watch on it ended. The last list stays in force."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -75,15 +79,18 @@
     tenant: int = 0
     idempotency_key: str = ""
     sticky_group: str = ""
-    load_hint: float = 0.0
-    mid_flow: bool = False
+    load_hint: float = 0.0  # us of work a second; 0: unknown
+    mid_flow: bool = False  # no rule reads it
     is_reconnect: bool = False
     is_retry: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionAdopted:
-    """A connection that was established through this node before it started. Its attempt 0 counts as made."""
+    """A connection that was established through this node before it started.
+
+    Later events name its attempt as 0.
+    """
 
     request: Request
     backend: str
@@ -119,7 +126,8 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """What a backend says of itself; None where the figure is not among its reports."""
+    """A backend's own figures, as parts of its capacity: its load, or else its CPU utilization;
+    None where the figure is not among its reports."""
 
     load: float | None = None
     utilization: float | None = None
--- a/balancer/health_checks.py
+++ b/balancer/health_checks.py
@@ -16,7 +16,7 @@
     def __init__(self, context: Context) -> None:
         self._context = context
 
-    def report_load(self) -> bool:
+    def is_load_reported(self) -> bool:
         """Whether health checks are allowed, and backends report their load."""
         settings = self._context.settings
         return settings.may_check_health and settings.load_report_source is not LoadReportSource.NONE
--- a/balancer/migration.py
+++ b/balancer/migration.py
@@ -130,7 +130,7 @@
 
         False where health checks don't report load.
         """
-        if not self.health_checks.report_load():
+        if not self.health_checks.is_load_reported():
             return False
         if self.context.now_us >= backend.no_migration_until_us:
             backend.no_migration_until_us = self.context.now_us + ROUND_INTERVAL_US
--- a/balancer/placement.py
+++ b/balancer/placement.py
@@ -23,7 +23,7 @@
 from .slow_start import SlowStart
 from .timers import Timers
 
-CONNECT_OBJECTIVES = 2.0  # latency objectives: attempt timeout; later than that it is of little use
+ATTEMPT_TIMEOUT_OBJECTIVES = 2.0  # latency objectives; a later connection is of little use
 CHECK_PART = 1 / 6  # of the latency objective: longest wait for health checks before a placement
 
 
@@ -105,7 +105,7 @@
             return
         pending.generation += 1
         pending.candidates, pending.unchecked = self.selection.sample(pending), {}
-        if self.health_checks.report_load() and len(self.endpoints.backends) > 1:
+        if self.health_checks.is_load_reported() and len(self.endpoints.backends) > 1:
             self._check_candidates(pending)
         if not pending.unchecked:
             self._place(pending)
@@ -119,7 +119,7 @@
             backend = self.endpoints.backends[name]
             if self.health_checks.is_needed(backend):
                 pending.unchecked[name] = None
-                backend.awaiting_probe.append(pending.request.request_id)
+                backend.awaiting_health_check.append(pending.request.request_id)
                 self.health_checks.start(backend)
 
     def _place(self, pending: PendingRequest) -> None:
@@ -140,7 +140,7 @@
         pending.attempt_in_flight = True
         pending.attempted.append(name)
         self.load_estimate.add_sent(backend, cost)
-        longest_us = int(pending.request_class.latency_objective_us * CONNECT_OBJECTIVES)
+        longest_us = int(pending.request_class.latency_objective_us * ATTEMPT_TIMEOUT_OBJECTIVES)
         timeout_us = max(1, min(pending.deadline_us - now_us, longest_us))
         allowance = self.slow_start.allowance(backend)
         self.context.emit(StartAttempt(request.request_id, name, timeout_us, allowance))
--- a/balancer/send_slots.py
+++ b/balancer/send_slots.py
@@ -55,19 +55,19 @@
 
     position: int | None
     nodes: int
-    span_us: int
+    window_us: int
     late_us: int = 0
     processes: int = 1
 
     @property
     def open_us(self) -> int:
         """How long a slot can be used."""
-        return min(max(MIN_OPEN_US, int(OPEN_PART * self.span_us)), MAX_OPEN_US)
+        return min(max(MIN_OPEN_US, int(OPEN_PART * self.window_us)), MAX_OPEN_US)
 
     @property
     def reach_us(self) -> int:
         """The time before a moment from which slots still count for the span that ends then."""
-        return self.span_us + self.open_us + self.late_us
+        return self.window_us + self.open_us + self.late_us
 
     @property
     def period_us(self) -> int:
@@ -125,7 +125,7 @@
         self.schedule = schedule
         self.random = random
         # What the process before sent is not known: it counts as all that it might have been.
-        self.since_us = since_us + schedule.span_us + schedule.late_us
+        self.since_us = since_us + schedule.window_us + schedule.late_us
         self.periods: dict[int, dict[str, AssignedSlots]] = {}
 
     def slots(
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -85,7 +85,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant with its quota: a share of all, and open connections over all nodes (0: unknown)."""
+    """A tenant. `quota_share`: part of the fleet's traffic, which no rule reads; `quota_connections`: open
+    connections over all nodes (0: unknown)."""
 
     quota_share: float = 0.0
     quota_connections: float = 0.0
@@ -105,7 +106,7 @@
     position: int | None = None  # of this node among them, from 0
     processes: int = 1  # that may run at a time under this position, as one takes over from another
     polls_endpoint_list: bool = False
-    poll_within_us: int = 10_000_000
+    poll_within_us: int = 10_000_000  # the list must be polled within this
     may_check_health: bool = False
     load_report_source: LoadReportSource = LoadReportSource.NONE
     reports_load: bool = False
@@ -122,7 +123,7 @@
     passes_packets: bool = False
     sticky_groups: bool = False
     timer_resolution_us: int = 1_000
-    drain_grace_us: int = 0
+    drain_grace_us: int = 0  # shortest time from the announcement of a drain to the backend's exit
     initial_capacity: float = 1.0  # of a backend as it starts, as a part of its capacity once it is warm
     warm_up_us: int = 0
     overload_multiple: float = 3.0  # of its present capacity, sent in the window, overloads a warming backend
--- a/balancer/simulator_wire.py
+++ b/balancer/simulator_wire.py
@@ -1,4 +1,5 @@
-"""Translation between the simulator's wire and the balancer's events, actions and settings.
+"""Translation between the simulator's wire and the balancer's events and actions, and the one reader of
+settings, for the simulator and for `gradefront/config.py`.
 
 The wire's names end here, and so do the published names of settings. No decisions are made here.
 """
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -64,8 +64,7 @@
 
         Guards against overloading a warming backend: this node's part of what all may send and have there.
         """
-        context = self._context
-        capacity = available_capacity(context.settings, backend.entry.started_us, context.now_us)
+        capacity = self.capacity(backend)
         if capacity >= 1:
             return True
         # Where backends report their load, that shows what stands there.
--- a/gradefront/core/adopted.py
+++ b/gradefront/core/adopted.py
@@ -48,7 +48,7 @@
     return connection, attempt
 
 
-def given_away(core: Core, connection: Connection) -> None:
+def give_away(core: Core, connection: Connection) -> None:
     """Release an established connection that goes on in the next process; nothing of it ends."""
     attempt = connection.attempt
     assert connection.state is ConnectionState.ESTABLISHED and attempt
--- a/gradefront/core/answers.py
+++ b/gradefront/core/answers.py
@@ -59,7 +59,7 @@
             self.core.enqueue(ClientDisconnected(connection.number))
         self.answer(connection, None)
 
-    def reject_unestablished(self, connection: Connection) -> None:
+    def fail_unestablished(self, connection: Connection) -> None:
         """Fail a connection whose client broke the protocol before it was established."""
         if connection.is_awaiting_answer:
             self.give_up(connection)
--- a/gradefront/core/attempt_error.py
+++ b/gradefront/core/attempt_error.py
@@ -20,7 +20,7 @@
 class Cause(Enum):
     """What ended an attempt."""
 
-    BROKEN = "broken"  # refused, reset or closed without a response
+    BROKEN = "broken"  # refused, reset or closed without a response; also vetoed: the backend drains or is not listed
     UNREACHABLE = "unreachable"  # nothing listens there: the request was never received
     SILENT = "silent"  # timeout ran out
     FULL = "full"  # the backend rejected it, unread
@@ -28,7 +28,7 @@
     SERVED = "served"  # the backend ended it in order
     SENT_AWAY = "sent away"  # the backend told the client to reconnect
     CALLED_OFF = "called off"  # this relay or the client ended it
-    NOT_TRIED = "not tried"  # nothing was sent at all
+    NOT_TRIED = "not tried"  # this relay stopped it before the complete request had left
 
 
 @dataclass(slots=True, frozen=True)
--- a/gradefront/core/attempts.py
+++ b/gradefront/core/attempts.py
@@ -98,7 +98,7 @@
             attempt.upstream.close(ConnectionEnd.ORDERLY)
 
     def on_advanced(self, attempt: Attempt) -> None:
-        """An attempt reached its next phase: from the connect timeout to the timeout of the whole attempt."""
+        """An attempt reached its next phase. Once connected, its own timeout replaces the connect timeout."""
         core = self.core
         attempt.write_started_us = attempt.write_started_us or core.clock()
         if attempt.phase is AttemptPhase.SENT:
--- a/gradefront/core/connect_request.py
+++ b/gradefront/core/connect_request.py
@@ -17,7 +17,7 @@
     tenant: int = 0
     idempotency_key: str = ""
     sticky_group: str = ""
-    load_hint: float = 0.0
+    load_hint: float = 0.0  # us of work a second; 0: unknown
     is_reconnect: bool = False
     is_retry: bool = False
     connection_id: str = ""  # for the log: the listener's name for the client's connection
--- a/gradefront/core/connection.py
+++ b/gradefront/core/connection.py
@@ -138,7 +138,10 @@
 
     @property
     def may_be_rejected(self) -> bool:
-        """Whether the client may safely come again: nothing was sent, or the request is idempotent."""
+        """Whether the client may safely come again: nothing was sent, or the request is idempotent.
+
+        Stricter than the balancer's `may_client_retry`, as an attempt may be in flight here.
+        """
         return (
             not self.attempts
             or self.settings.classes[self.connect_request.request_class].idempotency is Idempotency.IDEMPOTENT
--- a/gradefront/core/lifecycle.py
+++ b/gradefront/core/lifecycle.py
@@ -30,8 +30,8 @@
 ENDPOINT_LIST_TIMEOUT_US = 3_500_000  # a process that replaces another waits so long for it, of 6 s from its start
 # After SIGTERM or the call to drain: the load balancer in front still sends clients here for 0.2 to 0.4 s.
 LOAD_BALANCER_DELAY_US = 450_000
-DRAIN_END_US = 3_200_000  # after the call to drain, of 4 s that there are: the last client has been notified,
-DRAIN_ANSWER_US = 3_600_000  # and whoever still waits for a backend is answered
+DRAIN_END_US = 3_200_000  # after the call to drain, of 4 s that there are: the last client has been notified
+DRAIN_ANSWER_US = 3_600_000  # after the call to drain: whoever still waits for a backend is answered
 
 
 class Core(Protocol):
@@ -131,10 +131,10 @@
         self.update_readiness()
         return True
 
-    def leave(self, done: Callable[[], None], replaced: bool = False) -> None:
+    def leave(self, done: Callable[[], None], at_once: bool = False) -> None:
         """Shut down gracefully, then call `done`: answer requests and spread migrations over the time until SIGKILL.
 
-        `replaced`: a new process accepts clients meanwhile, and none takes these connections over, so that waiting
+        `at_once`: a new process accepts clients meanwhile, and none takes these connections over, so that waiting
         gains nothing.
         """
         if not self.transition(LifecycleEvent.LEAVE):
@@ -143,7 +143,7 @@
         by_us = self.core.clock() + self.kill_us - MIGRATION_END_US
         if not 0 < self.drained_by_us <= by_us:  # else the drain in progress is fast enough
             first_us = max(LOAD_BALANCER_DELAY_US, self.kill_us - MIGRATION_START_US)
-            self._begin_drain(MIGRATION_STEP_US if replaced or self.drained_by_us else first_us, by_us)
+            self._begin_drain(MIGRATION_STEP_US if at_once or self.drained_by_us else first_us, by_us)
         self.core.after(self.kill_us - STOP_US, partial(self.stop, done))
 
     def _begin_drain(self, first_us: int, by_us: int) -> None:
--- a/gradefront/core/liveness.py
+++ b/gradefront/core/liveness.py
@@ -1,4 +1,4 @@
-"""Whether established connections are alive: late messages, silent backends, devices that vanished."""
+"""Whether established connections are alive: late messages, silent backends, clients that vanished."""
 
 from __future__ import annotations
 
--- a/gradefront/core/ports.py
+++ b/gradefront/core/ports.py
@@ -46,10 +46,10 @@
 
 
 class HealthChecker(Protocol):
-    """Checks a backend's health; the core's `on_load_report` gets the result."""
+    """Checks a backend's health; the core's `on_health_check_result` gets the result."""
 
     def check(self, backend: str) -> None:
-        """Poll the backend once."""
+        """Check the backend once, and read the load that it reports."""
 
     def check_connect(self, backend: str, timeout_us: int) -> None:
         """Open a new connection and close it; `Liveness.on_connect_checked` gets whether it came up in time."""
--- a/gradefront/core/relay.py
+++ b/gradefront/core/relay.py
@@ -59,21 +59,21 @@
 
     def __init__(  # noqa: PLR0913 - where the process is put together, each part is handed in
         self,
-        decider: DecisionModule,
+        balancer: DecisionModule,
         settings: Settings,
         clock: Callable[[], int],
         wake: Callable[[], None],
         reports_message_latency: bool = True,
         class_names: tuple[str, ...] = (),
     ) -> None:
-        self.balancer = decider
+        self.balancer = balancer
         # Classes without a name are named by their place.
         self.request_classes = RequestClassTable().extended(
             class_names or tuple(str(n) for n in range(len(settings.classes))), settings.classes, ()
         )
         self.settings = settings
         self.clock = clock
-        self.wake = wake  # asks the event loop to call `run_turn` soon
+        self.wake = wake  # asks the event loop to call `run_once` soon
         self.counters = Counters()
         self.request_log = RequestLog(self)
         self.timers = TimerWheel(clock())
@@ -221,7 +221,9 @@
         """Whether new work may go to a backend, by the newest endpoint list."""
         return self.backends.state(backend) is BackendState.READY
 
-    def on_load_report(self, backend: str, result: AttemptResult, took_us: int, report: LoadReport | None) -> None:
+    def on_health_check_result(
+        self, backend: str, result: AttemptResult, took_us: int, report: LoadReport | None
+    ) -> None:
         """The result of one health check."""
         if result is not AttemptResult.OK:
             self.counters.add("probes_failed")
@@ -245,9 +247,9 @@
         """The client closed its side."""
         self.answers.on_client_closed(connection, how)
 
-    def reject_unestablished(self, connection: Connection) -> None:
+    def fail_unestablished(self, connection: Connection) -> None:
         """The client broke the protocol before the connection was established."""
-        self.answers.reject_unestablished(connection)
+        self.answers.fail_unestablished(connection)
 
     def migrate(self, connection: Connection) -> None:
         """Tell the client of an established connection to reconnect."""
--- a/gradefront/net/client_protocol.py
+++ b/gradefront/net/client_protocol.py
@@ -76,7 +76,7 @@
             self.front.count_invalid(
                 "a line before its connection was established"
             )  # a client waits for its answer first
-            self.front.core.reject_unestablished(self.connection)
+            self.front.core.fail_unestablished(self.connection)
         elif line == b"PING" and self.pings < MAX_PINGS:
             self.pings += 1
             self.write_line(b"PONG" if self.front.core.lifecycle.accepts_clients else b"ERR")
@@ -119,7 +119,7 @@
         if self.connection and self.upstream:
             self.front.core.migrate(self.connection)
         elif self.connection:
-            self.front.core.reject_unestablished(self.connection)
+            self.front.core.fail_unestablished(self.connection)
         self._finish_with(b"ERR")
 
     def peer_ended(self) -> None:
@@ -167,9 +167,9 @@
         client_transport.registerProducer(backend_transport, True)
         backend_transport.registerProducer(client_transport, True)
 
-    def reject(self, pause_us: int) -> None:
+    def reject(self, retry_after_us: int) -> None:
         """Final answer `BUSY`, with the pause in ms if one is advised (0: none)."""
-        self._finish_with(b"BUSY %d" % -(-pause_us // 1000) if pause_us > 0 else b"BUSY")
+        self._finish_with(b"BUSY %d" % -(-retry_after_us // 1000) if retry_after_us > 0 else b"BUSY")
 
     def fail(self) -> None:
         """Final answer `ERR`, which promises nothing."""
--- a/gradefront/net/endpoint_list.py
+++ b/gradefront/net/endpoint_list.py
@@ -51,7 +51,8 @@
         return listed.address if listed else None
 
     def apply(self, document: dict[str, Any], complete: bool | None = None) -> None:
-        """Apply one document of discovery. `complete` is given for one stored before the start.
+        """Apply one document of discovery. `complete` is given for the configuration's list (`known`),
+        which is no sign of life from discovery.
 
         Raises ValueError, and changes nothing, where the document as a whole makes no sense. An invalid member is
         counted and left out; in a complete list, a backend known before keeps its last valid entry.
@@ -70,11 +71,11 @@
 
     def _read_members(self, members: list[Any], is_complete: bool) -> _Members:
         """Read the valid members, and describe what is wrong with the others."""
-        clock_trust = self._clock_trust()
+        reading = self._reading()
         listed, errors = list[ListedBackend](), list[str]()
         for member in members:
             try:
-                listed.append(self._read_member(member, clock_trust))
+                listed.append(self._read_member(member, reading))
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
                 errors.append(repr(error))
                 last_valid = self.backends.get(str(member.get("id"))) if isinstance(member, dict) else None
@@ -97,7 +98,7 @@
                 backends[backend.endpoint.backend] = backend
         return backends
 
-    def _clock_trust(self) -> ListReading:
+    def _reading(self) -> ListReading:
         """How far the times of day in a document that is applied now can be trusted."""
         now_us = self.core.clock()
         since_us = now_us - self.last_heartbeat_us if self.last_heartbeat_us is not None else 0
@@ -105,7 +106,7 @@
         # What differs from a list that this relay had, be it from before its start, happened of late.
         return ListReading(now_us, self.stepped(), bool(self.backends), oldest_us)
 
-    def _read_member(self, member: Any, clock_trust: ListReading) -> ListedBackend:
+    def _read_member(self, member: Any, reading: ListReading) -> ListedBackend:
         """Read one member. Raises KeyError, TypeError, ValueError, AttributeError or OverflowError."""
         state = STATES.get(member["phase"], BackendState.UNKNOWN)
         address = ("", 0) if state is BackendState.GONE else _read_address(member["host_port"])
@@ -115,7 +116,7 @@
         backend = str(member["id"])
         before = self.backends.get(backend)
         up_since_us = int(member.get("up_since_ms") or 0) * 1000
-        start = start_time(up_since_us, before.start if before else None, clock_trust)
+        start = start_time(up_since_us, before.start if before else None, reading)
         endpoint = Endpoint(
             backend,
             state,
--- a/gradefront/net/endpoint_watch_call.py
+++ b/gradefront/net/endpoint_watch_call.py
@@ -17,7 +17,8 @@
 
 log = logging.getLogger("gradefront.endpoint_watch")
 
-HEARTBEAT_TIMEOUT_US = 3_000_000  # an empty line comes every 2 s; an update is in force after 6 s, received or not
+# An empty line comes every 2 s; an update is in force after `start_times.NOTICE_US`, received or not.
+HEARTBEAT_TIMEOUT_US = 3_000_000
 RECHECK_DELAY_US = 20_000  # for a loop that was held up to read what has come
 
 
--- a/gradefront/net/health_checks.py
+++ b/gradefront/net/health_checks.py
@@ -116,7 +116,7 @@
             took_us, self.pending_since_us = core.clock() - self.pending_since_us, 0
             if self.timeout:
                 self.timeout.cancel()
-            core.on_load_report(self.backend, result, took_us, report)
+            core.on_health_check_result(self.backend, result, took_us, report)
 
     def drop(self) -> None:
         """Close the connection."""
@@ -153,7 +153,7 @@
         connect_check.connector = self.reactor.connectTCP(*address, connect_check, timeout=None)
 
     def check(self, backend: str) -> None:
-        """Check a backend's load; the outcome goes to `core.on_load_report`."""
+        """Check a backend's load; the outcome goes to `core.on_health_check_result`."""
         address = self.address(backend)
         connection = self.connections.get(backend)
         if connection and connection.address != address:
@@ -161,7 +161,7 @@
             connection.drop()
             connection = None
         if address is None:
-            self.core.on_load_report(backend, AttemptResult.CONNECT_FAILED, 0, None)
+            self.core.on_health_check_result(backend, AttemptResult.CONNECT_FAILED, 0, None)
             return
         if connection is None:
             connection = self.connections[backend] = HealthCheckConnection(self, backend, address)
--- a/gradefront/net/reactor.py
+++ b/gradefront/net/reactor.py
@@ -15,13 +15,6 @@
 STEP_US = 500_000  # a wall clock that moved so far against the monotonic one was stepped; slewing is slower
 
 
-class DelayedCall(Protocol):
-    """A call that is due later."""
-
-    def cancel(self) -> None:
-        """Cancel it."""
-
-
 class Reactor(Protocol):
     """Twisted's reactor, as far as it is used here."""
 
--- a/gradefront/shutdown.py
+++ b/gradefront/shutdown.py
@@ -59,7 +59,7 @@
         if call:
             log.info("connections go to the process that takes over")
             HandoverSender(self.core, self.front, call).step()
-        self.core.lifecycle.leave(self._close_connections, replaced=call is None)
+        self.core.lifecycle.leave(self._close_connections, at_once=call is None)
         self._stop_when_empty()
 
     def _stop_when_empty(self) -> None:
--- a/gradefront/state/handover_receiver.py
+++ b/gradefront/state/handover_receiver.py
@@ -38,7 +38,7 @@
     def connectionMade(self) -> None:
         """Count the connection; it has no deadline for a request."""
         self.arrived_us = self.front.core.clock()
-        self.timeout = self.front.core.after(0, lambda: None)
+        self.timeout = self.front.core.after(0, lambda: None)  # nothing to time: `_close` cancels a timer in any case
         self.front.open_connections += 1
 
 
--- a/gradefront/state/handover_sender.py
+++ b/gradefront/state/handover_sender.py
@@ -9,7 +9,7 @@
 import logging
 import socket
 
-from gradefront.core.adopted import given_away
+from gradefront.core.adopted import give_away
 from gradefront.core.connection import Connection, ConnectionState
 from gradefront.core.relay import RelayCore
 from gradefront.net.backend_connection import LineBackendConnection
@@ -75,7 +75,7 @@
         release(backend_transport)
         self.front.open_connections -= 1
         client.closing, upstream.gone = True, True
-        given_away(self.core, connection)
+        give_away(self.core, connection)
         return True
 
     def _snapshot(self, connection: Connection, from_client: bytes, from_backend: bytes) -> ConnectionSnapshot:
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -223,7 +223,7 @@
 
     assert connection.attempt and connection.attempt.upstream
     connection.attempt.upstream.close = breaks  # type: ignore[method-assign]
-    loop.core.reject_unestablished(connection)
+    loop.core.fail_unestablished(connection)
     loop.until(lambda: client.read() and client.ended)
     assert client.got == b"ERR\r\n"
 
--- a/tests/test_send_slots.py
+++ b/tests/test_send_slots.py
@@ -32,14 +32,14 @@
     SlotSchedule,
     position=st.none(),
     nodes=st.integers(1, 200),
-    span_us=st.integers(50_000, 8_000_000),
+    window_us=st.integers(50_000, 8_000_000),
     late_us=st.integers(0, 1_500_000),
 )
 
 
 def placed(schedule: SlotSchedule, position: int, processes: int = 1) -> SlotSchedule:
     """The same for the node at a position."""
-    return SlotSchedule(position, schedule.nodes, schedule.span_us, schedule.late_us, processes)
+    return SlotSchedule(position, schedule.nodes, schedule.window_us, schedule.late_us, processes)
 
 
 def all_slots(schedule: SlotSchedule, mean: float, processes: int = 1) -> list[tuple[SendSlot, int]]:
@@ -63,7 +63,7 @@
 ) -> None:
     """Each slot is used at its worst moment, and the request arrives as late as it may."""
     starts = [slot.start_us for slot, _ in all_slots(schedule, mean, processes)]
-    reach_us = schedule.span_us + schedule.open_us + schedule.late_us
+    reach_us = schedule.window_us + schedule.open_us + schedule.late_us
     for number, start in enumerate(starts):
         assert number - bisect_left(starts, start - reach_us + 2) + 1 <= allowed(mean)
 
