--- a/tests/test_quic_model.py
+++ b/tests/test_quic_model.py
@@ -82,7 +82,7 @@
         super().__init__()
         self.now = 1_000_000_000
         self.backends = [port() for _ in range(2)]
-        told = {
+        document = {
             "listen": {"visit-checkin": "127.0.0.1:0"},
             "config_id": 0,
             "server_id_length": 2,
@@ -103,7 +103,7 @@
         self.core = RelayCore(Balancer(SETTINGS, 1), SETTINGS, lambda: self.now, lambda: None)
         self.list(BackendState.READY, BackendState.READY)
         reactor: Any = Reactor()
-        self.front = QuicFront(CONFIG, quic_config.parse(told, CONFIG), self.core, reactor)
+        self.front = QuicFront(CONFIG, quic_config.parse(document, CONFIG), self.core, reactor)
         self.hub = reactor.hub
         self.clients = [port() for _ in range(4)]
         self.known: list[bytes] = [FORM.make(b"\0\0")]  # ids that clients have seen
