--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -128,7 +128,7 @@
     warm_up_us: int = 0
     overload_multiple: float = 3.0  # of its present capacity, sent in the window, overloads a warming backend
     overload_window_us: int = 1_000_000
-    keeps_send_by: bool = True  # the host writes no request after the `send_by_us` of its attempt
+    enforces_send_by: bool = True  # the host writes no request after the `send_by_us` of its attempt
 
     def __post_init__(self) -> None:
         """Raise InvalidSettingError for values that make no sense."""
--- a/balancer/simulator_host.py
+++ b/balancer/simulator_host.py
@@ -22,7 +22,7 @@
         if not isinstance(seed, int):
             raise simulator_wire.WireError("Up: field 'initSeed' is missing")
         settings, self.names = simulator_wire.settings(info)
-        self.balancer = Balancer(replace(settings, keeps_send_by=False), seed)
+        self.balancer = Balancer(replace(settings, enforces_send_by=False), seed)
 
 
 def serve(source: IO[bytes], sink: IO[bytes]) -> None:
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -52,7 +52,7 @@
         """Settings have changed. What was sent under others counts as all that it might be."""
         s = self._context.settings
         # Where the host does not look again as it writes, a connection may come up after its slot has ended.
-        late_us = MAX_HOLD_UP_US + (0 if s.keeps_send_by else s.connect_timeout_us)
+        late_us = MAX_HOLD_UP_US + (0 if s.enforces_send_by else s.connect_timeout_us)
         schedule = SlotSchedule(s.position, s.fleet_size, s.overload_window_us, late_us, s.processes)
         self._slot_table = SendSlotTable(schedule, self._context.random, self._context.now_us)
 
--- a/tests/slow_start_traffic.py
+++ b/tests/slow_start_traffic.py
@@ -32,7 +32,7 @@
 from lab.slow_start_oracle import SHORT_CONNECTION_S, Arrival, Fall, WarmUp
 from lab.soak import CROWD_PROBABILITY, SIGNALS_PROBABILITY, scene_of
 
-from .test_failures import PROBED
+from .test_failures import HEALTH_CHECK_SETTINGS
 
 START_S = 100.0  # of virtual time: backends that started long ago did so before
 CONNECT_TIMEOUT_S = 0.15
@@ -137,7 +137,7 @@
         rules = self.scene.rules
         settings = Settings(
             **{
-                **PROBED,
+                **HEALTH_CHECK_SETTINGS,
                 "classes": (CLASS,),
                 "fleet_size": self.scene.relays,
                 "position": position,
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -28,7 +28,7 @@
 from balancer.settings import LoadReportSource, RequestClass, Settings, WeightKind
 
 CLASS = RequestClass(latency_objective_us=500_000, deadline_us=2_000_000, message_latency_objective_us=100_000)
-PROBED: dict[str, Any] = {
+HEALTH_CHECK_SETTINGS: dict[str, Any] = {
     "classes": (CLASS,),
     "may_check_health": True,
     "load_report_source": LoadReportSource.HEALTH_CHECKS,
@@ -42,18 +42,18 @@
     return b
 
 
-def stand(b: Balancer, request: int, backend: str, now: int = 0) -> None:
+def adopt(b: Balancer, request: int, backend: str, now: int = 0) -> None:
     b.handle(now, ConnectionAdopted(Request(request, 1), backend))
 
 
-def of(actions: list[Action], kind: type) -> list[Any]:
+def of_type(actions: list[Action], kind: type) -> list[Any]:
     return [a for a in actions if isinstance(a, kind)]
 
 
 def place(b: Balancer, now: int, request: int, load: dict[str, float], **more: Any) -> list[Action]:
     """Ask for a placement and answer its health checks with `load`."""
     actions = b.handle(now, Request(request, 2_000_000, **more))
-    for probe in of(actions, CheckHealth):
+    for probe in of_type(actions, CheckHealth):
         actions = actions + b.handle(
             now, HealthCheckResult(probe.backend, AttemptResult.OK, load_report=LoadReport(load[probe.backend]))
         )
@@ -62,7 +62,9 @@
 
 def test_split_prefers_spare_capacity_but_is_no_argmin() -> None:
     chosen = [
-        of(place(node(2, seed, **PROBED), 1_000, 1, {"s0": 0.2, "s1": 0.4}), StartAttempt)[0].backend
+        of_type(place(node(2, seed, **HEALTH_CHECK_SETTINGS), 1_000, 1, {"s0": 0.2, "s1": 0.4}), StartAttempt)[
+            0
+        ].backend
         for seed in range(200)
     ]
     assert chosen.count("s0") > 130
@@ -71,19 +73,19 @@
 
 def test_full_servers_get_nothing() -> None:
     """Guards against running a full fleet into the ground (incident iac0151)."""
-    actions = place(node(2, 1, **PROBED), 1_000, 1, {"s0": 0.9, "s1": 1.2})
-    assert not of(actions, StartAttempt)
-    assert of(actions, SetTimer)
+    actions = place(node(2, 1, **HEALTH_CHECK_SETTINGS), 1_000, 1, {"s0": 0.9, "s1": 1.2})
+    assert not of_type(actions, StartAttempt)
+    assert of_type(actions, SetTimer)
 
 
 def test_waiting_clients_do_not_herd_into_the_last_capacity() -> None:
     """Guards against many nodes filling one place within the lag of reports (incident i254692)."""
-    b = node(2, 1, fleet_size=50, **PROBED)
+    b = node(2, 1, fleet_size=50, **HEALTH_CHECK_SETTINGS)
     for n in range(40):
-        stand(b, 1_000 + n, f"s{n % 2}")
+        adopt(b, 1_000 + n, f"s{n % 2}")
     starts = 0
     for n in range(60):
-        starts += len(of(place(b, 1_000 * n + 1_000, n, {"s0": 0.75, "s1": 0.9}), StartAttempt))
+        starts += len(of_type(place(b, 1_000 * n + 1_000, n, {"s0": 0.75, "s1": 0.9}), StartAttempt))
     assert starts < 12
 
 
@@ -91,14 +93,14 @@
     """Guards against a guard that counts the lost servers among those which share what all nodes send."""
     starts = 0
     for seed in range(40):
-        b = node(8, seed, fleet_size=40, **PROBED)
+        b = node(8, seed, fleet_size=40, **HEALTH_CHECK_SETTINGS)
         for n in range(10):  # 50 a server, over all nodes
-            stand(b, 1_000 + n, f"s{n % 8}")
+            adopt(b, 1_000 + n, f"s{n % 8}")
         for n in range(4):
             b.handle(1_000, HealthCheckResult(f"s{n}", AttemptResult.CONNECT_FAILED))
         for n in range(5):  # half of what stood comes back
             starts += len(
-                of(place(b, 2_000 + n, n, {f"s{m}": 0.1 if m < 4 else 0.7 for m in range(8)}), StartAttempt)
+                of_type(place(b, 2_000 + n, n, {f"s{m}": 0.1 if m < 4 else 0.7 for m in range(8)}), StartAttempt)
             )
     assert starts < 100, "of 200 that come; four servers have room for 5 each"
 
@@ -107,48 +109,52 @@
     """Guards against drowning a store that all servers share (incident i7fcf25)."""
     b, sent = node(5), 0
     for n in range(100):
-        for start in of(b.handle(10_000 * n, Request(n, 2_000_000)), StartAttempt):
+        for start in of_type(b.handle(10_000 * n, Request(n, 2_000_000)), StartAttempt):
             sent += 1
             b.handle(10_000 * n, AttemptEnded(n, 0, start.backend, AttemptResult.ERROR))
     assert 1 <= sent < 25
 
 
 def test_late_messages_move_a_few_to_where_load_is_low() -> None:
-    b = node(2, 1, **PROBED)
+    b = node(2, 1, **HEALTH_CHECK_SETTINGS)
     for n in range(40):
-        stand(b, n, "s0")
-    probe = of(b.handle(1_000, MessageLatencyReport(0, "s0", 150_000)), CheckHealth)
+        adopt(b, n, "s0")
+    probe = of_type(b.handle(1_000, MessageLatencyReport(0, "s0", 150_000)), CheckHealth)
     assert [p.backend for p in probe] == ["s0"]
     actions = b.handle(2_000, HealthCheckResult("s0", AttemptResult.OK, load_report=LoadReport(1.4)))
-    assert of(actions, WriteLog)
+    assert of_type(actions, WriteLog)
     moved = []
-    for timer in of(actions, SetTimer):
-        moved += of(b.handle(2_000 + timer.delay_us, TimerFired(timer.timer_id)), Migrate)
+    for timer in of_type(actions, SetTimer):
+        moved += of_type(b.handle(2_000 + timer.delay_us, TimerFired(timer.timer_id)), Migrate)
     assert len(moved) in (20, 21)
     assert not b.handle(500_000, MessageLatencyReport(30, "s0", 150_000)), "held until reports catch up"
 
 
 def test_a_server_at_ease_keeps_its_connections() -> None:
-    b = node(2, 1, **PROBED)
-    stand(b, 1, "s0")
+    b = node(2, 1, **HEALTH_CHECK_SETTINGS)
+    adopt(b, 1, "s0")
     b.handle(1_000, MessageLatencyReport(1, "s0", 150_000))
-    assert not of(b.handle(2_000, HealthCheckResult("s0", AttemptResult.OK, load_report=LoadReport(0.5))), SetTimer)
+    assert not of_type(
+        b.handle(2_000, HealthCheckResult("s0", AttemptResult.OK, load_report=LoadReport(0.5))), SetTimer
+    )
 
 
 def test_no_probe_where_none_is_allowed() -> None:
     b = node(2)
     for n in range(5):
-        stand(b, n, "s0")
+        adopt(b, n, "s0")
     actions = b.handle(1, Request(9, 2_000_000))
-    actions += b.handle(2, AttemptEnded(9, 0, of(actions, StartAttempt)[0].backend, AttemptResult.CONNECT_FAILED))
-    for timer in of(actions, SetTimer):
+    actions += b.handle(
+        2, AttemptEnded(9, 0, of_type(actions, StartAttempt)[0].backend, AttemptResult.CONNECT_FAILED)
+    )
+    for timer in of_type(actions, SetTimer):
         actions += b.handle(2 + timer.delay_us, TimerFired(timer.timer_id))
-    assert not of(actions, CheckHealth)
+    assert not of_type(actions, CheckHealth)
 
 
 def test_retries_after_a_list_error_are_jittered_and_backed_off() -> None:
     b = node(1, 5, polls_endpoint_list=True)
-    waits = [of(b.handle(10_000_000 * n, EndpointListError()), SetTimer)[0].delay_us for n in range(8)]
+    waits = [of_type(b.handle(10_000_000 * n, EndpointListError()), SetTimer)[0].delay_us for n in range(8)]
     assert len(set(waits)) > 4
     assert max(waits) <= 10_000_000 / 4
     assert max(waits) > 500_000
@@ -156,17 +162,17 @@
 
 def test_log_lines_are_rate_limited() -> None:
     b = node(1, 5, polls_endpoint_list=True)
-    lines = [a for n in range(20) for a in of(b.handle(1_000_000 * n, EndpointListError()), WriteLog)]
+    lines = [a for n in range(20) for a in of_type(b.handle(1_000_000 * n, EndpointListError()), WriteLog)]
     assert len(lines) == 4
 
 
 def test_full_list_without_a_server_and_a_restart_under_the_same_name() -> None:
-    b = node(2, 1, **PROBED)
+    b = node(2, 1, **HEALTH_CHECK_SETTINGS)
     place(b, 1_000, 1, {"s0": 0.1, "s1": 0.1})
     b.handle(2_000, EndpointListUpdate((Endpoint("s1", started_us=2_000),)))
     actions = b.handle(3_000, Request(2, 2_000_000))
     # The only server left is asked for its load again, as its process is a new one.
-    assert len(of(actions, StartAttempt)) == 1 and of(actions, StartAttempt)[0].backend == "s1"
+    assert len(of_type(actions, StartAttempt)) == 1 and of_type(actions, StartAttempt)[0].backend == "s1"
 
 
 def test_unknown_requests_and_servers_are_ignored() -> None:
@@ -184,8 +190,8 @@
 
 def test_absurd_reports_count_as_none() -> None:
     for load in (-1.0, float("nan"), float("inf"), 1e9):
-        b = node(2, 1, **PROBED)
-        assert of(place(b, 1_000, 1, {"s0": load, "s1": load}), StartAttempt)
+        b = node(2, 1, **HEALTH_CHECK_SETTINGS)
+        assert of_type(place(b, 1_000, 1, {"s0": load, "s1": load}), StartAttempt)
 
 
 PROGRAM = """
@@ -222,11 +228,11 @@
 
 def test_a_server_that_errs_in_a_row_is_ejected_and_holds_nobody_else_back() -> None:
     """Guards against one backend that answers ERR at once, looks idle, draws all, and feeds the throttle."""
-    b = node(4, 1, **PROBED)
+    b = node(4, 1, **HEALTH_CHECK_SETTINGS)
     now, erring, errors, stood = 1_000, "s1", 0, 0
     for n in range(60):
         now += 150_000
-        starts = of(place(b, now, n, {"s0": 0.3, "s1": 0.1, "s2": 0.3, "s3": 0.3}), StartAttempt)
+        starts = of_type(place(b, now, n, {"s0": 0.3, "s1": 0.1, "s2": 0.3, "s3": 0.3}), StartAttempt)
         tried = [s.backend for s in starts]
         if tried == [erring]:
             errors += 1
@@ -242,7 +248,7 @@
     b = node(1, 1)
     for n in range(40):
         now = 1_000 + n * 20_000
-        (start,) = of(b.handle(now, Request(n, 2_000_000)), StartAttempt)
+        (start,) = of_type(b.handle(now, Request(n, 2_000_000)), StartAttempt)
         good = n % 2 == 0
         b.handle(
             now, ConnectionEstablished(n, 0, "s0") if good else AttemptEnded(n, 0, start.backend, AttemptResult.ERROR)
@@ -253,10 +259,10 @@
 def cross_and_same_zone(load: float, price: float) -> list[str]:
     chosen = []
     for seed in range(60):
-        b = Balancer(Settings(**{**PROBED, "cross_zone_cost": price, "zone": 1}), seed)
+        b = Balancer(Settings(**{**HEALTH_CHECK_SETTINGS, "cross_zone_cost": price, "zone": 1}), seed)
         b.load_estimate.mean_load = load
         b.handle(0, EndpointListUpdate(tuple(Endpoint(f"s{n}", zone=n % 2) for n in range(6))))
-        chosen += [a.backend for a in of(place(b, 1_000, 1, {f"s{n}": load for n in range(6)}), StartAttempt)]
+        chosen += [a.backend for a in of_type(place(b, 1_000, 1, {f"s{n}": load for n in range(6)}), StartAttempt)]
     return chosen
 
 
@@ -274,7 +280,10 @@
     """When, of twenty connections that stand in the other zone, those move that do in 30 s, in ms; the server near
     reports `near`."""
     b = Balancer(
-        Settings(**{**PROBED, "cross_zone_cost": price, "warm_up_us": 60_000_000, "initial_capacity": 0.2}), 1
+        Settings(
+            **{**HEALTH_CHECK_SETTINGS, "cross_zone_cost": price, "warm_up_us": 60_000_000, "initial_capacity": 0.2}
+        ),
+        1,
     )
     b.handle(
         0,
@@ -289,7 +298,7 @@
     timers = {
         t.timer_id: t.delay_us
         for n in range(20)
-        for t in of(b.handle(0, ConnectionAdopted(Request(n, 1, **request), "far")), SetTimer)
+        for t in of_type(b.handle(0, ConnectionAdopted(Request(n, 1, **request), "far")), SetTimer)
     }
     for _ in range(30):
         b.handle(0, HealthCheckResult("near", AttemptResult.OK, load_report=LoadReport(near)))
@@ -298,8 +307,8 @@
         timer = min(timers, key=lambda t: timers[t])
         now = timers.pop(timer)
         actions = b.handle(now, TimerFired(timer))
-        moved += [now // 1_000 for _ in of(actions, Migrate)]
-        timers.update({t.timer_id: now + t.delay_us for t in of(actions, SetTimer)})
+        moved += [now // 1_000 for _ in of_type(actions, Migrate)]
+        timers.update({t.timer_id: now + t.delay_us for t in of_type(actions, SetTimer)})
     return moved
 
 
@@ -315,20 +324,20 @@
 
 
 def test_servers_of_another_zone_are_taken_where_those_of_this_one_are_full() -> None:
-    b = Balancer(Settings(**{**PROBED, "cross_zone_cost": 0.1, "zone": 1}), 1)
+    b = Balancer(Settings(**{**HEALTH_CHECK_SETTINGS, "cross_zone_cost": 0.1, "zone": 1}), 1)
     b.handle(0, EndpointListUpdate((Endpoint("near", zone=1), Endpoint("far", zone=0))))
-    (start,) = of(place(b, 1_000, 1, {"near": 0.79, "far": 0.1}), StartAttempt)
+    (start,) = of_type(place(b, 1_000, 1, {"near": 0.79, "far": 0.1}), StartAttempt)
     assert start.backend == "far"
 
 
 def crowd(begin_us: int = 0, **settings: Any) -> int:
     """How many of a hundred that come within a second a node places that started `begin_us` ago and has none."""
-    b = Balancer(Settings(**{**PROBED, "fleet_size": 2, **settings}), 1)
+    b = Balancer(Settings(**{**HEALTH_CHECK_SETTINGS, "fleet_size": 2, **settings}), 1)
     b.handle(0, EndpointListUpdate(tuple(Endpoint(f"s{n}", weight=4.0) for n in range(5))))
     placed = 0
     for n in range(100):
         now = begin_us + 1_000 + n * 10_000
-        starts = of(place(b, now, n, {f"s{k}": 0.2 for k in range(5)}), StartAttempt)
+        starts = of_type(place(b, now, n, {f"s{k}": 0.2 for k in range(5)}), StartAttempt)
         placed += len(starts)
         if starts:
             b.handle(now, ConnectionEstablished(n, 0, starts[0].backend))
@@ -347,14 +356,14 @@
 
 def moved_at(report: float, mean: float, latency_reported: bool = False) -> int:
     """How many of twenty are moved off a server whose health check says `report`."""
-    b = node(2, 1, **PROBED)
+    b = node(2, 1, **HEALTH_CHECK_SETTINGS)
     b.load_estimate.mean_load = mean
     for n in range(20):
-        stand(b, n, "s0")
+        adopt(b, n, "s0")
     if latency_reported:
         b.handle(1_000, MessageLatencyReport(0, "s0", 1_000.0))
     actions = b.handle(2_000, HealthCheckResult("s0", AttemptResult.OK, load_report=LoadReport(report)))
-    return sum(len(of(b.handle(1_100_000, TimerFired(t.timer_id)), Migrate)) for t in of(actions, SetTimer))
+    return sum(len(of_type(b.handle(1_100_000, TimerFired(t.timer_id)), Migrate)) for t in of_type(actions, SetTimer))
 
 
 def test_a_report_near_full_moves_some_where_messages_show_nothing_and_others_have_capacity() -> None:
@@ -367,14 +376,14 @@
     """Guards against a crowd sent away by a restart that counts itself anew with each wait."""
 
     def placed(back: bool) -> int:
-        b, starts = node(2, 1, fleet_size=2, **PROBED), 0
+        b, starts = node(2, 1, fleet_size=2, **HEALTH_CHECK_SETTINGS), 0
         for n in range(60):
             probes = b.handle(1_000 * n, Request(n, 2_000_000, is_reconnect=back))
-            for probe in of(probes, CheckHealth):
+            for probe in of_type(probes, CheckHealth):
                 probes = probes + b.handle(
                     1_000 * n, HealthCheckResult(probe.backend, AttemptResult.OK, load_report=LoadReport(0.2))
                 )
-            for start in of(probes, StartAttempt):
+            for start in of_type(probes, StartAttempt):
                 starts += 1
                 b.handle(1_000 * n, AttemptEnded(n, 0, start.backend, AttemptResult.CANCELLED))
             for backend in b.endpoints.backends.values():
--- a/tests/test_load_estimate.py
+++ b/tests/test_load_estimate.py
@@ -18,7 +18,7 @@
 from balancer.recent_minimum import RecentMinimum
 from balancer.settings import Settings
 
-from .test_failures import PROBED, stand
+from .test_failures import HEALTH_CHECK_SETTINGS, adopt
 
 SECOND_US = 1_000_000
 GUESS = 5.0  # connections of this relay that fill a backend, where nothing is known
@@ -34,7 +34,7 @@
 
 def node_with_connections(first_us: int, connections: int) -> Balancer:
     """A relay with so many connections at its one backend, made within a second."""
-    b = Balancer(Settings(**PROBED), 1)
+    b = Balancer(Settings(**HEALTH_CHECK_SETTINGS), 1)
     b.handle(0, EndpointListUpdate((Endpoint("s0"),)))
     for n in range(connections):
         now_us = first_us + n * SECOND_US // connections
@@ -61,7 +61,7 @@
 
 def test_reports_of_a_relays_first_moments_leave_its_share_unknown() -> None:
     """Guards against a relay that has just started and takes itself for one with no part in the fleet's traffic."""
-    b = Balancer(Settings(**PROBED), 1)
+    b = Balancer(Settings(**HEALTH_CHECK_SETTINGS), 1)
     b.handle(10 * SECOND_US, EndpointListUpdate((Endpoint("s0"),)))
     report(b, 11 * SECOND_US, 0.5)
     assert full_connections(b, 11 * SECOND_US) == GUESS
@@ -69,10 +69,10 @@
 
 def test_adopted_connections_are_in_the_reports_already() -> None:
     """Guards against a relay that takes over from another and sends next to nothing to backends in slow start."""
-    b = Balancer(Settings(**PROBED), 1)
+    b = Balancer(Settings(**HEALTH_CHECK_SETTINGS), 1)
     b.handle(0, EndpointListUpdate((Endpoint("s0"),)))
     for n in range(40):
-        stand(b, n, "s0", 10 * SECOND_US)
+        adopt(b, n, "s0", 10 * SECOND_US)
     report(b, 10 * SECOND_US, 0.5)
     assert 50 < full_connections(b, 10 * SECOND_US) <= 80
 
--- a/tests/test_send_slot_end.py
+++ b/tests/test_send_slot_end.py
@@ -15,7 +15,7 @@
 
 from .helper import Bench
 from .loop import Backend, Loop, hold_connects
-from .test_failures import CLASS, PROBED, of, place
+from .test_failures import CLASS, HEALTH_CHECK_SETTINGS, of_type, place
 
 SLOT_US = 100_000
 ALLOWANCE = SlowStartAllowance(7_800_000, 0.45, 50.0, 2.0, 4.5, 3.5, 1_000_000, False)
@@ -50,27 +50,27 @@
     """Guards against an ejection, and against a final answer while other backends are there."""
     b = Balancer(Settings(classes=(CLASS,)), 1)
     b.handle(0, EndpointListUpdate((Endpoint("s0"), Endpoint("s1"))))
-    (start,) = of(b.handle(1_000, Request(7, 2_000_000)), StartAttempt)
+    (start,) = of_type(b.handle(1_000, Request(7, 2_000_000)), StartAttempt)
     actions = b.handle(2_000, AttemptEnded(7, 0, start.backend, AttemptResult.SLOT_ENDED))
     assert not b.endpoints.backends[start.backend].ejected_until_us
-    (timer,) = of(actions, SetTimer)
-    (again,) = of(b.handle(2_000 + timer.delay_us, TimerFired(timer.timer_id)), StartAttempt)
+    (timer,) = of_type(actions, SetTimer)
+    (again,) = of_type(b.handle(2_000 + timer.delay_us, TimerFired(timer.timer_id)), StartAttempt)
     assert again.backend != start.backend
 
 
-@pytest.mark.parametrize("keeps_send_by", [True, False])
-def test_a_send_to_a_backend_in_slow_start_names_the_end_of_its_slot(keeps_send_by: bool) -> None:
+@pytest.mark.parametrize("enforces_send_by", [True, False])
+def test_a_send_to_a_backend_in_slow_start_names_the_end_of_its_slot(enforces_send_by: bool) -> None:
     """Guards against slots that count a late connection where the host refuses it, or the reverse."""
-    rules = {"initial_capacity": 0.12, "warm_up_us": 20_000_000, "position": 0, "keeps_send_by": keeps_send_by}
-    b = Balancer(Settings(**{**PROBED, **rules}), 1)
+    rules = {"initial_capacity": 0.12, "warm_up_us": 20_000_000, "position": 0, "enforces_send_by": enforces_send_by}
+    b = Balancer(Settings(**{**HEALTH_CHECK_SETTINGS, **rules}), 1)
     b.handle(0, EndpointListUpdate((Endpoint("warm"), Endpoint("cold", started_us=1))))
     now, loads = 10_000_000, {"warm": 0.95, "cold": 0.0}
-    starts = [start for n in range(1, 21) for start in of(place(b, now, n, loads), StartAttempt)]
+    starts = [start for n in range(1, 21) for start in of_type(place(b, now, n, loads), StartAttempt)]
     ends = [start.send_by_us for start in starts if start.backend == "cold"]
     assert ends and all(end and now < end <= now + b.context.settings.overload_window_us for end in ends)
     assert b.slow_start._slot_table
     late_us = b.slow_start._slot_table.schedule.late_us
-    assert late_us == (150_000 if keeps_send_by else 400_000)
+    assert late_us == (150_000 if enforces_send_by else 400_000)
 
 
 @pytest.mark.parametrize("late_us", [0, 520_000])
--- a/tests/test_send_slots.py
+++ b/tests/test_send_slots.py
@@ -25,7 +25,7 @@
 from balancer.settings import Settings
 from lab.slow_start_oracle import allowed
 
-from .test_failures import PROBED, of, place
+from .test_failures import HEALTH_CHECK_SETTINGS, of_type, place
 
 PERIODS = 4
 SCHEDULES = st.builds(
@@ -86,7 +86,12 @@
 
 def balancer(started_us: int = 0, **more: object) -> Balancer:
     """A node alone in its fleet, before one warm server that is full and one that is in slow start."""
-    b = Balancer(Settings(**{**PROBED, "initial_capacity": 0.12, "warm_up_us": 20_000_000, "position": 0, **more}), 1)
+    b = Balancer(
+        Settings(
+            **{**HEALTH_CHECK_SETTINGS, "initial_capacity": 0.12, "warm_up_us": 20_000_000, "position": 0, **more}
+        ),
+        1,
+    )
     b.handle(0, EndpointListUpdate(backends(started_us)))
     return b
 
@@ -98,7 +103,7 @@
 def sent(b: Balancer, now: int, first: int, many: int = 20) -> list[int]:
     """Of so many requests that come at once, those that are sent to the warming server."""
     loads = {"warm": 0.95, "cold": 0.0}
-    starts = [start for n in range(many) for start in of(place(b, now, first + n, loads), StartAttempt)]
+    starts = [start for n in range(many) for start in of_type(place(b, now, first + n, loads), StartAttempt)]
     return [start.request_id for start in starts if start.backend == "cold"]
 
 
@@ -135,7 +140,9 @@
 
 def test_a_process_that_starts_has_used_its_slots() -> None:
     """Guards against a crash: nobody knows what the process before sent a moment ago."""
-    b = Balancer(Settings(**{**PROBED, "initial_capacity": 0.12, "warm_up_us": 20_000_000, "position": 0}), 1)
+    b = Balancer(
+        Settings(**{**HEALTH_CHECK_SETTINGS, "initial_capacity": 0.12, "warm_up_us": 20_000_000, "position": 0}), 1
+    )
     b.handle(10_000_000, EndpointListUpdate(backends(1)))
     assert not sent(b, 10_000_000, 1) and not sent(b, 11_000_000, 100)
     assert sent(b, 13_000_000, 200)
@@ -157,16 +164,16 @@
     timers = [
         (now + wait.delay_us, wait.timer_id)
         for n in range(30)
-        for wait in of(place(b, now, n + 1, {"warm": 0.95, "cold": 0.0}), SetTimer)
+        for wait in of_type(place(b, now, n + 1, {"warm": 0.95, "cold": 0.0}), SetTimer)
     ]
     while timers and min(timers)[0] < end:
         at, timer = min(timers)
         timers.remove((at, timer))
         actions = b.handle(at, TimerFired(timer))
-        for probe in of(actions, CheckHealth):
+        for probe in of_type(actions, CheckHealth):
             report = LoadReport({"warm": 0.95, "cold": 0.0}[probe.backend])
             actions = actions + b.handle(at, HealthCheckResult(probe.backend, AttemptResult.OK, load_report=report))
-        timers += [(at + wait.delay_us, wait.timer_id) for wait in of(actions, SetTimer)]
+        timers += [(at + wait.delay_us, wait.timer_id) for wait in of_type(actions, SetTimer)]
     assert all(slot.used for slot in slots)
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -22,7 +22,7 @@
 )
 from balancer.settings import Settings, WeightKind
 
-from .test_failures import PROBED, of, place, stand
+from .test_failures import HEALTH_CHECK_SETTINGS, adopt, of_type, place
 
 BEGIN_US = (
     5_000_000  # a node that has just started sends nothing to backends in slow start for a moment; these have not
@@ -37,7 +37,7 @@
         Balancer(
             Settings(
                 **{
-                    **PROBED,
+                    **HEALTH_CHECK_SETTINGS,
                     "fleet_size": 40,
                     "position": n % 40,
                     "processes": processes,
@@ -54,7 +54,7 @@
     for number, node in enumerate(nodes):  # 5 each in the mean: half of what the backends take
         node.handle(1, EndpointListUpdate(backends))
         for n in range(number % 5 * 5 // 2):
-            stand(node, -n, f"s{n % 7}", 1)
+            adopt(node, -n, f"s{n % 7}", 1)
             node.handle(1, ConnectionLoadReport(-n, f"s{n % 7}", mean * random.lognormvariate(-0.72, 1.2)))
         node.handle(
             BEGIN_US, EndpointListUpdate((Endpoint("cold", weight=4.0, started_us=BEGIN_US),), is_complete=False)
@@ -66,7 +66,7 @@
             for request in (step * 10_000 + n * 10 + k + 1 for k in range(n % 10 // 3 + (step % 5 == 0))):
                 # Reports are late by 1.5 s, so that only the budget guards.
                 loaded = {f"s{k}": 0.7 for k in range(7)} | {"cold": loads[-15] if step > 15 else 0.0}
-                for start in of(place(node, now, request, loaded), StartAttempt):
+                for start in of_type(place(node, now, request, loaded), StartAttempt):
                     node.handle(now, ConnectionEstablished(start.request_id, 0, start.backend, 1))
                     if start.backend == "cold":
                         work = standing[start.request_id] = mean * random.lognormvariate(-0.72, 1.2)
@@ -105,7 +105,7 @@
         random, numbers = Random(seed), count(1)
         settings = Settings(
             **{
-                **PROBED,
+                **HEALTH_CHECK_SETTINGS,
                 "fleet_size": fleet,
                 "initial_capacity": 0.12,
                 "warm_up_us": warm_up_us,
@@ -118,13 +118,13 @@
             node.handle(1, EndpointListUpdate(backends))
         for n in range(9 * full // 2):  # half of what the servers take, dealt at random
             node, request = nodes[random.randrange(fleet)], next(numbers)
-            stand(node, request, f"s{n % 9}", 2)
+            adopt(node, request, f"s{n % 9}", 2)
             node.handle(2, ConnectionLoadReport(request, f"s{n % 9}", light * mean))
         sends = Counter[str]()
         loads = {f"s{n}": 0.1 if n < 3 else 0.6 for n in range(9)}
         for n in range(crowd):
             node, at = nodes[n % fleet], 5_000_000 + n * 1_000_000 // crowd
-            for start in of(place(node, at, next(numbers), loads, is_reconnect=True), StartAttempt):
+            for start in of_type(place(node, at, next(numbers), loads, is_reconnect=True), StartAttempt):
                 sends[start.backend] += 1
                 node.handle(at, ConnectionEstablished(start.request_id, 0, start.backend, 1))
         worst = max(worst, *(sends[f"s{n}"] for n in range(3)))
@@ -136,14 +136,14 @@
     start, warm, warming, waiting = 10_000_000, {"s0", "s1", "s2", "s3"}, set[str](), 0
     for position in range(200):
         settings = {"fleet_size": 200, "position": position, "initial_capacity": 0.2, "warm_up_us": 20_000_000}
-        b = Balancer(Settings(**{**PROBED, **settings}), position)
+        b = Balancer(Settings(**{**HEALTH_CHECK_SETTINGS, **settings}), position)
         backends = tuple(Endpoint(f"s{n}", started_us=start * (n >= 4)) for n in range(16))
         b.handle(start - 5_000_000, EndpointListUpdate(backends))
         for backend in b.endpoints.backends.values():
             backend.rounding = 0.999
         b.context.now_us = start
         with_open_slot = {slot.backend for slot in b.slow_start.unused_slots() if slot.is_open(start)}
-        probed = {p.backend for p in of(b.handle(start, Request(1, 2_000_000)), CheckHealth)}
+        probed = {p.backend for p in of_type(b.handle(start, Request(1, 2_000_000)), CheckHealth)}
         assert probed <= warm | with_open_slot, "only who may be sent something"
         warming |= probed - warm
         waiting += not with_open_slot
--- a/tests/test_slow_start_model.py
+++ b/tests/test_slow_start_model.py
@@ -30,7 +30,7 @@
 from balancer.settings import Settings, WeightKind
 from lab.slow_start_oracle import Arrival, SlowStartRules, WarmUp
 
-from .test_failures import PROBED, stand
+from .test_failures import HEALTH_CHECK_SETTINGS, adopt
 
 STEP_US = 20_000
 BEGIN_US = 10_000_000  # the burst begins
@@ -95,7 +95,7 @@
         drawn, rules = self.drawn, self.drawn.rules
         settings = Settings(
             **{
-                **PROBED,
+                **HEALTH_CHECK_SETTINGS,
                 "fleet_size": drawn.nodes,
                 "position": position,
                 "initial_capacity": rules.start_capacity,
@@ -118,7 +118,7 @@
         self.now = BEGIN_US - 2_000_000
         for n in range(int(WARM * self.drawn.full_connections / 2)):
             node, request = self.random.choice(self.nodes), next(self.numbers)
-            stand(node, request, f"s{n % WARM}", self.now)
+            adopt(node, request, f"s{n % WARM}", self.now)
             node.handle(self.now, ConnectionLoadReport(request, f"s{n % WARM}", self.drawn.work * 80_000))
         for node in self.nodes:
             for n in range(WARM):
