--- a/balancer/actions.py
+++ b/balancer/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the balancer asks its host to do, and the reasons that it gives for the log and the counters.
+"""Actions that the balancer returns to its host, with reasons for the log and the counters.
 
 Times are whole microseconds.
 """
@@ -11,24 +11,27 @@
 
 @dataclass(slots=True, frozen=True)
 class SlowStartAllowance:
-    """What a send to a backend in slow start rested on. Loads are in mean connections."""
+    """The figures by which a send to a backend in slow start was allowed, for the log.
+
+    Connections are counted in mean connections.
+    """
 
     age_us: int  # since the backend's start
-    capacity: float  # the part of its capacity that it has for certain
-    full_connections: float  # connections that fill it once it is warm, as estimated
-    held_connections: float  # of this node: connections there and attempts out
-    allowed_connections: float  # this node's part of what it may hold
-    mean_sends: float  # what all nodes may send it by the multiple of what it can do
+    capacity: float  # part of its full capacity that the backend has at least
+    connection_capacity: float  # estimated connections that fill the backend once it is warm
+    held_connections: float  # this node's established connections and attempts in flight there
+    allowed_connections: float  # this node's share of the connections that the backend may hold
+    mean_sends: float  # requests that all nodes together may send it in an overload window
     started_us: int
-    is_new_node: bool  # this node has seen too little to bound the estimate by its own count
-    slot_mean_sends: float = 0.0  # as `mean_sends`, at the time when the send's slot was assigned
-    warm_connections: float = 0.0  # of this node at warm backends, summed over their recent reports
-    warm_load: float = 0.0  # reported by these backends, summed in the same way
+    is_new_node: bool  # this node has too few connections to bound the estimate by their count
+    slot_mean_sends: float = 0.0  # `mean_sends` at the time when the slot was assigned
+    warm_connections: float = 0.0  # this node's at warm backends, as a decaying sum over their load reports
+    warm_load: float = 0.0  # loads in these reports, as a decaying sum
 
     def __str__(self) -> str:
         return (
             f"started at {self.started_us / 1e6:.2f}, {self.age_us / 1e6:.2f} s old"
-            f", capacity {self.capacity:.2f}, filled by {self.full_connections:.1f}"
+            f", capacity {self.capacity:.2f}, filled by {self.connection_capacity:.1f}"
             f", held {self.held_connections:.1f} of {self.allowed_connections:.2f}"
             f", mean sends {self.mean_sends:.2f}"
             f"{', new node' if self.is_new_node else ''}"
@@ -38,7 +41,7 @@
 
 
 class NotSentReason(Enum):
-    """Why a request was not sent, or not sent again."""
+    """The reason why a request was not sent, or not retried."""
 
     THROTTLED = "placements were held back"
     NO_CANDIDATE = "no server could be used"
@@ -50,10 +53,10 @@
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Send the request to a backend: its next attempt, given up after `timeout_us`.
+    """Attempt to send the request to a backend; the attempt times out after `timeout_us`.
 
-    `send_by_us`: the clock time from which the request may not be written any more, as its send slot has
-    ended; None where it needs no slot.
+    `send_by_us` is the clock time from which the request must not be written any more, as its send slot has
+    ended; None if no slot is needed.
     """
 
     request_id: int
@@ -61,13 +64,13 @@
     timeout_us: int
     slow_start: SlowStartAllowance | None = field(
         default=None, compare=False, repr=False
-    )  # for the log, where it is in slow start
+    )  # for the log; None where the backend is not in slow start
     send_by_us: int | None = field(default=None, repr=False)
 
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: not now, and the client may retry without harm."""
+    """Reject the request, as its final answer; the client may safely retry."""
 
     request_id: int
     retry_after_us: int = 0
@@ -76,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer that promises nothing."""
+    """Fail the request, as its final answer. It may have been executed; a retry may not be safe."""
 
     request_id: int
     reason: NotSentReason | None = field(default=None, compare=False, repr=False)
@@ -84,21 +87,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Migrate:
-    """Ask an established connection to move: its client ends it politely and reconnects."""
+    """Ask the client of an established connection to close it gracefully and to reconnect."""
 
     request_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class CheckHealth:
-    """Check a backend's health and ask for its load."""
+    """Check a backend's health and request a load report."""
 
     backend: str
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a `TimerFired` after `delay_us`."""
+    """Start a timer that causes a `TimerFired` event after `delay_us`."""
 
     timer_id: int
     delay_us: int
@@ -111,7 +114,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WriteLog:
-    """A line for the operator."""
+    """Write a log line."""
 
     text: str = field(default="")
 
--- a/balancer/admission.py
+++ b/balancer/admission.py
@@ -1,54 +1,56 @@
-"""Admission: the throttle on attempts while many fail, and the guard against herding."""
+"""Admission control: throttling of attempts while many fail, and protection of backends against herding."""
 
 from __future__ import annotations
 
 from .connections import PendingRequest
 from .context import Context
-from .decaying import Decaying
+from .decaying import DecayingSum
 from .endpoints import REPORT_DELAY_US, Backend, EndpointTable
 from .load_estimate import FULL_LOAD, LoadEstimate
 from .settings import LoadReportSource
 from .slow_start import SlowStart
 
-MEMORY_US = 1_500_000  # of the counts of attempts
-ATTEMPTS_PER_SUCCESS = 2.0  # wanted attempts for each success before some are held back
-NO_CAPACITY_WEIGHT = 0.2  # of a failure: health checks of a full fleet for every waiting client are vain
-RECONNECT_WEIGHT = 0.25  # of a new connection's load in the guard, on a new node
+ATTEMPT_MEMORY_US = 1_500_000  # decay time (to 1/e) of the counts of attempts
+ATTEMPTS_PER_SUCCESS = 2.0  # above this ratio of wanted attempts to successes, some attempts are throttled
+# Failures that one placement without capacity counts as. While all backends are full, health checks on behalf
+# of every waiting client are useless.
+NO_CAPACITY_WEIGHT = 0.2
+RECONNECT_WEIGHT = 0.25  # demand that one reconnecting client counts as in `HerdingGuard` on a new node
 
 
 class AdmissionThrottle:
-    """Holds attempts back at random, the more of them fail.
+    """Holds back attempts at random, with a probability that grows with the share of failures.
 
-    Guards against drowning what all backends depend on. `failures` counts, with decay, attempts held back or
-    ended by what is not the request's own doing.
+    Protects the services that all backends depend on from overload. `failures` is a decaying count of the
+    attempts that were throttled or that failed for a reason other than the request itself.
     """
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self.established = Decaying(MEMORY_US)
-        self.failures = Decaying(MEMORY_US)
+        self.established = DecayingSum(ATTEMPT_MEMORY_US)
+        self.failures = DecayingSum(ATTEMPT_MEMORY_US)
 
-    def should_hold(self, now_us: int) -> bool:
-        """Whether an attempt that is wanted now should be held back."""
+    def should_throttle(self, now_us: int) -> bool:
+        """Return whether an attempt that is about to start should be throttled."""
         established, failures = self.established.add(now_us, 0), self.failures.add(now_us, 0)
         wanted = established + failures
         return self._context.random.random() < (wanted - ATTEMPTS_PER_SUCCESS * established) / (wanted + 1)
 
     def on_established(self) -> None:
-        """A connection has been established."""
+        """Count an established connection."""
         self.established.add(self._context.now_us, 1)
 
     def on_failure(self) -> None:
-        """An attempt has been held back, or has failed."""
+        """Count an attempt that was throttled or has failed."""
         self.failures.add(self._context.now_us, 1)
 
     def on_no_capacity(self) -> None:
-        """Candidates were looked at, and none had capacity."""
+        """Count a placement that had candidates, none of which had capacity."""
         self.failures.add(self._context.now_us, NO_CAPACITY_WEIGHT)
 
 
 class HerdingGuard:
-    """Keeps all nodes together from filling a backend before its reports show what they sent."""
+    """Prevents the nodes from overfilling a backend together before its load reports show their requests."""
 
     def __init__(
         self, context: Context, endpoints: EndpointTable, load_estimate: LoadEstimate, slow_start: SlowStart
@@ -57,35 +59,40 @@
         self._endpoints = endpoints
         self._load_estimate = load_estimate
         self._slow_start = slow_start
-        self._demand = Decaying(MEMORY_US)  # placements considered
+        self._demand = DecayingSum(ATTEMPT_MEMORY_US)  # placements
 
-    def is_crowded(self, pending: PendingRequest, backend: Backend | None, eligible: int) -> bool:
-        """Count a placement, and tell whether it must not go to the backend chosen for it.
+    def should_block(self, pending: PendingRequest, backend: Backend | None, eligible: int) -> bool:
+        """Count a placement, and return whether it must not go to the backend chosen for it.
 
-        `eligible`: how many of its candidates could have been chosen. What all nodes may send before it shows
-        must fit into the backend's spare capacity; that is judged at random.
+        `eligible` is the number of candidates that could have been chosen. The decision is random: the more
+        of the backend's spare capacity all nodes may use up before its reports show it, the likelier a block.
         """
-        # What reconnects to a new node is load that the backends carried a moment ago, and a crowd that waits
-        # must not count itself again and again.
+        # Clients that reconnect to a new node are load that the backends carried a moment ago. While they
+        # wait for capacity, their repeated placements must not add to the demand.
         returning = self._context.is_new_node() and pending.request.is_reconnect
         demand = self._demand.add(self._context.now_us, not (returning and pending.failed_rounds))
         if backend is None:
             return False
-        if self._slow_start.capacity(backend) < 1:  # what all may send it is assigned in slots
-            unseen = self._slow_start.unseen_load(backend)
+        if self._slow_start.capacity(backend) < 1:  # in slow start: send slots bound the load from all nodes
+            unreported = self._slow_start.unreported_load(backend)
         else:
             weight = RECONNECT_WEIGHT if returning else 1.0
-            unseen = self._unseen_load(weight * demand, len(pending.candidates) / max(1, eligible))
+            unreported = self._unreported_load(weight * demand, len(pending.candidates) / max(1, eligible))
         spare = FULL_LOAD - self._load_estimate.load(backend)
-        return self._context.random.random() * unseen > spare
+        return self._context.random.random() * unreported > spare
 
-    def _unseen_load(self, demand: float, candidates_per_eligible: float) -> float:
-        """Load that all nodes may add to a mean backend before it shows in its reports."""
+    def _unreported_load(self, demand: float, candidates_per_eligible: float) -> float:
+        """Return the load that all nodes may add to a mean backend before its load reports show it."""
         estimate, listed = self._load_estimate, len(self._endpoints.backends)
-        unseen = (
-            demand * REPORT_DELAY_US / MEMORY_US * estimate.nodes_per_backend() / estimate.full_connections()
+        unreported = (
+            demand
+            * REPORT_DELAY_US
+            / ATTEMPT_MEMORY_US
+            * estimate.nodes_per_backend()
+            / estimate.connection_capacity()
         )
         available = listed - self._endpoints.count_unavailable(self._context.now_us)
-        unseen *= listed / max(1, available)  # these alone share what all nodes send
+        unreported *= listed / max(1, available)  # only available backends receive the requests of all nodes
         reported = self._context.settings.load_report_source is not LoadReportSource.NONE
-        return unseen * (candidates_per_eligible * reported)  # where few are eligible, all meet there
+        # Where few candidates are eligible, the requests of all nodes concentrate on them.
+        return unreported * (candidates_per_eligible * reported)
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -1,8 +1,10 @@
-"""The balancer: takes an event (events.py), hands it to the parts that it concerns, and returns what they
-want done (actions.py). Its one rule of its own is which ended attempts count as failures for the throttle.
+"""The balancer: dispatches each event (events.py) to its components and returns their actions (actions.py).
 
-Placements follow one mechanism: a random pick among sampled ready backends, weighted toward low load and
-flattened as reports age; failed placements wait a full-jitter exponential backoff and go elsewhere.
+It makes only one decision itself: which failed attempts the admission throttle counts as failures.
+
+All placements work the same way: a random pick among sampled ready backends, weighted toward low load, with
+weights that level out as load reports age. Failed placements are retried at other backends after a
+full-jitter exponential backoff.
 """
 
 from __future__ import annotations
@@ -47,9 +49,9 @@
 
 
 class Balancer:
-    """Decides for one node. Call `handle` with each event; carry out what it returns, in order.
+    """Makes the decisions of one node. Call `handle` with each event, and execute its actions in order.
 
-    `seed` determines all random draws: the same events at the same times lead to the same actions.
+    `seed` determines all random draws: the same events at the same times result in the same actions.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -60,7 +62,7 @@
         self.connections = ConnectionTable(context, self.endpoints)
         self.load_estimate = LoadEstimate(context, self.endpoints, self.connections)
         self.slow_start = SlowStart(context, self.endpoints, self.connections, self.load_estimate)
-        self.outliers = OutlierDetection(context)
+        self.outlier_detection = OutlierDetection(context)
         self.throttle = AdmissionThrottle(context)
         self.health_checks = HealthChecks(context)
         self.migration = self._build_migration()
@@ -81,17 +83,17 @@
         }
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take one event at the clock time `now_us` and return what to do.
+        """Handle one event at the clock time `now_us` and return the actions to execute.
 
         Raises IndexError for a request of a class that the settings don't have.
         """
-        self.context.begin(now_us)
-        self.slow_start.begin()
+        self.context.begin_event(now_us)
+        self.slow_start.ensure_started()
         self._handlers[type(event)](event)
         return self.context.actions
 
     def count_unavailable(self, now_us: int) -> int:
-        """How many listed backends get nothing new now, or only where no others are left."""
+        """Return the number of listed backends that are not ready or ejected."""
         return self.endpoints.count_unavailable(now_us)
 
     def _build_migration(self) -> Migration:
@@ -144,7 +146,7 @@
         backend = self.endpoints.backends.get(event.backend)
         if backend:
             backend.in_flight.discard(event.request_id)
-            self.outliers.on_established(backend)
+            self.outlier_detection.on_established(backend)
 
     def _on_adopted(self, event: ConnectionAdopted) -> None:
         self.context.on_adopted()
@@ -166,16 +168,16 @@
         if outcome.request_id in self.connections.by_id:
             self.connections.remove(outcome.request_id)
             if outcome.result is AttemptResult.RESET and backend:
-                self.outliers.on_unresponsive(backend)
+                self.outlier_detection.on_unresponsive(backend)
                 self.migration.on_connection_reset(backend)
             return
         if backend:
-            self.outliers.on_attempt_ended(backend, outcome.result)
+            self.outlier_detection.on_attempt_ended(backend, outcome.result)
             if outcome.result is AttemptResult.OVERLOADED:
                 self.load_estimate.on_overloaded(backend)
-        # A single error may be the request's own doing.
+        # A single error may be caused by the request.
         is_error = outcome.result is AttemptResult.ERROR
-        is_fault = is_error and (not backend or self.outliers.has_failed_repeatedly(backend))
+        is_fault = is_error and (not backend or self.outlier_detection.has_failed_repeatedly(backend))
         if outcome.result is AttemptResult.TIMEOUT or is_fault:
             self.throttle.on_failure()
         self.placement.on_attempt_ended(outcome)
@@ -191,9 +193,9 @@
         )
         unresponsive = event.result in UNRESPONSIVE
         if unresponsive:
-            self.outliers.on_unresponsive(backend)
+            self.outlier_detection.on_unresponsive(backend)
         else:
-            self.outliers.on_health_check_passed(backend)
+            self.outlier_detection.on_health_check_passed(backend)
             self.load_estimate.on_report(backend, event.load_report or LoadReport())
         self.migration.on_health_check(backend, unresponsive)
         self.placement.on_health_check(event.backend, awaiting, unresponsive)
--- a/balancer/context.py
+++ b/balancer/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one balancer share: settings, clock, random numbers, actions of the present event."""
+"""The state that the components of a balancer share: settings, clock, random numbers, actions."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 from .actions import Action, WriteLog
 from .settings import Settings
 
-LOG_INTERVAL_US = 5_000_000  # between two log lines of one kind
-NEW_NODE_US = 10_000_000  # after its start: it has seen too few connections to judge by
+LOG_INTERVAL_US = 5_000_000  # shortest time between two log lines of one kind
+NEW_NODE_PERIOD_US = 10_000_000  # after its start, a node has too few connections for estimates
 
 
 class Context:
-    """The state shared by the parts of one balancer.
+    """The state that the components of one balancer share.
 
-    Attributes: `settings` in force now; `random`, from which all parts draw in the order of their decisions;
-    `now_us`, the clock time of the event being handled; `actions`, what is to be done about that event.
+    Attributes: `settings` in force; `random`, the one random number generator, used in the order of
+    decisions; `now_us`, the clock time of the current event; `actions`, those decided for the current event
+    so far.
     """
 
     __slots__ = (
@@ -37,12 +38,12 @@
         self._first_list_us: int | None = None
         self._new_until_us = 0
 
-    def begin(self, now_us: int) -> None:
-        """Start on an event that came at `now_us`, with no action yet."""
+    def begin_event(self, now_us: int) -> None:
+        """Begin to handle an event received at `now_us`, with an empty list of actions."""
         self.now_us, self.actions = now_us, []
 
     def emit(self, action: Action) -> None:
-        """Add an action to those of the present event."""
+        """Add an action to those of the current event."""
         self.actions.append(action)
 
     def log(self, kind: str, text: str) -> None:
@@ -52,19 +53,22 @@
             self.emit(WriteLog(text))
 
     def on_endpoint_list(self) -> None:
-        """A list has come. The first one starts the time as a new node, unless it has adopted connections."""
+        """Note that an endpoint list was received.
+
+        The first one starts the period as a new node, unless this node has adopted connections before.
+        """
         if self._first_list_us is None:
             self._first_list_us = self.now_us
-        self._new_until_us = self._new_until_us or self.now_us + NEW_NODE_US
+        self._new_until_us = self._new_until_us or self.now_us + NEW_NODE_PERIOD_US
 
     def on_adopted(self) -> None:
-        """A connection has been adopted: a node with a past knows what is established, and is not new."""
-        self._new_until_us = 1  # in the past, and not 0: `on_endpoint_list` leaves it
+        """Note that a connection was adopted. A node with adopted connections has a count and is not new."""
+        self._new_until_us = 1  # in the past; not 0, so that `on_endpoint_list` doesn't overwrite it
 
     def has_run_for(self, span_us: int) -> bool:
-        """Whether the first list came at least so long ago."""
+        """Return whether the first endpoint list was received at least `span_us` ago."""
         return self._first_list_us is not None and self.now_us - self._first_list_us >= span_us
 
     def is_new_node(self) -> bool:
-        """Whether this node has seen too few connections to judge by."""
+        """Return whether this node has too few connections for estimates, as it started recently."""
         return self.now_us < self._new_until_us
--- a/balancer/events.py
+++ b/balancer/events.py
@@ -1,6 +1,6 @@
-"""Events: what the host tells the balancer.
+"""Events that the host passes to the balancer.
 
-Times are whole microseconds. Ids of requests and names of backends are opaque.
+Times are whole microseconds. Request ids and backend names are opaque.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class BackendState(Enum):
-    """What the list says of a backend. `UNKNOWN` gets nothing new."""
+    """State of a backend in the endpoint list. A backend in state `UNKNOWN` receives no new requests."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -21,7 +21,7 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt or a health check ended."""
+    """Result of an attempt or a health check."""
 
     OK = "ok"
     ERROR = "error"
@@ -31,26 +31,27 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "moot"
-    SLOT_ENDED = "slot ended"  # its connection came up after the end of its send slot; nothing was sent
+    SLOT_ENDED = "slot ended"  # connected after the send slot had ended; the request was not sent
 
 
-#: Results that prove that the attempt never ran.
+#: Results that prove that the backend did not execute the request.
 NEVER_EXECUTED = (
     AttemptResult.OVERLOADED,
     AttemptResult.CONNECT_FAILED,
     AttemptResult.NOT_SENT,
     AttemptResult.SLOT_ENDED,
 )
-#: Results by which a backend gave no sign of life, or stopped giving any.
+#: Results that show an unresponsive backend, or one that has dropped the connection.
 UNRESPONSIVE = (AttemptResult.CONNECT_FAILED, AttemptResult.TIMEOUT, AttemptResult.RESET)
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """A line of the endpoint list.
+    """An entry of the endpoint list.
 
-    `cell`: where idempotency keys are known together (`KeyScope.CELL`); `kind`: the number of its model;
-    `weight`: as `WeightKind` says; `started_us`: 0 where the backend started long ago.
+    `cell`: the group of backends that share idempotency keys (`KeyScope.CELL`); `kind`: the number of the
+    backend's model; `weight`: its meaning is set by `WeightKind`; `started_us`: 0 if the backend started long
+    ago.
     """
 
     backend: str
@@ -64,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointListUpdate:
-    """The complete list, or its changed lines only."""
+    """The complete endpoint list, or only its changed entries."""
 
     entries: tuple[Endpoint, ...]
     is_complete: bool = True
@@ -72,12 +73,12 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointListError:
-    """A poll of the list failed, or the watch on it ended. The last list stays in force."""
+    """A poll of the endpoint list failed, or the watch ended. The last list stays in force."""
 
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A request for a connection; one final answer is owed before `expires_us` from now."""
+    """A request for a connection. Its connection or final answer is due within `expires_us` from now."""
 
     request_id: int
     expires_us: int
@@ -85,18 +86,15 @@
     tenant: int = 0
     idempotency_key: str = ""
     sticky_group: str = ""
-    load_hint: float = 0.0  # us of work a second; 0: unknown
-    mid_flow: bool = False  # no rule reads it
+    load_hint: float = 0.0  # microseconds of work per second; 0: unknown
+    mid_flow: bool = False  # not used by the balancer
     is_reconnect: bool = False
     is_retry: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionAdopted:
-    """A connection that was established through this node before it started.
-
-    Later events name its attempt as 0.
-    """
+    """A connection from an earlier process of this node. Its attempt has the number 0 in later events."""
 
     request: Request
     backend: str
@@ -104,7 +102,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionEstablished:
-    """The connection is established: neither timeout nor deadline runs any more."""
+    """The connection is established: the attempt's timeout and the request's deadline no longer apply."""
 
     request_id: int
     attempt: int
@@ -114,7 +112,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionLoadReport:
-    """An established connection's load now, in microseconds of work a second."""
+    """The present load of an established connection, in microseconds of work per second."""
 
     request_id: int
     backend: str
@@ -123,7 +121,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageLatencyReport:
-    """How long a message takes now at the backend of an established connection."""
+    """The present message latency at the backend of an established connection."""
 
     request_id: int
     backend: str
@@ -132,8 +130,10 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """A backend's own figures, as parts of its capacity: its load, or else its CPU utilization;
-    None where the figure is not among its reports."""
+    """A backend's report of its load and CPU utilization, as parts of its capacity.
+
+    None for a figure that its reports don't contain. `load` takes precedence over `utilization`.
+    """
 
     load: float | None = None
     utilization: float | None = None
@@ -141,7 +141,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """How an attempt ended. `is_final`: the request has ended too, and no answer is owed."""
+    """An attempt or its connection has ended. `is_final`: so has the request, which needs no final answer."""
 
     request_id: int
     attempt: int
@@ -154,14 +154,17 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client left: no answer is owed. Attempts in flight still get their `AttemptEnded`."""
+    """The client of a pending request has disconnected.
+
+    The request needs no final answer. Attempts in flight are still reported by `AttemptEnded`.
+    """
 
     request_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckResult:
-    """The end of one health check."""
+    """A health check has ended."""
 
     backend: str
     result: AttemptResult
@@ -178,8 +181,11 @@
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """New settings, from now on. Open requests and connections keep the rules under which they came; class
-    numbers that they hold mean the same in the new settings as in the old."""
+    """New settings are in force.
+
+    Pending requests and established connections keep the rules that applied when they were received. Their
+    class numbers must mean the same in the new settings as in the old ones.
+    """
 
     settings: Settings
 
--- a/balancer/outlier_detection.py
+++ b/balancer/outlier_detection.py
@@ -1,6 +1,7 @@
-"""Outlier detection: backends that fail are ejected for a time that grows with each further failure.
+"""Outlier detection: ejects backends that fail, for a time that grows with each further failure.
 
-An ejected backend is still a candidate where no others are left (panic threshold): after a cut all may be.
+An ejected backend is still a candidate where no others are left (panic mode), since after a network failure
+all backends may be ejected.
 """
 
 from __future__ import annotations
@@ -10,19 +11,19 @@
 from .events import UNRESPONSIVE, AttemptResult
 
 INITIAL_EJECTION_US = 1_000_000  # after a first connect failure, doubled by each further one
-MAX_EJECTION_US = 8_000_000  # so that a backend that is back is found again
-ERRORS_TO_EJECT = 2  # in a row; a single one may be the request's own doing
+MAX_EJECTION_US = 8_000_000  # bounds the time until a backend that has recovered is used again
+ERRORS_TO_EJECT = 2  # consecutive; a single error may be caused by the request
 MAX_DOUBLINGS = 10
 
 
 class OutlierDetection:
-    """Ejects backends, and forgives their failures."""
+    """Counts backends' failures, ejects the backends, and reduces the counts after successes."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
 
     def on_attempt_ended(self, backend: Backend, result: AttemptResult) -> None:
-        """An attempt that did not become a connection has ended."""
+        """Count an attempt that ended before its connection was established."""
         if result in UNRESPONSIVE:
             self.on_unresponsive(backend)
         elif result is AttemptResult.ERROR:
@@ -31,27 +32,27 @@
                 self._eject(backend, backend.consecutive_errors - ERRORS_TO_EJECT)
 
     def on_unresponsive(self, backend: Backend) -> None:
-        """A backend gave no sign of life, or reset a connection."""
+        """Eject a backend that did not respond or has reset a connection."""
         failures = backend.connect_failures
         backend.connect_failures += 1
         self._eject(backend, failures)
 
     def on_health_check_passed(self, backend: Backend) -> None:
-        """Forgive gradually: a flapping backend stays an outlier."""
+        """Halve a backend's failure count; not to zero, so that a flapping backend stays an outlier."""
         backend.connect_failures //= 2
 
     def on_established(self, backend: Backend) -> None:
-        """A connection has been established there."""
+        """Halve a backend's failure count, and reset its errors, as a connection has been established."""
         backend.connect_failures //= 2
         backend.consecutive_errors = 0
 
     def has_failed_repeatedly(self, backend: Backend) -> bool:
-        """Whether its errors in a row are too many to be the requests' doing."""
+        """Return whether a backend has too many consecutive errors for the requests to be the cause."""
         return backend.consecutive_errors >= ERRORS_TO_EJECT
 
     def _eject(self, backend: Backend, earlier_failures: int) -> None:
-        longest = min(MAX_EJECTION_US, INITIAL_EJECTION_US * 2 ** min(earlier_failures, MAX_DOUBLINGS))
-        until_us = self._context.now_us + int(self._context.random.uniform(0.5, 1) * longest)
+        max_us = min(MAX_EJECTION_US, INITIAL_EJECTION_US * 2 ** min(earlier_failures, MAX_DOUBLINGS))
+        until_us = self._context.now_us + int(self._context.random.uniform(0.5, 1) * max_us)
         backend.ejected_until_us = max(backend.ejected_until_us, until_us)
         name = backend.entry.backend
-        self._context.log("eject", f"backend {name} ejected after a failure, a reset or errors")
+        self._context.log("eject", f"backend {name} ejected: unresponsive, reset or repeated errors")
--- a/balancer/placement.py
+++ b/balancer/placement.py
@@ -1,7 +1,8 @@
-"""Placement: the way of a request from its arrival to its connection or its final answer.
+"""Placement of requests, from their arrival until a connection is established or the final answer is sent.
 
-A round holds the request back or samples candidates, checks those whose reports are old, and sends it to one
-of them. A failed round waits a backoff and tries other backends, until the retry policy gives up.
+Each placement round either throttles the request or samples candidates, checks the health of those with old
+load reports, and sends the request to one of them. After a failed round the request waits for a backoff and
+the next round tries other backends, until the retry policy gives up.
 """
 
 from __future__ import annotations
@@ -23,13 +24,17 @@
 from .slow_start import SlowStart
 from .timers import Timers
 
-ATTEMPT_TIMEOUT_OBJECTIVES = 2.0  # latency objectives; a later connection is of little use
-CHECK_PART = 1 / 6  # of the latency objective: longest wait for health checks before a placement
+ATTEMPT_TIMEOUT_OBJECTIVES = 2.0  # in latency objectives; a connection after that is of little use
+HEALTH_CHECK_WAIT_FRACTION = 1 / 6  # maximum wait for candidates' health checks, in latency objectives
 
 
 @dataclass(slots=True, kw_only=True)
 class Placement:
-    """Places requests. `pending`: those whose final answer is still owed, by request id."""
+    """Places requests at backends.
+
+    Attributes: `pending`, the requests without a connection or final answer yet, by request id; the others
+    are the components that decide with it.
+    """
 
     context: Context
     timers: Timers
@@ -45,12 +50,12 @@
     pending: dict[int, PendingRequest] = field(default_factory=dict)
 
     def apply_settings(self) -> None:
-        """Settings have changed. Requests that are pending keep their class and number of attempts."""
+        """Apply changed settings. Pending requests keep their class and number of attempts."""
         self.retry_policy = RetryPolicy(self.context.settings.timer_resolution_us)
 
     def on_request(self, request: Request) -> None:
-        """A request has come. Raises IndexError for a class that the settings don't have."""
-        self.connections.learn_work(request.load_hint)
+        """Start to place a new request. Raises IndexError for a class that the settings don't have."""
+        self.connections.update_mean_work(request.load_hint)
         settings = self.context.settings
         request_class = settings.classes[request.request_class]
         deadline_us = self.context.now_us + min(request.expires_us, request_class.deadline_us)
@@ -59,16 +64,16 @@
         self._start_round(pending)
 
     def on_established(self, request_id: int) -> Request | None:
-        """An attempt has become a connection: no answer is owed. The request, if it was pending."""
+        """Forget a request whose connection is established. Return it, or None if it was not pending."""
         pending = self.pending.pop(request_id, None)
         return pending.request if pending else None
 
     def on_client_disconnected(self, request_id: int) -> None:
-        """No answer is owed any more."""
+        """Forget a request whose client has disconnected: it needs no final answer."""
         self.pending.pop(request_id, None)
 
     def on_attempt_ended(self, outcome: AttemptEnded) -> None:
-        """An attempt has ended without a connection: retry, or give the final answer."""
+        """Retry a request whose attempt has failed, or send its final answer."""
         pending = self.pending.get(outcome.request_id)
         if pending is None or outcome.is_final:
             self.pending.pop(outcome.request_id, None)
@@ -80,10 +85,10 @@
             self._retry(pending, NotSentReason.ATTEMPT_FAILED)
         else:
             pending.not_sent_reason = NotSentReason.NOT_RETRYABLE
-            self._answer(pending)
+            self._reject_or_fail(pending)
 
     def on_health_check(self, name: str, request_ids: list[int], unresponsive: bool) -> None:
-        """A backend's health check has ended, for which these requests waited."""
+        """Continue the requests that waited for a backend's health check; `unresponsive` rules it out."""
         for pending in [self.pending[n] for n in request_ids if n in self.pending]:
             if name in pending.unchecked:
                 del pending.unchecked[name]
@@ -93,13 +98,14 @@
                     self._place(pending)
 
     def _start_round(self, pending: PendingRequest) -> None:
-        """Sample candidates; check those whose reports are old; place when the answers are in."""
-        held_back = self.throttle.should_hold(self.context.now_us)
-        # An open send slot is within what a backend in slow start tolerates.
-        if held_back and not self.slow_start.backend_with_open_slot():
+        """Sample candidates, check those with old load reports, and place once the results have arrived."""
+        throttled = self.throttle.should_throttle(self.context.now_us)
+        # An open send slot takes precedence: the backend in slow start tolerates this request.
+        if throttled and not self.slow_start.pick_backend_with_open_slot():
             self.throttle.on_failure()
             self.context.log(
-                "hold", "admission: attempts held back, as errors, timeouts or full backends abound"
+                "hold",
+                "admission throttle: holding back some attempts, as many fail, time out or find no capacity",
             )
             self._retry(pending, NotSentReason.THROTTLED)
             return
@@ -109,9 +115,9 @@
             self._check_candidates(pending)
         if not pending.unchecked:
             self._place(pending)
-        else:  # the timer is the fallback for health checks that stay unanswered
-            longest_us = pending.request_class.latency_objective_us * CHECK_PART
-            wait_us = min(longest_us, (pending.deadline_us - self.context.now_us) / 2)
+        else:  # the timer covers health checks that get no response
+            max_us = pending.request_class.latency_objective_us * HEALTH_CHECK_WAIT_FRACTION
+            wait_us = min(max_us, (pending.deadline_us - self.context.now_us) / 2)
             self._resume_after(wait_us, pending, self._place)
 
     def _check_candidates(self, pending: PendingRequest) -> None:
@@ -123,14 +129,14 @@
                 self.health_checks.start(backend)
 
     def _place(self, pending: PendingRequest) -> None:
-        """Send the request to one of its candidates, or end the round without an attempt."""
+        """Send the request to one of its candidates, or fail the round without an attempt."""
         backend, eligible = self.selection.pick(pending)
-        pending.unchecked = {}  # guards against a second placement by health checks that come back later
-        crowded = self.herding_guard.is_crowded(pending, backend, eligible)
-        if backend is None or crowded:
-            if pending.candidates:  # a round that checked nobody costs nobody
+        pending.unchecked = {}  # guards against a second placement when a late health check result arrives
+        blocked = self.herding_guard.should_block(pending, backend, eligible)
+        if backend is None or blocked:
+            if pending.candidates:  # without candidates no health check was sent, so nothing is counted
                 self.throttle.on_no_capacity()
-            self._retry(pending, self._why_not_placed(pending))
+            self._retry(pending, self._not_placed_reason(pending))
             return
         self._send(pending, backend)
 
@@ -140,48 +146,48 @@
         pending.attempt_in_flight = True
         pending.attempted.append(name)
         self.load_estimate.add_sent(backend, cost)
-        longest_us = int(pending.request_class.latency_objective_us * ATTEMPT_TIMEOUT_OBJECTIVES)
-        timeout_us = max(1, min(pending.deadline_us - now_us, longest_us))
+        max_us = int(pending.request_class.latency_objective_us * ATTEMPT_TIMEOUT_OBJECTIVES)
+        timeout_us = max(1, min(pending.deadline_us - now_us, max_us))
         allowance = self.slow_start.allowance(backend)
         send_by_us = self.slow_start.use_slots(backend, cost)
         self.context.emit(StartAttempt(request.request_id, name, timeout_us, allowance, send_by_us))
         backend.in_flight.add(request.request_id)
         pending.possibly_executed.append((backend.entry, now_us))
 
-    def _why_not_placed(self, pending: PendingRequest) -> NotSentReason:
+    def _not_placed_reason(self, pending: PendingRequest) -> NotSentReason:
         if pending.candidates:
             return NotSentReason.NO_CAPACITY
         usable = any(self.selection.is_usable(b, pending) for b in self.endpoints.backends.values())
         return NotSentReason.SLOW_START if usable else NotSentReason.NO_CANDIDATE
 
     def _retry(self, pending: PendingRequest, reason: NotSentReason) -> None:
-        """Wait for the next round as the retry policy says, or give up at once."""
+        """Schedule the next round as the retry policy decides, or send the final answer at once."""
         pending.not_sent_reason = reason
         pending.failed_rounds += 1
-        # A round that sent nothing may wait for a send slot in place of its backoff.
+        # After a round that sent nothing, the request may wait for a send slot instead of its backoff.
         next_slot = self.slow_start.next_slot if reason is not NotSentReason.ATTEMPT_FAILED else None
         now_us, random = self.context.now_us, self.context.random
         delay_us = self.retry_policy.next_attempt(pending, now_us, random, next_slot)
         if delay_us is None:
-            self._answer(pending)
+            self._reject_or_fail(pending)
         else:
             pending.generation += 1
             self._resume_after(delay_us, pending, self._start_round)
 
     def _resume_after(
-        self, delay_us: float, pending: PendingRequest, then: Callable[[PendingRequest], None]
+        self, delay_us: float, pending: PendingRequest, callback: Callable[[PendingRequest], None]
     ) -> None:
-        self.timers.start(delay_us, partial(self._resume, pending, pending.generation, then))
+        self.timers.start(delay_us, partial(self._resume, pending, pending.generation, callback))
 
     def _resume(
-        self, pending: PendingRequest, generation: int, then: Callable[[PendingRequest], None]
+        self, pending: PendingRequest, generation: int, callback: Callable[[PendingRequest], None]
     ) -> None:
-        known = self.pending.get(pending.request.request_id)
-        if known is pending and pending.generation == generation and not pending.attempt_in_flight:
-            then(pending)
+        current = self.pending.get(pending.request.request_id)
+        if current is pending and pending.generation == generation and not pending.attempt_in_flight:
+            callback(pending)
 
-    def _answer(self, pending: PendingRequest) -> None:
-        """The one final answer: a rejection where it is harmless to try again, else a failure."""
+    def _reject_or_fail(self, pending: PendingRequest) -> None:
+        """Send the final answer: `Reject` where the client may safely retry, else `Fail`."""
         request_id, reason = pending.request.request_id, pending.not_sent_reason
         del self.pending[request_id]
         settings, random = self.context.settings, self.context.random
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node: given at its start, and again by a reload.
+"""Settings of a node, which a reload may replace while it runs.
 
 Times are whole microseconds, loads are parts of a backend's capacity.
 """
@@ -24,10 +24,10 @@
 
 
 class InvalidSettingError(ValueError):
-    """A setting that makes no sense.
+    """A setting whose value is not valid.
 
-    Attributes: `field` is the name of the field here, with `classes.` before one of a request class;
-    `problem` says what it must be.
+    Attributes: `field`, the name of the field in `Settings`, or `classes.` and its name in `RequestClass`;
+    `problem`, the condition that the value does not meet.
     """
 
     def __init__(self, field: str, problem: str) -> None:
@@ -37,7 +37,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a request may be sent again."""
+    """Whether a request may be sent again after it may have been executed."""
 
     IDEMPOTENT = "safe"
     KEYED = "keyed"
@@ -45,7 +45,7 @@
 
 
 class KeyScope(Enum):
-    """Which backends drop the repeats of a keyed request."""
+    """The backends that recognize a repeated idempotency key: all, or those of its zone or cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -53,7 +53,7 @@
 
 
 class WeightKind(Enum):
-    """What a backend's weight in the list means."""
+    """The meaning of a backend's weight in the endpoint list."""
 
     NONE = "none"
     NOMINAL = "nominal"
@@ -62,7 +62,7 @@
 
 
 class LoadReportSource(Enum):
-    """Where load reports come from."""
+    """The source of load reports."""
 
     ATTEMPT_RESULTS = "outcomes"
     HEALTH_CHECKS = "probes"
@@ -71,8 +71,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of requests. A connection is in time within `latency_objective_us`; the client waits
-    for `deadline_us`. A key is kept for `dedup_window_us` where `key_scope` says."""
+    """A class of requests.
+
+    `latency_objective_us` is the time within which a connection should be established, `deadline_us` the time
+    for which the client waits. The backends in `key_scope` keep an idempotency key for `dedup_window_us`.
+    """
 
     latency_objective_us: int
     deadline_us: int
@@ -85,8 +88,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant. `quota_share`: part of the fleet's traffic, which no rule reads; `quota_connections`: open
-    connections over all nodes (0: unknown)."""
+    """A tenant. `quota_share`: part of the fleet's traffic, not used by the balancer; `quota_connections`:
+    established connections over all nodes (0: unknown)."""
 
     quota_share: float = 0.0
     quota_connections: float = 0.0
@@ -94,17 +97,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Settings of one node. Raises InvalidSettingError for values that make no sense.
+    """Settings of one node. Raises InvalidSettingError for values that are not valid.
 
-    Some fields are read by no rule here. They count all the same when a reload asks whether settings differ.
+    The balancer does not use some of the fields. They are kept so that a reload detects their changes too.
     """
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
     zone: int = 0
     fleet_size: int = 1  # nodes
-    position: int | None = None  # of this node among them, from 0
-    processes: int = 1  # that may run at a time under this position, as one takes over from another
+    position: int | None = None  # of this node in the fleet, from 0
+    processes: int = 1  # that may run at a time under this position, as during a handover
     polls_endpoint_list: bool = False
     poll_within_us: int = 10_000_000  # the list must be polled within this
     may_check_health: bool = False
@@ -118,22 +121,22 @@
     retry_after: bool = False
     max_retry_after_us: int = 0
     over_quota_weight: float = 1.0  # factor on the priority weight of a tenant over its quota
-    cross_zone_cost: float = 0.0  # price of a request that crosses zones
-    weight_by_work: bool = False  # priority weights are for a unit of work, not for a connection
+    cross_zone_cost: float = 0.0  # of a request that crosses zones
+    weight_by_work: bool = False  # priority weights are per unit of work, not per connection
     passes_packets: bool = False
     sticky_groups: bool = False
     timer_resolution_us: int = 1_000
     drain_grace_us: int = 0  # shortest time from the announcement of a drain to the backend's exit
-    initial_capacity: float = 1.0  # of a backend as it starts, as a part of its capacity once it is warm
+    initial_capacity: float = 1.0  # of a backend that has just started, as a part of its warm capacity
     warm_up_us: int = 0
-    overload_multiple: float = 3.0  # of its present capacity, sent in the window, overloads a warming backend
+    overload_multiple: float = 3.0  # times a warming backend's capacity, sent in the window, overload it
     overload_window_us: int = 1_000_000
     enforces_send_by: bool = True  # the host writes no request after the `send_by_us` of its attempt
 
     def __post_init__(self) -> None:
-        """Raise InvalidSettingError for values that make no sense."""
+        """Raise InvalidSettingError for values that are not valid."""
         if not self.classes:
-            raise InvalidSettingError("classes", "at least one is needed")
+            raise InvalidSettingError("classes", "at least one request class is required")
         for request_class in self.classes:
             _check_above_0(request_class, CLASS_FIELDS_ABOVE_0, "classes.")
             _check_not_negative(request_class, CLASS_FIELDS_NOT_NEGATIVE, "classes.")
@@ -153,5 +156,5 @@
 
 def _check_not_negative(owner: object, names: tuple[str, ...], prefix: str = "") -> None:
     for name in names:
-        if not getattr(owner, name) >= 0:  # NaN is no better
+        if not getattr(owner, name) >= 0:  # rejects NaN too
             raise InvalidSettingError(prefix + name, "must not be negative")
--- a/balancer/simulator_wire.py
+++ b/balancer/simulator_wire.py
@@ -1,7 +1,7 @@
-"""Translation between the simulator's wire and the balancer's events and actions, and the one reader of
-settings, for the simulator and for `gradefront/config.py`.
+"""Translation between the simulator's messages and the balancer's events and actions.
 
-The wire's names end here, and so do the published names of settings. No decisions are made here.
+It also parses settings, for the simulator and for `gradefront/config.py`. No other module uses the names of
+the wire protocol or the published names of settings. No decisions are made here.
 """
 
 from __future__ import annotations
@@ -53,27 +53,27 @@
 
 
 class WireError(Exception):
-    """A message that the wire does not allow; its text names the message and the field."""
+    """An invalid message; the error text names the message type and the field."""
 
 
-def _need(message: Message, name: str, kind: type, within: str) -> Any:
+def _required(message: Message, name: str, kind: type, message_type: str) -> Any:
     value = message.get(name)
     if kind is float and isinstance(value, int) and not isinstance(value, bool):
         return value
     if not isinstance(value, kind) or (kind is int and isinstance(value, bool)):
-        what = "is missing" if value is None else f"is not of type {kind.__name__}"
-        raise WireError(f"{within}: field '{name}' {what}")
+        problem = "is missing" if value is None else f"is not of type {kind.__name__}"
+        raise WireError(f"{message_type}: field '{name}' {problem}")
     return value
 
 
 def _number(value: object, default: float = 0.0) -> float:
-    good = isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value)
-    return float(value) if good else default  # type: ignore[arg-type]
+    is_valid = isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value)
+    return float(value) if is_valid else default  # type: ignore[arg-type]
 
 
 IDEMPOTENCY = {r.value: r for r in Idempotency}
 KEY_SCOPES = {s.value: s for s in KeyScope}
-STATES = {
+BACKEND_STATES = {
     "healthy": BackendState.READY,
     "cordoned": BackendState.DRAINING,
     "deregistered": BackendState.GONE,
@@ -89,7 +89,7 @@
     "pull": LoadReportSource.HEALTH_CHECKS,
     "silent": LoadReportSource.NONE,
 }
-RESULTS = {
+ATTEMPT_RESULTS = {
     "success": AttemptResult.OK,
     "failure": AttemptResult.ERROR,
     "overloaded": AttemptResult.OVERLOADED,
@@ -101,10 +101,10 @@
 }
 
 
-#: Values of the field `what` of a measurement: work in us a second, message latency in ms.
+#: Values of a measurement's field `what`: work in microseconds per second, message latency in milliseconds.
 LOAD_MEASUREMENT, LATENCY_MEASUREMENT = 1, 2
 
-#: Field names that operators see in errors and that differ from the names in the code.
+#: Published names of fields, as operators see them in errors, where they differ from the names in the code.
 PUBLISHED_FIELDS = {
     "classes.latency_objective_us": "classes.aim_us",
     "classes.message_latency_objective_us": "classes.message_aim_us",
@@ -121,9 +121,9 @@
 
 
 def settings(info: Message) -> tuple[Settings, tuple[str, ...]]:
-    """The settings and the names of the load report's values, from the first message's `bootInfo`.
+    """Parse a first message's `bootInfo`. Return the settings and the names of the figures in load reports.
 
-    Raises WireError, or ValueError with the published name of the field that makes no sense.
+    Raises WireError, or ValueError with the published name of a field whose value is not valid.
     """
     try:
         return _settings(info)
@@ -132,12 +132,12 @@
 
 
 def _classes(grades: list[Message], family: Message) -> tuple[RequestClass, ...]:
-    """The request classes, in the order of their numbers."""
+    """Return the request classes, in the order of their numbers."""
     objectives_us = family.get("messageAimUs") or []
     return tuple(
         RequestClass(
-            latency_objective_us=int(_need(g, "aimUs", float, "grades")),
-            deadline_us=int(_need(g, "deadlineUs", float, "grades")),
+            latency_objective_us=int(_required(g, "aimUs", float, "grades")),
+            deadline_us=int(_required(g, "deadlineUs", float, "grades")),
             idempotency=IDEMPOTENCY.get(g.get("semantics", ""), Idempotency.NOT_IDEMPOTENT),
             key_scope=KEY_SCOPES.get(g.get("keyScope", ""), KeyScope.CELL),
             dedup_window_us=int(g.get("dedupWindowUs", 0)),
@@ -149,7 +149,7 @@
 
 
 def _settings(info: Message) -> tuple[Settings, tuple[str, ...]]:
-    grades = _need(info, "grades", list, "bootInfo")
+    grades = _required(info, "grades", list, "bootInfo")
     family: Message = info.get("familyInfo") or {}
     allow: Message = info.get("permissions") or {}
     rules: Message = info.get("rules") or {}
@@ -194,22 +194,22 @@
     return parsed, names
 
 
-def _report(row: object, names: tuple[str, ...]) -> LoadReport | None:
-    """Values by name; a row of another length than announced says nothing that can be trusted."""
+def _load_report(row: object, names: tuple[str, ...]) -> LoadReport | None:
+    """Return a load report, or None if `row` is missing or has another length than announced."""
     if not isinstance(row, list) or len(row) != len(names):
         return None
-    value = dict(zip(names, row, strict=True))
+    values = dict(zip(names, row, strict=True))
 
-    def figure(name: str) -> float | None:
-        return _number(value[name], math.nan) if name in value else None
+    def value_of(name: str) -> float | None:
+        return _number(values[name], math.nan) if name in values else None
 
-    return LoadReport(figure("x0"), figure("cpu_share"))
+    return LoadReport(value_of("x0"), value_of("cpu_share"))
 
 
 def _entry(e: Message) -> Endpoint:
     return Endpoint(
-        _need(e, "host", str, "View"),
-        STATES.get(e.get("mode", ""), BackendState.UNKNOWN),
+        _required(e, "host", str, "View"),
+        BACKEND_STATES.get(e.get("mode", ""), BackendState.UNKNOWN),
         int(e.get("zone", 0)),
         int(e.get("bay", 0)),
         int(e.get("familyType", 0)),
@@ -220,9 +220,9 @@
 
 def _request(m: Message, t: str) -> Request:
     return Request(
-        _need(m, "corr", int, t),
-        _need(m, "expiresInUs", int, t),
-        _need(m, "profile", int, t),
+        _required(m, "corr", int, t),
+        _required(m, "expiresInUs", int, t),
+        _required(m, "profile", int, t),
         int(m.get("org", 0)),
         str(m.get("key", "")),
         str(m.get("group", "")),
@@ -235,42 +235,45 @@
 
 def _established(m: Message, t: str) -> ConnectionEstablished:
     return ConnectionEstablished(
-        _need(m, "corr", int, t), _need(m, "go", int, t), _need(m, "host", str, t), int(m.get("tookUs", 0))
+        _required(m, "corr", int, t),
+        _required(m, "go", int, t),
+        _required(m, "host", str, t),
+        int(m.get("tookUs", 0)),
     )
 
 
 def _attempt_ended(m: Message, t: str, names: tuple[str, ...]) -> AttemptEnded:
     return AttemptEnded(
-        _need(m, "corr", int, t),
-        _need(m, "go", int, t),
-        _need(m, "host", str, t),
+        _required(m, "corr", int, t),
+        _required(m, "go", int, t),
+        _required(m, "host", str, t),
         _result(m, t),
         bool(m.get("doneFlag")),
         int(m.get("tookUs", 0)),
-        _report(m.get("healthInfo"), names),
+        _load_report(m.get("healthInfo"), names),
     )
 
 
 def _health_check_result(m: Message, t: str, names: tuple[str, ...]) -> HealthCheckResult:
     return HealthCheckResult(
-        _need(m, "host", str, t),
+        _required(m, "host", str, t),
         _result(m, t),
         int(m.get("tookUs", 0)),
-        _report(m.get("healthInfo"), names),
+        _load_report(m.get("healthInfo"), names),
     )
 
 
 def _measurement(m: Message, t: str) -> ConnectionLoadReport | MessageLatencyReport | None:
-    amount = _number(_need(m, "amount", float, t))
-    request, backend = _need(m, "corr", int, t), _need(m, "host", str, t)
-    what = _need(m, "what", int, t)
+    amount = _number(_required(m, "amount", float, t))
+    request, backend = _required(m, "corr", int, t), _required(m, "host", str, t)
+    what = _required(m, "what", int, t)
     if what == LOAD_MEASUREMENT:
         return ConnectionLoadReport(request, backend, amount)
     return MessageLatencyReport(request, backend, amount * 1000) if what == LATENCY_MEASUREMENT else None
 
 
 def _endpoint_list(m: Message, t: str) -> EndpointListError | EndpointListUpdate:
-    how = _need(m, "how", str, t)
+    how = _required(m, "how", str, t)
     if how == "error":
         return EndpointListError()
     entries = tuple(_entry(e) for e in m.get("elements") or [])
@@ -278,15 +281,16 @@
 
 
 def event(m: Message, names: tuple[str, ...]) -> Event | None:  # noqa: C901 - one branch a message
-    """One event for the module, or None where the message carries nothing for it.
+    """Translate a message to an event, or None for a message that the balancer does not use.
 
-    `names` of the load report's values. Raises WireError for an unknown message or a field out of form.
+    `names` are those of the figures in load reports. Raises WireError for an unknown message type or an
+    invalid field.
     """
     match m["type"]:
         case "Accept" as t:
             return _request(m, t)
         case "Ring" as t:
-            return TimerFired(_need(m, "keyBack", int, t))
+            return TimerFired(_required(m, "keyBack", int, t))
         case "StatusBack" as t:
             return _health_check_result(m, t, names)
         case "UnderWay" as t:
@@ -296,11 +300,11 @@
         case "Change" as t:
             return _measurement(m, t)
         case "Expired" as t:
-            return ClientDisconnected(_need(m, "corr", int, t))
+            return ClientDisconnected(_required(m, "corr", int, t))
         case "View" as t:
             return _endpoint_list(m, t)
         case "Handover" as t:
-            return ConnectionAdopted(_request(m, t), _need(m, "host", str, t))
+            return ConnectionAdopted(_request(m, t), _required(m, "host", str, t))
         case "Peer":
             return None
         case unknown:
@@ -308,14 +312,14 @@
 
 
 def _result(m: Message, t: str) -> AttemptResult:
-    code = _need(m, "rc", str, t)
-    if code not in RESULTS:
+    code = _required(m, "rc", str, t)
+    if code not in ATTEMPT_RESULTS:
         raise WireError(f"{t}: field 'rc' has the unknown value '{code}'")
-    return RESULTS[code]
+    return ATTEMPT_RESULTS[code]
 
 
 def action(a: Action, node: int) -> Message:
-    """The wire's message for an action."""
+    """Return the wire protocol's message for an action."""
     m: Message
     match a:
         case StartAttempt():
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -1,9 +1,9 @@
-"""Slow start: how much a backend that has just started may be sent, and this node's part of it.
+"""Slow start: limits on what this node sends to a backend that has started recently.
 
-A warming backend fails when all nodes together send it more than a multiple of its present capacity, within a
-short window that the settings name; what it rejects and what has ended by then counts. No node knows what the
-others send. So each keeps to its part of two bounds: of what may be sent in a window, and of what may stand
-there.
+A backend that is warming up fails when all nodes together send it more than a multiple of its present
+capacity within a short window (both are settings). Requests that it rejects and connections that have ended
+count too. No node knows what the others send. So each node stays within its share of two limits: the requests
+sent in a window, and the connections established at the backend.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from .context import Context
 from .endpoints import REPORT_DELAY_US, Backend, EndpointTable
 from .events import BackendState
-from .load_estimate import FULL_LOAD, MIN_FULL_CONNECTIONS, LoadEstimate
+from .load_estimate import FULL_LOAD, MIN_CONNECTION_CAPACITY, LoadEstimate
 from .send_slots import SendSlot, SendSlotTable, SlotSchedule
 from .settings import LoadReportSource
 
-# Standard deviations of its own count within which a node believes other signs. Many, since traffic is
-# uneven: some nodes get several times the mean.
+# Bounds a node's estimate of the connections that fill a backend, to so many standard deviations above its
+# own connection count. A high figure, since traffic is uneven: some nodes get several times the mean.
 DEVIATIONS = 6.0
-MAX_HOLD_UP_US = 150_000  # for which a process may be held up between reading its clock and writing
+MAX_STALL_US = 150_000  # longest time that a process may stall between reading its clock and writing
 
 
 class SlowStart:
-    """What this node may send to backends that are warming up."""
+    """Decides what this node may send to backends that are warming up."""
 
     def __init__(
         self,
@@ -41,37 +41,46 @@
         self._endpoints = endpoints
         self._connections = connections
         self._load_estimate = load_estimate
-        self._slot_table: SendSlotTable | None = None  # from the first event on
+        self._slot_table: SendSlotTable | None = None  # None until the first event
 
-    def begin(self) -> None:
-        """An event has come: the first one sets the time from which this node has slots."""
+    def ensure_started(self) -> None:
+        """Create the slot table at the first event, whose time determines this node's first slots."""
         if self._slot_table is None:
             self.apply_settings()
 
     def apply_settings(self) -> None:
-        """Settings have changed. What was sent under others counts as all that it might be."""
-        s = self._context.settings
-        # Where the host does not look again as it writes, a connection may come up after its slot has ended.
-        late_us = MAX_HOLD_UP_US + (0 if s.enforces_send_by else s.connect_timeout_us)
-        schedule = SlotSchedule(s.position, s.fleet_size, s.overload_window_us, late_us, s.processes)
+        """Start a new slot table for changed settings.
+
+        Requests sent under the earlier settings are assumed to be as many as those allowed.
+        """
+        settings = self._context.settings
+        # A host that does not check `send_by_us` as it writes may establish a connection after its slot
+        # ended.
+        late_us = MAX_STALL_US + (0 if settings.enforces_send_by else settings.connect_timeout_us)
+        schedule = SlotSchedule(
+            settings.position, settings.fleet_size, settings.overload_window_us, late_us, settings.processes
+        )
         self._slot_table = SendSlotTable(schedule, self._context.random, self._context.now_us)
 
     def capacity(self, backend: Backend) -> float:
-        """Part of its capacity that a backend has for certain now; 1 once it is warm."""
+        """Return the part of its full capacity that a backend has at least now; 1 once it is warm."""
         return available_capacity(self._context.settings, backend.entry.started_us, self._context.now_us)
 
-    def allows(self, backend: Backend, pending: PendingRequest) -> bool:
-        """Whether a request may go to a backend, which for a warm one it always may.
+    def may_send(self, backend: Backend, pending: PendingRequest) -> bool:
+        """Return whether slow start allows a request to go to a backend; always True for a warm one.
 
-        Guards against overloading a warming backend: this node's part of what all may send and have there.
+        Guards against overloading a backend that is warming up: this node stays within its share of the
+        requests that all nodes may send and of the connections that they may hold there.
         """
         capacity = self.capacity(backend)
         if capacity >= 1:
             return True
-        # Where backends report their load, that shows what stands there.
+        # Where backends report their load, the reports already account for established connections.
         unreported = self._context.settings.load_report_source is LoadReportSource.NONE
         cost = self._connections.cost
-        if unreported and self._held(backend) + cost(pending.request) > self._allowed(backend, capacity):
+        if unreported and self._held_connections(backend) + cost(pending.request) > self._allowed_connections(
+            backend, capacity
+        ):
             return False
         now_us = self._context.now_us
         if any(slot.is_open(now_us) for slot in self._slots_at(backend)):
@@ -81,26 +90,31 @@
         name = backend.entry.backend
         self._context.log(
             f"slow start {name}",
-            f"{name} in slow start, {age_s:.1f} s old, waits for a send slot; all may send {mean:.1f}",
+            f"backend {name} in slow start, {age_s:.1f} s old: request waits for a send slot;"
+            f" all relays together may send {mean:.1f} requests a window",
         )
         return False
 
-    def backend_with_open_slot(self) -> list[str]:
-        """One warming backend that this node may send to now, or none. Its slot lapses soon if unused."""
+    def pick_backend_with_open_slot(self) -> list[str]:
+        """Pick one backend in slow start at random that this node has an open send slot for.
+
+        Returns a list of its name, or an empty list. Such a backend is worth a candidate, as its slot lapses
+        soon if unused.
+        """
         now_us = self._context.now_us
         names = [slot.backend for slot in self.unused_slots() if slot.is_open(now_us)]
         return [self._context.random.choice(names)] if names else []
 
     def next_slot(self, before_us: float) -> SendSlot | None:
-        """The next slot that begins before a time and that no request waits for yet."""
+        """Return the next slot that starts before `before_us` and that no request has reserved, or None."""
         now_us = self._context.now_us
-        ahead = [s for s in self.unused_slots() if not s.reserved and now_us < s.start_us < before_us]
-        return min(ahead, key=lambda slot: slot.start_us, default=None)
+        upcoming = [s for s in self.unused_slots() if not s.reserved and now_us < s.start_us < before_us]
+        return min(upcoming, key=lambda slot: slot.start_us, default=None)
 
     def use_slots(self, backend: Backend, cost: float) -> int | None:
-        """A request of this cost goes to a backend. If that is warming up, it takes a slot or several.
+        """Use up as many slots as a request of this cost takes, if the backend is warming up.
 
-        Returns the time by which it must have been sent; None where the backend is warm.
+        Returns the clock time by which the request must have been sent, or None where the backend is warm.
         """
         if self.capacity(backend) >= 1:
             return None
@@ -111,7 +125,7 @@
         return unused[0].end_us if unused else now_us
 
     def unused_slots(self) -> list[SendSlot]:
-        """This node's unused slots, open or next, at all ready backends in slow start."""
+        """Return this node's unused current and upcoming slots at all ready backends in slow start."""
         settings, now_us = self._context.settings, self._context.now_us
         warming = [
             backend
@@ -121,16 +135,19 @@
         ]
         return [slot for backend in warming for slot in self._slots_at(backend) if not slot.used]
 
-    def unseen_load(self, backend: Backend) -> float:
-        """Load that all nodes may add to a warming backend before it shows in its reports."""
+    def unreported_load(self, backend: Backend) -> float:
+        """Return the load that all nodes may add to a warming backend before its load reports show it."""
         assert self._slot_table
         schedule = self._slot_table.schedule
         slots = schedule.slots_per_period(self._mean_sends(backend, self._context.now_us))
         sent = slots * REPORT_DELAY_US / schedule.period_us
-        return sent / max(1.0, self.capacity(backend) * self._full_connections_of_kind(backend))
+        return sent / max(1.0, self.capacity(backend) * self._connection_capacity_of_kind(backend))
 
     def allowance(self, backend: Backend) -> SlowStartAllowance | None:
-        """For the log: what a send to a backend in slow start rests on; None for a warm one."""
+        """Return the figures, for the log, by which a send to a backend in slow start is allowed.
+
+        None for a warm backend.
+        """
         capacity = self.capacity(backend)
         if capacity >= 1:
             return None
@@ -140,9 +157,9 @@
         return SlowStartAllowance(
             self._age_us(backend),
             capacity,
-            self._full_connections(),
-            self._held(backend),
-            self._allowed(backend, capacity),
+            self._bounded_connection_capacity(),
+            self._held_connections(backend),
+            self._allowed_connections(backend, capacity),
             self._mean_sends(backend, now_us),
             backend.entry.started_us,
             self._context.is_new_node(),
@@ -154,49 +171,63 @@
     def _age_us(self, backend: Backend) -> int:
         return self._context.now_us - backend.entry.started_us
 
-    def _full_connections(self) -> float:
-        """Mean connections that fill a backend once it is warm.
+    def _bounded_connection_capacity(self) -> float:
+        """Return the number of mean connections that fill a backend once it is warm.
 
-        The work of few connections is believed no further than their count goes. One light connection made a
-        backend look many times as large, and each node sent it one within a second.
+        The estimate by work is bounded by one from this node's connection count, as the work of few
+        connections says little: a single light connection made a backend look many times as large, and each
+        node sent it one within a second.
         """
         estimate = self._load_estimate
         held = len(self._connections.by_id)
-        most = estimate.connections_at_capacity(held + DEVIATIONS * math.sqrt(held + 1))
-        most = max(most, MIN_FULL_CONNECTIONS * estimate.cores())
-        # A new node has no count yet; the backends carried what reconnects to it a moment ago.
-        full = estimate.full_connections()
+        most = estimate.connection_capacity_by_count(held + DEVIATIONS * math.sqrt(held + 1))
+        most = max(most, MIN_CONNECTION_CAPACITY * estimate.cores())
+        # A new node has no connection count yet, and the clients that reconnect to it are load that the
+        # backends carried a moment ago.
+        full = estimate.connection_capacity()
         return full if self._context.is_new_node() else min(full, most)
 
-    def _held(self, backend: Backend) -> float:
-        """What this node has established or in flight there, in mean connections."""
+    def _held_connections(self, backend: Backend) -> float:
+        """Return this node's established and in-flight connections at a backend, in mean connections."""
         mean_work, by_id = self._connections.mean_work, self._connections.by_id
         works = [by_id[r].work / mean_work if mean_work else 1.0 for r in backend.connections]
-        return len(backend.in_flight) + max(len(works), sum(works))  # a light one may grow
+        return len(backend.in_flight) + max(len(works), sum(works))  # light connections may become heavier
 
-    def _allowed(self, backend: Backend, capacity: float) -> float:
-        """What this node may have there. Rounded at random: with a part below one connection, some nodes may
-        send one and the others none."""
+    def _allowed_connections(self, backend: Backend, capacity: float) -> float:
+        """Return this node's share of the connections that a warming backend may hold, in mean connections.
+
+        The share is rounded up or down at random for each backend: where it is below one connection, some
+        nodes may send one and the others none.
+        """
         fleet_size = self._context.settings.fleet_size
-        return FULL_LOAD * capacity * self._full_connections() / fleet_size + backend.rounding
+        return (
+            FULL_LOAD * capacity * self._bounded_connection_capacity() / fleet_size + backend.rounding_offset
+        )
 
     def _mean_sends(self, backend: Backend, at_us: int) -> float:
-        """Requests that all nodes may send a warming backend in the settings' window, by the multiple of its
-        capacity: new connections fill it over its warm-up, and no faster."""
+        """Return the requests that all nodes together may send a warming backend per overload window.
+
+        It is a multiple (a setting) of the rate at which new connections fill the backend over its warm-up.
+        """
         settings = self._context.settings
         capacity = available_capacity(settings, backend.entry.started_us, at_us)
-        full = FULL_LOAD * capacity * self._full_connections_of_kind(backend)
+        full = FULL_LOAD * capacity * self._connection_capacity_of_kind(backend)
         return settings.overload_multiple * full * settings.overload_window_us / settings.warm_up_us
 
-    def _full_connections_of_kind(self, backend: Backend) -> float:
-        """Connections that fill a backend of this kind once it is warm, by this node's share of them."""
+    def _connection_capacity_of_kind(self, backend: Backend) -> float:
+        """Return the connections of all nodes that fill a warm backend of this kind.
+
+        It is estimated from this node's share of them.
+        """
         estimate, fleet_size = self._load_estimate, self._context.settings.fleet_size
-        guess = MIN_FULL_CONNECTIONS * estimate.cores() / fleet_size
-        share = estimate.capacity_share.connections(self._context.now_us, backend.entry.kind, guess)
+        initial_estimate = MIN_CONNECTION_CAPACITY * estimate.cores() / fleet_size
+        share = estimate.capacity_share.connection_share(
+            self._context.now_us, backend.entry.kind, initial_estimate
+        )
         return share * fleet_size
 
     def _slots_at(self, backend: Backend) -> list[SendSlot]:
-        """This node's slots at a warming backend that are open or come next."""
+        """Return this node's current and upcoming slots at a warming backend."""
         assert self._slot_table
         entry = backend.entry
         mean_sends = partial(self._mean_sends, backend)
--- a/tests/test_load_estimate.py
+++ b/tests/test_load_estimate.py
@@ -25,7 +25,7 @@
 
 
 def full_connections(b: Balancer, now_us: int) -> float:
-    return b.load_estimate.capacity_share.connections(now_us, 0, GUESS)
+    return b.load_estimate.capacity_share.connection_share(now_us, 0, GUESS)
 
 
 def report(b: Balancer, now_us: int, load: float) -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -140,7 +140,7 @@
         backends = tuple(Endpoint(f"s{n}", started_us=start * (n >= 4)) for n in range(16))
         b.handle(start - 5_000_000, EndpointListUpdate(backends))
         for backend in b.endpoints.backends.values():
-            backend.rounding = 0.999
+            backend.rounding_offset = 0.999
         b.context.now_us = start
         with_open_slot = {slot.backend for slot in b.slow_start.unused_slots() if slot.is_open(start)}
         probed = {p.backend for p in of_type(b.handle(start, Request(1, 2_000_000)), CheckHealth)}
