--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -129,7 +129,8 @@
     drain_grace_us: int = 0  # shortest time from the announcement of a drain to the backend's exit
     initial_capacity: float = 1.0  # of a backend that has just started, as a part of its warm capacity
     warm_up_us: int = 0
-    overload_multiple: float = 3.0  # times a warming backend's capacity, sent in the window, overload it
+    # So many times its present capacity, sent in the window, overloads a backend that is warming up.
+    overload_multiple: float = 3.0
     overload_window_us: int = 1_000_000
     enforces_send_by: bool = True  # the host writes no request after the `send_by_us` of its attempt
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: plain messages on bad input, wire traffic only on standard output."""
+"""The simulator host: replies on standard output, and one-line errors on standard error for invalid input."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 ACCEPT = {"type": "Accept", "nodeId": 3, "corr": 9, "profile": 0, "expiresInUs": 2000000, "extra": True}
 
 
-def run(*messages: object) -> subprocess.CompletedProcess[str]:
+def run_host(*messages: object) -> subprocess.CompletedProcess[str]:
     lines = [m if isinstance(m, str) else json.dumps(m) for m in messages]
     return subprocess.run(
         [sys.executable, "-m", "balancer.simulator_host"],
@@ -34,54 +34,54 @@
     )
 
 
-def batch(*messages: object) -> list[object]:
+def round_of(*messages: object) -> list[object]:
     return [{"type": "Round", "atTimeUs": 1000}, *messages, {"type": "EofBatch"}]
 
 
-def test_places_on_the_wire_and_exits_at_end_of_input() -> None:
-    done = run(*batch(), *batch(UP, VIEW, ACCEPT))
-    assert done.returncode == 0 and done.stderr == ""
-    replies = [json.loads(line) for line in done.stdout.splitlines()]
+def test_request_is_placed_and_the_host_exits_at_end_of_file() -> None:
+    result = run_host(*round_of(), *round_of(UP, VIEW, ACCEPT))
+    assert result.returncode == 0 and result.stderr == ""
+    replies = [json.loads(line) for line in result.stdout.splitlines()]
     assert [r["type"] for r in replies] == ["Ready", "Deliver", "Ready"]
     assert replies[1]["corr"] == 9 and replies[1]["host"] == "h1" and replies[1]["nodeId"] == 3
 
 
 @pytest.mark.parametrize(
-    ("messages", "said"),
+    ("messages", "expected_error"),
     [
         (["{nonsense"], "not JSON"),
         (["[1]"], "field 'type' is missing"),
         ([{"type": "Round"}], "Round: field 'atTimeUs'"),
-        (batch({"type": "Accept"}), "Accept: field 'nodeId'"),
-        (batch({"type": "Accept", "nodeId": 4}), "Accept: field 'nodeId' names an instance that is not up"),
-        (batch({"type": "Up", "nodeId": 3}), "Up: field 'bootInfo'"),
-        (batch(UP, {"type": "Huh", "nodeId": 3}), "unknown message type 'Huh'"),
-        (batch(UP, {"type": "Accept", "nodeId": 3, "corr": 1, "profile": 0}), "Accept: field 'expiresInUs'"),
+        (round_of({"type": "Accept"}), "Accept: field 'nodeId'"),
+        (round_of({"type": "Accept", "nodeId": 4}), "Accept: field 'nodeId' names an instance that is not up"),
+        (round_of({"type": "Up", "nodeId": 3}), "Up: field 'bootInfo'"),
+        (round_of(UP, {"type": "Huh", "nodeId": 3}), "unknown message type 'Huh'"),
+        (round_of(UP, {"type": "Accept", "nodeId": 3, "corr": 1, "profile": 0}), "Accept: field 'expiresInUs'"),
         (
-            batch(UP, {"type": "Settled", "nodeId": 3, "corr": 1, "go": 0, "host": "h", "rc": "odd"}),
+            round_of(UP, {"type": "Settled", "nodeId": 3, "corr": 1, "go": 0, "host": "h", "rc": "odd"}),
             "Settled: field 'rc' has the unknown value 'odd'",
         ),
     ],
 )
-def test_bad_input_is_one_plain_line(messages: list[object], said: str) -> None:
-    done = run(*messages)
-    assert done.returncode == 2
-    assert said in done.stderr and done.stderr.count("\n") == 1 and "Traceback" not in done.stderr
-    assert all(json.loads(line) for line in done.stdout.splitlines())
-
-
-def test_an_exception_in_the_module_is_reported_for_its_instance() -> None:
-    bad = dict(ACCEPT, profile=7)  # a class that the settings do not name
-    done = run(*batch(UP, VIEW, bad))
-    replies = [json.loads(line) for line in done.stdout.splitlines()]
-    assert done.returncode == 0
+def test_invalid_input_ends_the_host_with_a_one_line_error(messages: list[object], expected_error: str) -> None:
+    result = run_host(*messages)
+    assert result.returncode == 2
+    assert expected_error in result.stderr and result.stderr.count("\n") == 1 and "Traceback" not in result.stderr
+    assert all(json.loads(line) for line in result.stdout.splitlines())
+
+
+def test_exception_in_the_decision_module_is_reported_for_its_node() -> None:
+    bad = dict(ACCEPT, profile=7)  # a request class that the settings don't have
+    result = run_host(*round_of(UP, VIEW, bad))
+    replies = [json.loads(line) for line in result.stdout.splitlines()]
+    assert result.returncode == 0
     assert replies[0]["type"] == "Broken" and replies[0]["nodeId"] == 3 and "IndexError" in replies[0]["text"]
 
 
-def test_a_report_of_another_length_says_nothing() -> None:
-    event = {"type": "StatusBack", "host": "h", "rc": "success", "healthInfo": [0.5]}
-    got = simulator_wire.event(event, ("cpu_share", "x0"))
-    assert isinstance(got, HealthCheckResult) and got.load_report is None
+def test_load_report_of_unexpected_length_is_ignored() -> None:
+    message = {"type": "StatusBack", "host": "h", "rc": "success", "healthInfo": [0.5]}
+    event = simulator_wire.event(message, ("cpu_share", "x0"))
+    assert isinstance(event, HealthCheckResult) and event.load_report is None
 
 
 @pytest.mark.parametrize(
@@ -95,7 +95,7 @@
         {"classes": (RequestClass(latency_objective_us=-1, deadline_us=1),)},
     ],
 )
-def test_senseless_settings_name_the_field(change: dict[str, Any]) -> None:
-    good: dict[str, Any] = {"classes": (RequestClass(latency_objective_us=1, deadline_us=1),)}
+def test_invalid_settings_name_the_field(change: dict[str, Any]) -> None:
+    valid: dict[str, Any] = {"classes": (RequestClass(latency_objective_us=1, deadline_us=1),)}
     with pytest.raises(ValueError, match=next(iter(change))):
-        Settings(**{**good, **change})
+        Settings(**{**valid, **change})
--- a/tests/test_basic.py
+++ b/tests/test_basic.py
@@ -1,4 +1,4 @@
-"""First behaviour tests, through the interface."""
+"""Basic behaviour of the decision module, tested through its interface, and the size limits of its files."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 CLASS = RequestClass(latency_objective_us=500_000, deadline_us=2_000_000)
 
 
-def test_size_limits() -> None:
+def test_module_sizes_are_limited_and_deciding_modules_are_listed() -> None:
     policy = tomllib.loads(Path("deploy/balancer.toml").read_text())["policy"]
     texts = [Path(name).read_text() for name in policy]
     assert max(len(text.splitlines()) for text in texts) <= 400
     assert max(len(line) for text in texts for line in text.splitlines()) <= 110
     assert all(name in texts[0].split('"""')[1] for name in ("events.py", "actions.py"))
-    named = {Path(name).name for name in policy}
-    undecided = {
+    listed = {Path(name).name for name in policy}
+    non_deciding = {
         *("context.py", "timers.py", "decaying.py", "events.py", "actions.py", "settings.py"),
         *("simulator_wire.py", "simulator_host.py", "__init__.py"),
     }
-    assert {p.name for p in Path("balancer").glob("*.py")} == named | undecided, "all that decide are named"
+    assert {p.name for p in Path("balancer").glob("*.py")} == listed | non_deciding, "every deciding module is listed"
 
 
-def test_a_group_goes_where_it_stands_already_until_there_is_less_than_a_third_of_the_spare_capacity() -> None:
-    def placed(load: float) -> int:
-        """Of 40 groups, how many have their second connection beside the first, at this load there."""
+def test_sticky_group_stays_at_its_backend_down_to_a_third_of_the_others_spare_capacity() -> None:
+    def together_at(load: float) -> int:
+        """Of 40 groups, count those whose second connection goes to the first one's backend, at its load `load`."""
         together = 0
         for seed in range(40):
             b = Balancer(
@@ -55,13 +55,13 @@
             assert isinstance(second, StartAttempt) and b.connections.sticky_backends == {group: {"s3": 1}}
             together += second.backend == "s3"
             b.handle(4, AttemptEnded(1, 0, "s3", AttemptResult.OK, True))
-            assert not b.connections.sticky_backends, "nothing is kept of a group that is gone"
+            assert not b.connections.sticky_backends, "a group without connections is removed"
         return together
 
-    assert placed(0.2) >= 36 and placed(0.75) <= 8
+    assert together_at(0.2) >= 36 and together_at(0.75) <= 8
 
 
-def test_places_and_retries_elsewhere() -> None:
+def test_failed_attempt_is_retried_at_another_backend() -> None:
     b = Balancer(Settings(classes=(CLASS,)), 1)
     b.handle(0, EndpointListUpdate(tuple(Endpoint(f"s{n}") for n in range(3))))
     (first,) = b.handle(1, Request(7, 2_000_000))
@@ -74,7 +74,7 @@
     assert second.backend != first.backend
 
 
-def test_no_server_is_refused_once() -> None:
+def test_request_without_backends_is_rejected_once() -> None:
     b = Balancer(Settings(classes=(CLASS,)), 1)
     now, actions = 0, b.handle(0, Request(7, 2_000_000))
     answers: list[Action] = []
@@ -89,7 +89,7 @@
     assert now < 2_000_000
 
 
-def test_a_round_that_finds_no_capacity_is_no_attempt_where_one_attempt_is_allowed() -> None:
+def test_round_without_capacity_does_not_use_up_the_only_attempt() -> None:
     placed = 0
     for seed in range(20):
         b = Balancer(
@@ -104,15 +104,15 @@
         b.handle(0, EndpointListUpdate((Endpoint("s1"), Endpoint("s2"))))
         actions = b.handle(1_000, Request(7, 2_000_000))
         assert any(isinstance(a, CheckHealth) for a in actions)
-        for backend in ("s1", "s2"):  # both are full now
+        for backend in ("s1", "s2"):  # both backends are full
             actions += b.handle(2_000, HealthCheckResult(backend, AttemptResult.OK, load_report=LoadReport(1.5)))
         assert not any(isinstance(a, Reject | Fail) for a in actions), "given up without an attempt"
         (timer, wait) = [(a.timer_id, a.delay_us) for a in actions if isinstance(a, SetTimer)][-1]
-        for backend in ("s1", "s2"):  # and have room again
+        for backend in ("s1", "s2"):  # both have capacity again
             b.handle(2_500, HealthCheckResult(backend, AttemptResult.OK, load_report=LoadReport(0.1)))
         starts = [a for a in b.handle(2_000 + wait, TimerFired(timer)) if isinstance(a, StartAttempt)]
         placed += len(starts)
-        if starts:  # the one attempt fails: nothing more is sent
+        if starts:  # the only attempt fails, so the request is rejected
             actions = b.handle(2_100 + wait, AttemptEnded(7, 0, starts[0].backend, AttemptResult.CONNECT_FAILED))
             assert [a for a in actions if isinstance(a, Reject)] and not any(isinstance(a, SetTimer) for a in actions)
     assert placed >= 10
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""A test for each failure found on the bench, and for each exception to the ordinary path."""
+"""Regression tests for failures found in simulation, and for the exceptional paths of the decision module."""
 
 from __future__ import annotations
 
@@ -53,14 +53,14 @@
 def place(b: Balancer, now: int, request: int, load: dict[str, float], **more: Any) -> list[Action]:
     """Ask for a placement and answer its health checks with `load`."""
     actions = b.handle(now, Request(request, 2_000_000, **more))
-    for probe in of_type(actions, CheckHealth):
+    for check in of_type(actions, CheckHealth):
         actions = actions + b.handle(
-            now, HealthCheckResult(probe.backend, AttemptResult.OK, load_report=LoadReport(load[probe.backend]))
+            now, HealthCheckResult(check.backend, AttemptResult.OK, load_report=LoadReport(load[check.backend]))
         )
     return actions
 
 
-def test_split_prefers_spare_capacity_but_is_no_argmin() -> None:
+def test_pick_prefers_spare_capacity_but_is_random() -> None:
     chosen = [
         of_type(place(node(2, seed, **HEALTH_CHECK_SETTINGS), 1_000, 1, {"s0": 0.2, "s1": 0.4}), StartAttempt)[
             0
@@ -71,15 +71,15 @@
     assert chosen.count("s1") > 10
 
 
-def test_full_servers_get_nothing() -> None:
-    """Guards against running a full fleet into the ground (incident iac0151)."""
+def test_full_backends_get_no_requests() -> None:
+    """Guards against overloading backends that are all full already (incident iac0151)."""
     actions = place(node(2, 1, **HEALTH_CHECK_SETTINGS), 1_000, 1, {"s0": 0.9, "s1": 1.2})
     assert not of_type(actions, StartAttempt)
     assert of_type(actions, SetTimer)
 
 
-def test_waiting_clients_do_not_herd_into_the_last_capacity() -> None:
-    """Guards against many nodes filling one place within the lag of reports (incident i254692)."""
+def test_waiting_requests_do_not_herd_into_the_last_capacity() -> None:
+    """Guards against many nodes using the same spare capacity before load reports show it (incident i254692)."""
     b = node(2, 1, fleet_size=50, **HEALTH_CHECK_SETTINGS)
     for n in range(40):
         adopt(b, 1_000 + n, f"s{n % 2}")
@@ -89,24 +89,24 @@
     assert starts < 12
 
 
-def test_those_left_after_a_lost_zone_are_not_loaded_past_their_capacity_by_all_nodes_at_once() -> None:
-    """Guards against a guard that counts the lost servers among those which share what all nodes send."""
+def test_backends_left_after_a_zone_failure_are_not_overloaded_by_all_nodes_at_once() -> None:
+    """Guards against a herding guard that counts failed backends among those that share the requests of all nodes."""
     starts = 0
     for seed in range(40):
         b = node(8, seed, fleet_size=40, **HEALTH_CHECK_SETTINGS)
-        for n in range(10):  # 50 a server, over all nodes
+        for n in range(10):  # 50 connections a backend, over all nodes
             adopt(b, 1_000 + n, f"s{n % 8}")
         for n in range(4):
             b.handle(1_000, HealthCheckResult(f"s{n}", AttemptResult.CONNECT_FAILED))
-        for n in range(5):  # half of what stood comes back
+        for n in range(5):  # half of the clients reconnect
             starts += len(
                 of_type(place(b, 2_000 + n, n, {f"s{m}": 0.1 if m < 4 else 0.7 for m in range(8)}), StartAttempt)
             )
-    assert starts < 100, "of 200 that come; four servers have room for 5 each"
+    assert starts < 100, "of 200 requests; four backends have capacity for 5 each"
 
 
-def test_errors_throttle_placements() -> None:
-    """Guards against drowning a store that all servers share (incident i7fcf25)."""
+def test_errors_throttle_attempts() -> None:
+    """Guards against overloading a data store that all backends share (incident i7fcf25)."""
     b, sent = node(5), 0
     for n in range(100):
         for start in of_type(b.handle(10_000 * n, Request(n, 2_000_000)), StartAttempt):
@@ -115,22 +115,24 @@
     assert 1 <= sent < 25
 
 
-def test_late_messages_move_a_few_to_where_load_is_low() -> None:
+def test_late_messages_migrate_connections_down_to_the_target_load() -> None:
     b = node(2, 1, **HEALTH_CHECK_SETTINGS)
     for n in range(40):
         adopt(b, n, "s0")
-    probe = of_type(b.handle(1_000, MessageLatencyReport(0, "s0", 150_000)), CheckHealth)
-    assert [p.backend for p in probe] == ["s0"]
+    check = of_type(b.handle(1_000, MessageLatencyReport(0, "s0", 150_000)), CheckHealth)
+    assert [p.backend for p in check] == ["s0"]
     actions = b.handle(2_000, HealthCheckResult("s0", AttemptResult.OK, load_report=LoadReport(1.4)))
     assert of_type(actions, WriteLog)
     moved = []
     for timer in of_type(actions, SetTimer):
         moved += of_type(b.handle(2_000 + timer.delay_us, TimerFired(timer.timer_id)), Migrate)
     assert len(moved) in (20, 21)
-    assert not b.handle(500_000, MessageLatencyReport(30, "s0", 150_000)), "held until reports catch up"
+    assert not b.handle(500_000, MessageLatencyReport(30, "s0", 150_000)), (
+        "the next round waits until reports catch up"
+    )
 
 
-def test_a_server_at_ease_keeps_its_connections() -> None:
+def test_backend_with_low_load_keeps_its_connections_despite_late_messages() -> None:
     b = node(2, 1, **HEALTH_CHECK_SETTINGS)
     adopt(b, 1, "s0")
     b.handle(1_000, MessageLatencyReport(1, "s0", 150_000))
@@ -139,7 +141,7 @@
     )
 
 
-def test_no_probe_where_none_is_allowed() -> None:
+def test_no_health_check_is_sent_where_none_is_allowed() -> None:
     b = node(2)
     for n in range(5):
         adopt(b, n, "s0")
@@ -152,7 +154,7 @@
     assert not of_type(actions, CheckHealth)
 
 
-def test_retries_after_a_list_error_are_jittered_and_backed_off() -> None:
+def test_retries_after_an_endpoint_list_error_have_backoff_and_jitter() -> None:
     b = node(1, 5, polls_endpoint_list=True)
     waits = [of_type(b.handle(10_000_000 * n, EndpointListError()), SetTimer)[0].delay_us for n in range(8)]
     assert len(set(waits)) > 4
@@ -166,16 +168,16 @@
     assert len(lines) == 4
 
 
-def test_full_list_without_a_server_and_a_restart_under_the_same_name() -> None:
+def test_complete_list_removes_a_backend_and_a_restarted_one_loses_its_state() -> None:
     b = node(2, 1, **HEALTH_CHECK_SETTINGS)
     place(b, 1_000, 1, {"s0": 0.1, "s1": 0.1})
     b.handle(2_000, EndpointListUpdate((Endpoint("s1", started_us=2_000),)))
     actions = b.handle(3_000, Request(2, 2_000_000))
-    # The only server left is asked for its load again, as its process is a new one.
+    # The load of the only backend left is requested again, as it is a new process.
     assert len(of_type(actions, StartAttempt)) == 1 and of_type(actions, StartAttempt)[0].backend == "s1"
 
 
-def test_unknown_requests_and_servers_are_ignored() -> None:
+def test_events_for_unknown_requests_and_backends_are_ignored() -> None:
     b = node(2)
     for event in (
         AttemptEnded(99, 0, "zz", AttemptResult.RESET, is_final=True),
@@ -188,7 +190,7 @@
         assert b.handle(1, event) == []
 
 
-def test_absurd_reports_count_as_none() -> None:
+def test_implausible_load_reports_are_ignored() -> None:
     for load in (-1.0, float("nan"), float("inf"), 1e9):
         b = node(2, 1, **HEALTH_CHECK_SETTINGS)
         assert of_type(place(b, 1_000, 1, {"s0": load, "s1": load}), StartAttempt)
@@ -212,7 +214,7 @@
 """
 
 
-def test_same_events_same_actions_in_any_process() -> None:
+def test_same_events_give_the_same_actions_in_any_process() -> None:
     outputs = {
         subprocess.run(
             [sys.executable, "-c", PROGRAM],
@@ -226,25 +228,26 @@
     assert len(outputs) == 1 and "StartAttempt(" in outputs.pop()
 
 
-def test_a_server_that_errs_in_a_row_is_ejected_and_holds_nobody_else_back() -> None:
-    """Guards against one backend that answers ERR at once, looks idle, draws all, and feeds the throttle."""
+def test_backend_with_consecutive_errors_is_ejected_without_throttling_others() -> None:
+    """Guards against a backend that answers ERR at once: it looks idle, attracts all requests, and its errors would
+    throttle requests to other backends too."""
     b = node(4, 1, **HEALTH_CHECK_SETTINGS)
-    now, erring, errors, stood = 1_000, "s1", 0, 0
+    now, failing, errors, established = 1_000, "s1", 0, 0
     for n in range(60):
         now += 150_000
         starts = of_type(place(b, now, n, {"s0": 0.3, "s1": 0.1, "s2": 0.3, "s3": 0.3}), StartAttempt)
         tried = [s.backend for s in starts]
-        if tried == [erring]:
+        if tried == [failing]:
             errors += 1
-            b.handle(now, AttemptEnded(n, 0, erring, AttemptResult.ERROR))
+            b.handle(now, AttemptEnded(n, 0, failing, AttemptResult.ERROR))
         elif tried:
-            stood += 1
+            established += 1
             b.handle(now, ConnectionEstablished(n, 0, tried[0]))
-    assert errors <= 6 and stood >= 50
+    assert errors <= 6 and established >= 50
 
 
-def test_one_error_may_be_the_requests_own_doing() -> None:
-    """Guards against requests that a backend can't use: its ERR to them must not tell against it."""
+def test_single_errors_neither_eject_the_backend_nor_throttle() -> None:
+    """Guards against invalid requests: a backend that answers ERR to them must not count as faulty."""
     b = node(1, 1)
     for n in range(40):
         now = 1_000 + n * 20_000
@@ -256,7 +259,7 @@
     assert b.endpoints.backends["s0"].ejected_until_us == 0 and b.throttle.failures.value == 0
 
 
-def cross_and_same_zone(load: float, price: float) -> list[str]:
+def chosen_backends(load: float, price: float) -> list[str]:
     chosen = []
     for seed in range(60):
         b = Balancer(Settings(**{**HEALTH_CHECK_SETTINGS, "cross_zone_cost": price, "zone": 1}), seed)
@@ -266,19 +269,19 @@
     return chosen
 
 
-def test_servers_of_the_zone_are_preferred_while_they_have_capacity_and_crossings_cost() -> None:
+def test_backends_of_the_zone_are_preferred_where_crossing_zones_costs() -> None:
     near = [
-        sum(s in ("s1", "s3", "s5") for s in cross_and_same_zone(*drawn))
+        sum(s in ("s1", "s3", "s5") for s in chosen_backends(*drawn))
         for drawn in ((0.3, 0.1), (0.3, 0.0), (0.7, 0.1))
     ]
     assert near[0] >= 50 and near[1] < 45 and near[2] >= 50
 
 
-def homeward(
+def return_times_ms(
     near: float, price: float = 0.1, started_us: int = 0, third: BackendState = BackendState.READY, **request: Any
 ) -> list[int]:
-    """When, of twenty connections that stand in the other zone, those move that do in 30 s, in ms; the server near
-    reports `near`."""
+    """Return the times in ms at which connections, of 20 in the other zone, migrate within 30 s. The backend `near`
+    reports the load `near`."""
     b = Balancer(
         Settings(
             **{**HEALTH_CHECK_SETTINGS, "cross_zone_cost": price, "warm_up_us": 60_000_000, "initial_capacity": 0.2}
@@ -312,31 +315,31 @@
     return moved
 
 
-def test_connections_that_cross_zones_come_home_spread_once_there_is_capacity() -> None:
-    """Guards against paying for a crossing each second of a long life where one move would end it."""
-    moved = homeward(0.3)
+def test_cross_zone_connections_return_spread_over_time_once_there_is_capacity() -> None:
+    """Guards against paying for cross-zone traffic for a connection's lifetime where one move would end it."""
+    moved = return_times_ms(0.3)
     assert len(moved) == 20 and moved[-1] - moved[0] > 5_000
-    assert not homeward(0.7), "no room near"
-    assert not homeward(0.3, price=0.0), "crossings are free"
-    assert not homeward(0.3, is_reconnect=True), "at most one move for it"
-    assert not homeward(0.1, started_us=1), "warming servers have no spare capacity, whatever they report"
-    assert not homeward(0.3, third=BackendState.DRAINING), "set-ups enough while a server is emptied"
+    assert not return_times_ms(0.7), "the near backend has no capacity"
+    assert not return_times_ms(0.3, price=0.0), "crossing zones is free"
+    assert not return_times_ms(0.3, is_reconnect=True), "a connection returns at most once"
+    assert not return_times_ms(0.1, started_us=1), "a warming backend gets no returns, whatever load it reports"
+    assert not return_times_ms(0.3, third=BackendState.DRAINING), "no returns while a backend is draining"
 
 
-def test_servers_of_another_zone_are_taken_where_those_of_this_one_are_full() -> None:
+def test_backend_of_another_zone_is_used_if_those_of_this_zone_are_full() -> None:
     b = Balancer(Settings(**{**HEALTH_CHECK_SETTINGS, "cross_zone_cost": 0.1, "zone": 1}), 1)
     b.handle(0, EndpointListUpdate((Endpoint("near", zone=1), Endpoint("far", zone=0))))
     (start,) = of_type(place(b, 1_000, 1, {"near": 0.79, "far": 0.1}), StartAttempt)
     assert start.backend == "far"
 
 
-def crowd(begin_us: int = 0, **settings: Any) -> int:
-    """How many of a hundred that come within a second a node places that started `begin_us` ago and has none."""
+def placed_of_burst(uptime_us: int = 0, **settings: Any) -> int:
+    """Count the requests that a node without connections, up for `uptime_us`, places of 100 within a second."""
     b = Balancer(Settings(**{**HEALTH_CHECK_SETTINGS, "fleet_size": 2, **settings}), 1)
     b.handle(0, EndpointListUpdate(tuple(Endpoint(f"s{n}", weight=4.0) for n in range(5))))
     placed = 0
     for n in range(100):
-        now = begin_us + 1_000 + n * 10_000
+        now = uptime_us + 1_000 + n * 10_000
         starts = of_type(place(b, now, n, {f"s{k}": 0.2 for k in range(5)}), StartAttempt)
         placed += len(starts)
         if starts:
@@ -345,17 +348,17 @@
     return placed
 
 
-def test_a_node_that_has_just_started_takes_in_the_crowd_that_its_restart_sent_away() -> None:
-    assert crowd(weight_kind=WeightKind.ROUGH) > 90 > crowd()
+def test_restarted_node_accepts_the_burst_of_reconnects_after_its_restart() -> None:
+    assert placed_of_burst(weight_kind=WeightKind.ROUGH) > 90 > placed_of_burst()
 
 
-def test_a_node_with_few_connections_takes_in_the_crowd_that_another_sends_away() -> None:
-    """Guards against a relay that was emptied itself some seconds ago and takes big backends for small ones."""
-    assert crowd(60_000_000, weight_kind=WeightKind.ROUGH) > 90 > crowd(60_000_000)
+def test_node_with_few_connections_accepts_a_burst_from_another_node() -> None:
+    """Guards against a node that was drained some seconds ago and underestimates the capacity of large backends."""
+    assert placed_of_burst(60_000_000, weight_kind=WeightKind.ROUGH) > 90 > placed_of_burst(60_000_000)
 
 
-def moved_at(report: float, mean: float, latency_reported: bool = False) -> int:
-    """How many of twenty are moved off a server whose health check says `report`."""
+def moved_after_report(report: float, mean: float, latency_reported: bool = False) -> int:
+    """Count the connections, of 20, that are moved off a backend which reports the load `report`."""
     b = node(2, 1, **HEALTH_CHECK_SETTINGS)
     b.load_estimate.mean_load = mean
     for n in range(20):
@@ -366,24 +369,28 @@
     return sum(len(of_type(b.handle(1_100_000, TimerFired(t.timer_id)), Migrate)) for t in of_type(actions, SetTimer))
 
 
-def test_a_report_near_full_moves_some_where_messages_show_nothing_and_others_have_capacity() -> None:
-    """Guards against a backend that stands at 0.86 for long while the others are half empty."""
-    assert 2 <= moved_at(0.9, 0.3) <= 8
-    assert not moved_at(0.8, 0.3) and not moved_at(0.9, 0.7) and not moved_at(0.9, 0.3, latency_reported=True)
+def test_report_near_full_load_migrates_some_if_no_latency_is_reported_and_others_have_capacity() -> None:
+    """Guards against a backend that stays at a load of 0.86 for long while the others are half empty."""
+    assert 2 <= moved_after_report(0.9, 0.3) <= 8
+    assert (
+        not moved_after_report(0.8, 0.3)
+        and not moved_after_report(0.9, 0.7)
+        and not moved_after_report(0.9, 0.3, latency_reported=True)
+    )
 
 
-def test_what_comes_back_to_a_new_node_is_not_held_off_as_a_herd() -> None:
-    """Guards against a crowd sent away by a restart that counts itself anew with each wait."""
+def test_reconnects_to_a_new_node_are_not_blocked_as_herding() -> None:
+    """Guards against counting the waiting reconnects after a restart as new demand in each placement round."""
 
     def placed(back: bool) -> int:
         b, starts = node(2, 1, fleet_size=2, **HEALTH_CHECK_SETTINGS), 0
         for n in range(60):
-            probes = b.handle(1_000 * n, Request(n, 2_000_000, is_reconnect=back))
-            for probe in of_type(probes, CheckHealth):
-                probes = probes + b.handle(
-                    1_000 * n, HealthCheckResult(probe.backend, AttemptResult.OK, load_report=LoadReport(0.2))
+            checks = b.handle(1_000 * n, Request(n, 2_000_000, is_reconnect=back))
+            for check in of_type(checks, CheckHealth):
+                checks = checks + b.handle(
+                    1_000 * n, HealthCheckResult(check.backend, AttemptResult.OK, load_report=LoadReport(0.2))
                 )
-            for start in of_type(probes, StartAttempt):
+            for start in of_type(checks, StartAttempt):
                 starts += 1
                 b.handle(1_000 * n, AttemptEnded(n, 0, start.backend, AttemptResult.CANCELLED))
             for backend in b.endpoints.backends.values():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,8 @@
-"""The four rules as invariants over seeded random event sequences, through the interface."""
+"""Invariants of the decision module over seeded random event sequences, tested through its interface.
+
+No request is executed twice unless its class allows that, each gets one final answer or connection in time, and
+neither draining backends nor disallowed health checks are used.
+"""
 
 from __future__ import annotations
 
@@ -28,16 +32,16 @@
 from balancer.settings import Idempotency, KeyScope, LoadReportSource, RequestClass, Settings, WeightKind
 
 
-class Node:
-    """Drives one balancer with random servers, outcomes, health checks and list changes; checks each action."""
+class RandomHost:
+    """Drives one balancer with random backends, results, health checks and list changes, and checks each action."""
 
     def __init__(self, seed: int) -> None:
         r = self.r = Random(seed)
-        repeat, scope = r.choice(list(Idempotency)), r.choice(list(KeyScope))
+        idempotency_kind, scope = r.choice(list(Idempotency)), r.choice(list(KeyScope))
         self.request_class = RequestClass(
             latency_objective_us=r.choice([100_000, 500_000]),
             deadline_us=r.choice([400_000, 2_000_000]),
-            idempotency=repeat,
+            idempotency=idempotency_kind,
             key_scope=scope,
             dedup_window_us=r.choice([200_000, 5_000_000]),
             message_latency_objective_us=100_000,
@@ -61,9 +65,9 @@
         self.queue: list[tuple[int, int, Event]] = []
         self.count = 0
         self.deadline: dict[int, int] = {}
-        self.pending: dict[int, int] = {}  # request -> attempt that is out
+        self.pending: dict[int, int] = {}  # number of the attempt in flight, by request id
         self.attempts: dict[int, list[tuple[Endpoint, int, bool]]] = {}
-        self.standing: dict[int, str] = {}
+        self.established: dict[int, str] = {}
         self.answered: set[int] = set()
         self.backends = {
             f"s{n}": Endpoint(
@@ -85,15 +89,19 @@
         r = self.r
         if isinstance(a, StartAttempt):
             assert a.request_id in self.deadline and a.request_id not in self.answered
-            assert a.request_id not in self.pending and a.request_id not in self.standing, "second copy"
+            assert a.request_id not in self.pending and a.request_id not in self.established, (
+                "second attempt while one is in flight or established"
+            )
             entry = self.backends[a.backend]
-            assert entry.state is BackendState.READY, "sent to a draining or gone server"
+            assert entry.state is BackendState.READY, "sent to a backend that is not ready"
             past = self.attempts.setdefault(a.request_id, [])
             assert len(past) < self.settings.max_attempts
             for earlier, at, may_have_run in past:
                 assert earlier.backend != a.backend or not may_have_run
                 if may_have_run:
-                    assert self.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT, "doubled effect"
+                    assert self.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT, (
+                        "possible double execution"
+                    )
                     if self.request_class.idempotency is Idempotency.KEYED:
                         assert self.now < at + self.request_class.dedup_window_us
                         assert self.request_class.key_scope is not KeyScope.ZONE or earlier.zone == entry.zone
@@ -101,7 +109,7 @@
             result = r.choice(list(AttemptResult))
             if result is AttemptResult.NOT_SENT:
                 result = AttemptResult.OK
-            took = min(r.choice([1_000, 50_000, a.timeout_us]), a.timeout_us)  # a host ends it by then
+            took = min(r.choice([1_000, 50_000, a.timeout_us]), a.timeout_us)  # the host enforces the timeout
             past.append((entry, self.now, result not in NEVER_EXECUTED))
             self.pending[a.request_id] = len(past) - 1
             if result is AttemptResult.OK:
@@ -109,7 +117,7 @@
             else:
                 self.later(took, AttemptEnded(a.request_id, len(past) - 1, a.backend, result))
         elif isinstance(a, (Reject, Fail)):
-            assert a.request_id in self.deadline and a.request_id not in self.answered, "two answers"
+            assert a.request_id in self.deadline and a.request_id not in self.answered, "second final answer"
             assert a.request_id not in self.pending and self.now <= self.deadline[a.request_id] + 1_000
             executed = any(may for _, _, may in self.attempts.get(a.request_id, []))
             if isinstance(a, Reject) and executed:
@@ -133,8 +141,8 @@
             assert a.delay_us >= 1
             self.later(a.delay_us, TimerFired(a.timer_id))
         elif isinstance(a, Migrate):
-            assert a.request_id in self.standing
-            del self.standing[a.request_id]
+            assert a.request_id in self.established
+            del self.established[a.request_id]
         elif isinstance(a, WatchEndpointList):
             assert self.settings.polls_endpoint_list
             self.later(10_000, EndpointListError() if r.random() < 0.5 else EndpointListUpdate((), is_complete=False))
@@ -149,7 +157,7 @@
                 self.now = max(self.now, at)
                 if isinstance(event, ConnectionEstablished):
                     self.pending.pop(event.request_id, None)
-                    self.standing[event.request_id] = event.backend
+                    self.established[event.request_id] = event.backend
                     self.answered.add(event.request_id)
                 elif isinstance(event, AttemptEnded):
                     self.pending.pop(event.request_id, None)
@@ -182,8 +190,8 @@
                 )
                 self.backends[name] = entry
                 self.feed(EndpointListUpdate((entry,), is_complete=False))
-            elif pick < 0.9 and self.standing:
-                request, backend = next(iter(self.standing.items()))
+            elif pick < 0.9 and self.established:
+                request, backend = next(iter(self.established.items()))
                 self.feed(MessageLatencyReport(request, backend, r.choice([1.0, 9e5, float("nan")])))
             elif self.deadline:
                 request = r.choice(sorted(self.deadline))
@@ -197,7 +205,7 @@
             if isinstance(event, (ConnectionEstablished, AttemptEnded)):
                 self.pending.pop(event.request_id, None)
                 if isinstance(event, ConnectionEstablished):
-                    self.standing[event.request_id] = event.backend
+                    self.established[event.request_id] = event.backend
                     self.answered.add(event.request_id)
             if (
                 isinstance(event, TimerFired)
@@ -205,16 +213,16 @@
                 or not isinstance(event, (EndpointListError, EndpointListUpdate))
             ):
                 self.feed(event)
-        assert set(self.deadline) == self.answered, "a request without its answer"
+        assert set(self.deadline) == self.answered, "a request without connection or final answer"
 
 
 @pytest.mark.parametrize("seed", range(300))
-def test_rules_hold_over_random_events(seed: int) -> None:
-    Node(seed).run(150)
+def test_rules_hold_for_random_event_sequences(seed: int) -> None:
+    RandomHost(seed).run(150)
 
 
-def test_late_probe_does_not_place_twice() -> None:
-    """Guards against a hedged request: the timer placed the request, then the missing health check came back."""
+def test_late_health_check_result_does_not_place_a_request_twice() -> None:
+    """Guards against a second attempt when a health check result arrives after the timer has placed the request."""
     request_class = RequestClass(latency_objective_us=500_000, deadline_us=2_000_000)
     b = Balancer(
         Settings(classes=(request_class,), may_check_health=True, load_report_source=LoadReportSource.HEALTH_CHECKS),
@@ -222,12 +230,12 @@
     )
     b.handle(0, EndpointListUpdate(tuple(Endpoint(f"s{n}") for n in range(3))))
     actions = b.handle(1, Request(1, 2_000_000))
-    probes = [a.backend for a in actions if isinstance(a, CheckHealth)]
+    checked = [a.backend for a in actions if isinstance(a, CheckHealth)]
     timer = next(a for a in actions if isinstance(a, SetTimer))
-    assert len(probes) >= 2
-    b.handle(2, HealthCheckResult(probes[0], AttemptResult.OK, load_report=LoadReport(0.1)))
+    assert len(checked) >= 2
+    b.handle(2, HealthCheckResult(checked[0], AttemptResult.OK, load_report=LoadReport(0.1)))
     placed = b.handle(1 + timer.delay_us, TimerFired(timer.timer_id))
     assert any(isinstance(a, StartAttempt) for a in placed)
-    for name in probes[1:]:
+    for name in checked[1:]:
         later = b.handle(200_000, HealthCheckResult(name, AttemptResult.OK, load_report=LoadReport(0.1)))
         assert not any(isinstance(a, StartAttempt) for a in later)
--- a/tests/test_send_slots.py
+++ b/tests/test_send_slots.py
@@ -1,4 +1,4 @@
-"""Send slots in slow start: whatever is drawn, their sum is what a server tolerates, and all nodes have some."""
+"""Send slots in slow start: no window has more than a backend tolerates, and every node gets some."""
 
 from __future__ import annotations
 
@@ -37,20 +37,20 @@
 )
 
 
-def placed(schedule: SlotSchedule, position: int, processes: int = 1) -> SlotSchedule:
-    """The same for the node at a position."""
+def at_position(schedule: SlotSchedule, position: int, processes: int = 1) -> SlotSchedule:
+    """Return the same schedule for the node at a position."""
     return SlotSchedule(position, schedule.nodes, schedule.window_us, schedule.late_us, processes)
 
 
 def all_slots(schedule: SlotSchedule, mean: float, processes: int = 1) -> list[tuple[SendSlot, int]]:
-    """The slots of all nodes and their processes at one server over some periods, by time, and whose they are."""
+    """Return the slots of all processes of all nodes at one backend over some periods, by time, with positions."""
     return sorted(
         (
             (slot, position)
             for position in range(schedule.nodes)
             for _ in range(processes)
             for period in range(PERIODS)
-            for slot in placed(schedule, position, processes).assign("s0", period, mean, Random(1))
+            for slot in at_position(schedule, position, processes).assign("s0", period, mean, Random(1))
         ),
         key=lambda pair: pair[0].start_us,
     )
@@ -58,10 +58,10 @@
 
 @settings(deadline=None, max_examples=60)
 @given(SCHEDULES, st.floats(0.0, 120.0), st.integers(1, 2))
-def test_no_span_has_more_slots_than_the_server_tolerates(
+def test_no_window_has_more_slots_than_a_backend_tolerates(
     schedule: SlotSchedule, mean: float, processes: int
 ) -> None:
-    """Each slot is used at its worst moment, and the request arrives as late as it may."""
+    """Covers the worst case: a slot is used whenever it is open, and the request arrives as late as allowed."""
     starts = [slot.start_us for slot, _ in all_slots(schedule, mean, processes)]
     reach_us = schedule.window_us + schedule.open_us + schedule.late_us
     for number, start in enumerate(starts):
@@ -70,22 +70,22 @@
 
 @settings(deadline=None, max_examples=60)
 @given(SCHEDULES, st.floats(0.0, 120.0))
-def test_all_slots_are_assigned_and_each_node_has_some_in_its_time(schedule: SlotSchedule, mean: float) -> None:
-    """Guards against a server that stays idle, and against relays that never may send to it."""
-    count = placed(schedule, 0).slots_per_period(mean)
-    whose = Counter(
+def test_all_slots_are_assigned_and_each_node_gets_some(schedule: SlotSchedule, mean: float) -> None:
+    """Guards against a backend that stays idle, and against nodes that may never send to it."""
+    count = at_position(schedule, 0).slots_per_period(mean)
+    slots_by_position = Counter(
         position
         for position in range(schedule.nodes)
         for period in range(schedule.nodes)
-        for _ in placed(schedule, position).assign("s0", period, mean, Random(1))
+        for _ in at_position(schedule, position).assign("s0", period, mean, Random(1))
     )
     if count <= 64:
-        assert sum(whose.values()) == count * schedule.nodes
-    assert len(whose) == schedule.nodes
+        assert sum(slots_by_position.values()) == count * schedule.nodes
+    assert len(slots_by_position) == schedule.nodes
 
 
 def balancer(started_us: int = 0, **more: object) -> Balancer:
-    """A node alone in its fleet, before one warm server that is full and one that is in slow start."""
+    """Return a node that is alone in its fleet, with one warm backend and one in slow start."""
     b = Balancer(
         Settings(
             **{**HEALTH_CHECK_SETTINGS, "initial_capacity": 0.12, "warm_up_us": 20_000_000, "position": 0, **more}
@@ -100,15 +100,15 @@
     return Endpoint("warm"), Endpoint("cold", started_us=started_us)
 
 
-def sent(b: Balancer, now: int, first: int, many: int = 20) -> list[int]:
-    """Of so many requests that come at once, those that are sent to the warming server."""
+def sent_to_warming(b: Balancer, now: int, first: int, requests: int = 20) -> list[int]:
+    """Send simultaneous requests and return the ids of those that go to the backend in slow start."""
     loads = {"warm": 0.95, "cold": 0.0}
-    starts = [start for n in range(many) for start in of_type(place(b, now, first + n, loads), StartAttempt)]
+    starts = [start for n in range(requests) for start in of_type(place(b, now, first + n, loads), StartAttempt)]
     return [start.request_id for start in starts if start.backend == "cold"]
 
 
-def test_what_has_ended_was_sent_all_the_same() -> None:
-    """Guards against capacity that is free again at once: the rule counts what was rejected, reset or served."""
+def test_ended_requests_still_count_as_sent() -> None:
+    """Guards against freeing a slot when its request ends: rejected, reset and served requests count all the same."""
     for result in (
         AttemptResult.OVERLOADED,
         AttemptResult.RESET,
@@ -118,45 +118,45 @@
     ):
         b, now, requests = balancer(1), 10_000_000, list[int]()
         for first in range(1, 400, 20):
-            for request in sent(b, now, first):
+            for request in sent_to_warming(b, now, first):
                 requests.append(request)
                 b.handle(now, AttemptEnded(request, 0, "cold", result, is_final=True))
             now += 50_000
         assert len(requests) <= allowed(3 * (0.12 + 0.88 * 11 / 20) * 10 / 20), result
 
 
-def test_a_whole_list_and_a_return_under_its_name_forget_nothing() -> None:
+def test_used_slots_stay_used_after_a_list_update_or_a_backend_restart() -> None:
     b, now = balancer(1), 10_000_000
-    before = len(sent(b, now, 1))
+    before = len(sent_to_warming(b, now, 1))
     assert before
     b.handle(now, EndpointListUpdate(backends(1)))
-    assert not sent(b, now + 1, 100), "the same list, whole"
+    assert not sent_to_warming(b, now + 1, 100), "the same complete list"
     b.handle(now, EndpointListUpdate((Endpoint("warm"),)))
     b.handle(now, EndpointListUpdate(backends(1)))
-    assert not sent(b, now + 2, 200), "it was out of the list for a moment"
+    assert not sent_to_warming(b, now + 2, 200), "removed from the list and added again"
     b.handle(now, EndpointListUpdate(backends(now - 1_000)))
-    assert not sent(b, now + 3, 300), "a new process, which may get what was sent to the one before"
+    assert not sent_to_warming(b, now + 3, 300), "a new process, which may receive requests sent to the previous one"
 
 
-def test_a_process_that_starts_has_used_its_slots() -> None:
-    """Guards against a crash: nobody knows what the process before sent a moment ago."""
+def test_started_process_first_waits_as_if_its_slots_had_been_used() -> None:
+    """Guards against a restart after a crash: the requests that the previous process has just sent are unknown."""
     b = Balancer(
         Settings(**{**HEALTH_CHECK_SETTINGS, "initial_capacity": 0.12, "warm_up_us": 20_000_000, "position": 0}), 1
     )
     b.handle(10_000_000, EndpointListUpdate(backends(1)))
-    assert not sent(b, 10_000_000, 1) and not sent(b, 11_000_000, 100)
-    assert sent(b, 13_000_000, 200)
+    assert not sent_to_warming(b, 10_000_000, 1) and not sent_to_warming(b, 11_000_000, 100)
+    assert sent_to_warming(b, 13_000_000, 200)
 
 
-def test_new_settings_count_what_was_sent_under_the_old_ones() -> None:
+def test_requests_sent_under_old_settings_count_under_new_ones() -> None:
     b, now = balancer(1), 10_000_000
-    assert sent(b, now, 1)
+    assert sent_to_warming(b, now, 1)
     b.handle(now, SettingsChanged(b.context.settings))
-    assert not sent(b, now + 1, 100) and sent(b, now + 3_000_000, 200)
+    assert not sent_to_warming(b, now + 1, 100) and sent_to_warming(b, now + 3_000_000, 200)
 
 
-def test_requests_without_capacity_wait_for_the_slots_of_their_relay() -> None:
-    """Guards against rejections while a server in slow start has slots left: each slot finds a request that waits."""
+def test_requests_without_capacity_wait_for_the_send_slots_of_their_node() -> None:
+    """Guards against rejecting requests while slots are left: each slot is used by a request that waits for it."""
     b, now, end = balancer(1, fleet_size=2), 10_000_000, 12_000_000
     b.context.now_us = now
     slots = [slot for slot in b.slow_start.unused_slots() if now < slot.end_us <= end]
@@ -170,15 +170,15 @@
         at, timer = min(timers)
         timers.remove((at, timer))
         actions = b.handle(at, TimerFired(timer))
-        for probe in of_type(actions, CheckHealth):
-            report = LoadReport({"warm": 0.95, "cold": 0.0}[probe.backend])
-            actions = actions + b.handle(at, HealthCheckResult(probe.backend, AttemptResult.OK, load_report=report))
+        for check in of_type(actions, CheckHealth):
+            report = LoadReport({"warm": 0.95, "cold": 0.0}[check.backend])
+            actions = actions + b.handle(at, HealthCheckResult(check.backend, AttemptResult.OK, load_report=report))
         timers += [(at + wait.delay_us, wait.timer_id) for wait in of_type(actions, SetTimer)]
     assert all(slot.used for slot in slots)
 
 
-def test_slots_are_no_more_than_a_table_for_each_server_and_period() -> None:
-    """Guards memory: what lies in the past is dropped, whatever was assigned."""
+def test_slot_table_drops_past_periods() -> None:
+    """Guards against memory growth."""
     table = SendSlotTable(SlotSchedule(0, 4, 1_000_000), Random(1), 0)
     for second in range(100):
         for n in range(20):
