--- a/balancer/send_slots.py
+++ b/balancer/send_slots.py
@@ -156,7 +156,7 @@
         `mean_sends` returns the requests that all nodes may send it in the window that ends at a given time.
         """
         period = now_us // self.schedule.period_us
-        for past in [assigned for assigned in self.periods if assigned < period - 1]:
+        for past in [earlier for earlier in self.periods if earlier < period - 1]:
             del self.periods[past]
         return [
             slot
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -207,7 +207,8 @@
     def _mean_sends(self, backend: Backend, at_us: int) -> float:
         """Return the requests that all nodes together may send a warming backend per overload window.
 
-        It is a multiple (a setting) of the rate at which new connections fill the backend over its warm-up.
+        New connections should fill the backend over its warm-up and no faster; a multiple (a setting) of that
+        rate is allowed.
         """
         settings = self._context.settings
         capacity = available_capacity(settings, backend.entry.started_us, at_us)
