--- a/gradefront/admin/server.py
+++ b/gradefront/admin/server.py
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import ServerFactory
 
 from gradefront.core.relay import RelayCore
-from gradefront.net.base import Lines
+from gradefront.net.base import LineProtocol
 from gradefront.net.closing import ConnectionCloser
 
 log = logging.getLogger("gradefront.admin")
@@ -26,7 +26,7 @@
 Answer = Callable[[], list[str]]
 
 
-class AdminProtocol(Lines):
+class AdminProtocol(LineProtocol):
     """The connection of one caller."""
 
     delimiter = b"\n"  # with or without a CR before it
@@ -109,7 +109,7 @@
     def end(self) -> None:
         """The process ends: answer the calls that have come, and whoever has made none."""
         for caller in list(self.callers):
-            caller.catch_up()
+            caller.read_available()
             caller.answer(["fail the relay ends"])
         self.closing.close_all()
 
--- a/gradefront/listening.py
+++ b/gradefront/listening.py
@@ -42,11 +42,11 @@
     """
 
     def __init__(
-        self, config: Config, front: ClientProtocolFactory, reactor: Reactor, inherited: socket.socket | None
+        self, config: Config, client_factory: ClientProtocolFactory, reactor: Reactor, inherited: socket.socket | None
     ) -> None:
         self.relay_name = config.name
         self.address = config.listen
-        self.front = front
+        self.client_factory = client_factory
         self.reactor = reactor
         self.inherited = inherited
         self.port: Any = None
@@ -55,15 +55,15 @@
     def listen(self) -> None:
         """Listen on the configured address. Raises CannotListenError."""
         host, port = self.address
-        self.port = self.reactor.listenTCP(port, self.front, BACKLOG, host)
+        self.port = self.reactor.listenTCP(port, self.client_factory, BACKLOG, host)
 
     def adopt(self) -> None:
         """Accept clients on the inherited listener, beside the process that already does."""
         assert self.inherited
-        self.port = self.reactor.adoptStreamPort(self.inherited.fileno(), socket.AF_INET, self.front)
+        self.port = self.reactor.adoptStreamPort(self.inherited.fileno(), socket.AF_INET, self.client_factory)
         if "TMPDIR" in os.environ:
             self.handover_receiver = HandoverReceiver(
-                self.front.core, self.front, self.reactor, Path(os.environ["TMPDIR"])
+                self.client_factory.core, self.client_factory, self.reactor, Path(os.environ["TMPDIR"])
             )
             self.handover_receiver.open()
         log.info("relay %s takes clients from descriptor %d", self.relay_name, self.inherited.fileno())
@@ -82,10 +82,10 @@
         if self.port:
             self.port.drop_new_handshakes()
 
-    def accept_last_and_close(self) -> None:
+    def accept_pending_and_close(self) -> None:
         """Accept those that wait, then no more. The queue of an inherited listener stays with the platform."""
         if self.port:
-            self.port.accept_last_and_close()
+            self.port.accept_pending_and_close()
 
     def close_handover(self) -> None:
         """Take over no more connections."""
--- a/gradefront/net/backend_connection.py
+++ b/gradefront/net/backend_connection.py
@@ -15,9 +15,9 @@
 from gradefront.core.connection import Attempt
 from gradefront.core.ports import BackendConnection, ConnectionEnd
 
-from .base import Lines, ending
+from .base import LineProtocol, ending
 from .closing import ConnectionCloser
-from .lines import FirstLine, read_report
+from .lines import RequestLine, parse_load_report
 from .reactor import Reactor
 
 log = logging.getLogger("gradefront.backend_connection")
@@ -33,7 +33,7 @@
     SENT = "sent"  # the kernel has all of it
 
 
-class BackendProtocol(Lines):
+class BackendProtocol(LineProtocol):
     """The lines to and from one backend."""
 
     def __init__(self, upstream: LineBackendConnection) -> None:
@@ -42,7 +42,7 @@
 
     def connectionMade(self) -> None:
         """Send the request line, and learn from the transport when its last byte has left."""
-        transport = self.wire
+        transport = self.tcp
         self.send_at_once()
         transport.before_send = self._may_send
         transport.registerProducer(self, False)
@@ -63,7 +63,7 @@
 
     def resumeProducing(self) -> None:
         """Called as a pull producer: first to write, then when all that was written has left."""
-        transport = self.wire
+        transport = self.tcp
         if self.stage is RequestStage.UNWRITTEN:
             self.stage = RequestStage.BUFFERED
             self.write_line(self.upstream.request_line.with_time(self.upstream.attempt.remaining_us()))
@@ -94,7 +94,7 @@
     def connectionLost(self, reason: Any = None) -> None:
         """Report the end, with what the backend sent of an unfinished line."""
         super().connectionLost(reason)
-        self.upstream.on_connection_lost(ending(reason), self.unfinished())
+        self.upstream.on_connection_lost(ending(reason), self.take_partial_line())
 
 
 class LineBackendConnection(ClientFactory):
@@ -102,11 +102,11 @@
 
     noisy = False
 
-    def __init__(self, attempt: Attempt, request_line: FirstLine, closing: ConnectionCloser) -> None:
+    def __init__(self, attempt: Attempt, request_line: RequestLine, closing: ConnectionCloser) -> None:
         self.closing = closing
         self.attempt = attempt
         self.request_line = request_line
-        self.line: BackendProtocol | None = None
+        self.line_protocol: BackendProtocol | None = None
         self.connector: Any = None
         self.to_client: Callable[[bytes], None] | None = None
         self.cause = Cause.BROKEN  # of the attempt's end, if the connection ends in order now
@@ -117,8 +117,8 @@
 
     def buildProtocol(self, addr: object) -> BackendProtocol:  # noqa: ARG002 - Twisted's signature
         """The connection to the backend is open."""
-        self.line = BackendProtocol(self)
-        return self.line
+        self.line_protocol = BackendProtocol(self)
+        return self.line_protocol
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: ARG002 - Twisted's signature
         """The backend refused, or the connection was given up before it was open."""
@@ -134,7 +134,7 @@
             return
         verb = line.partition(b" ")[0]
         if verb in (b"BYE", b"ERR", b"BUSY") and self.reads_load_report:
-            attempt.report = read_report(line)
+            attempt.report = parse_load_report(line)
         if attempt.phase < AttemptPhase.UP:
             self._on_response(line, verb)
             return
@@ -185,30 +185,30 @@
 
     def forward_line(self, line: bytes) -> None:
         """Forward a complete line from the client."""
-        if self.line and self.line.transport and not self.gone:
+        if self.line_protocol and self.line_protocol.transport and not self.gone:
             self.attempt.on_message_sent()
-            self.line.wire.write(line + b"\r\n")
+            self.line_protocol.tcp.write(line + b"\r\n")
 
-    def forward_unfinished(self, unfinished: bytes) -> None:
+    def forward_partial_line(self, unfinished: bytes) -> None:
         """Forward what the client sent of an unfinished line before it ended."""
-        if self.line and self.line.transport and not self.gone:
-            self.line.wire.write(unfinished)
+        if self.line_protocol and self.line_protocol.transport and not self.gone:
+            self.line_protocol.tcp.write(unfinished)
 
     def close(self, how: ConnectionEnd) -> None:
         """End this connection, in the way given."""
         self.to_client = None
-        if self.line is None:
+        if self.line_protocol is None:
             if self.connector is not None and not self.gone:
                 self.gone = True
                 self.connector.disconnect()
-        elif self.line.transport and not self.gone:
+        elif self.line_protocol.transport and not self.gone:
             # A cancelled attempt must leave nothing that could still arrive: a retry may follow, and what is written,
             # here or in the kernel, goes on its way until the connection is reset.
             if how is ConnectionEnd.BROKEN or self.attempt.phase < AttemptPhase.UP:
-                self.line.abort()
+                self.line_protocol.abort()
             else:
-                self.line.wire.unregisterProducer()
-                self.line.finish(self.closing)
+                self.line_protocol.tcp.unregisterProducer()
+                self.line_protocol.finish(self.closing)
 
 
 class LineBackendConnector:
@@ -223,7 +223,7 @@
 
     def connect(self, attempt: Attempt, request_line: object) -> BackendConnection:
         """Connect and send the client's request line. The outcome goes to `attempt`."""
-        assert isinstance(request_line, FirstLine)
+        assert isinstance(request_line, RequestLine)
         upstream = LineBackendConnection(attempt, request_line, self.closing)
         address = self.address(attempt.backend)
         if address is None:  # not in the endpoint list any more: nothing was sent
--- a/gradefront/net/base.py
+++ b/gradefront/net/base.py
@@ -18,7 +18,7 @@
 
 
 @implementer(IHalfCloseableProtocol)
-class Lines(LineReceiver):
+class LineProtocol(LineReceiver):
     """A protocol of lines that end with CRLF and are at most 4 KiB long."""
 
     MAX_LENGTH = MAX_LINE
@@ -28,18 +28,18 @@
     aborted = False
 
     @property
-    def wire(self) -> Any:
+    def tcp(self) -> Any:
         """The transport."""
         return self.transport
 
     def send_at_once(self) -> None:
         """Don't hold small writes back. Guards the connection: where that fails they are late, and no more."""
         with suppress(OSError):
-            self.wire.setTcpNoDelay(True)
+            self.tcp.setTcpNoDelay(True)
 
     def write_line(self, line: bytes) -> None:
         """Write a line, given without its end."""
-        self.wire.write(line + b"\r\n")
+        self.tcp.write(line + b"\r\n")
 
     def finish(self, closer: ConnectionCloser, how: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
         """End once all that was written has left. What is received from here on is discarded."""
@@ -60,7 +60,7 @@
     def abort(self) -> None:
         """End at once, by a reset. Nothing more is read."""
         self.aborted = True
-        self.wire.abortConnection()
+        self.tcp.abortConnection()
 
     def readConnectionLost(self) -> None:
         """The peer has shut its sending side."""
@@ -72,7 +72,7 @@
     def peer_ended(self) -> None:
         """The peer has shut its sending side first: by default that ends both sides. A protocol with a last line for
         a peer that may still read overrides this."""
-        cast(Any, self.wire).connectionLost(cast(Any, Failure)(ConnectionDone()))
+        cast(Any, self.tcp).connectionLost(cast(Any, Failure)(ConnectionDone()))
 
     def writeConnectionLost(self) -> None:
         """All that was written is with the kernel, and this sending side is shut."""
@@ -84,15 +84,15 @@
         if self.closer:
             self.closer.on_connection_lost(self)
 
-    def catch_up(self) -> bool:
+    def read_available(self) -> bool:
         """Read what lies unread. Whether the peer has ended its side, also where the reactor has not seen it yet."""
-        return self.closer is not None or self.aborted or bool(self.wire.catch_up())
+        return self.closer is not None or self.aborted or bool(self.tcp.read_available())
 
-    def unfinished(self) -> bytes:
+    def take_partial_line(self) -> bytes:
         """Remove and return what has come of a line that has no end yet."""
         return cast(bytes, cast(Any, self).clearLineBuffer())
 
-    def take_bytes(self, data: bytes) -> None:
+    def replay_received(self, data: bytes) -> None:
         """Handle what was read of the connection before, in this process or in another."""
         if data:
             cast(Any, self).dataReceived(data)
--- a/gradefront/net/client_protocol.py
+++ b/gradefront/net/client_protocol.py
@@ -18,10 +18,10 @@
 from gradefront.core.relay import RelayCore
 
 from .backend_connection import LineBackendConnection
-from .base import Lines, ending
+from .base import LineProtocol, ending
 from .closing import DESCRIPTOR_SHARE, ConnectionCloser
 from .descriptor_budget import DescriptorBudget
-from .lines import InvalidLineError, read_first, read_id
+from .lines import InvalidLineError, parse_connection_id, parse_request_line
 from .seen_ids import SeenIds
 
 log = logging.getLogger("gradefront.client")
@@ -33,11 +33,11 @@
 )
 
 
-class ClientProtocol(Lines):
+class ClientProtocol(LineProtocol):
     """The lines to and from one client. To the core it is the connection's client side (`ports.ClientConnection`)."""
 
-    def __init__(self, front: ClientProtocolFactory) -> None:
-        self.front = front
+    def __init__(self, client_factory: ClientProtocolFactory) -> None:
+        self.client_factory = client_factory
         self.connection: Connection | None = None
         self.upstream: LineBackendConnection | None = None  # from when the connection is established
         self.pings = 0
@@ -49,13 +49,13 @@
     def connectionMade(self) -> None:
         """The client connected."""
         self.send_at_once()
-        self.arrived_us = self.front.core.clock()
-        self.timeout = self.front.core.after(PRE_REQUEST_TIMEOUT_US, self._on_pre_request_timeout)
-        self.front.on_connected(self)
+        self.arrived_us = self.client_factory.core.clock()
+        self.timeout = self.client_factory.core.after(PRE_REQUEST_TIMEOUT_US, self._on_pre_request_timeout)
+        self.client_factory.on_connected(self)
 
     def _on_pre_request_timeout(self) -> None:
         """Guards the descriptors: silence, half a line, dripping bytes, endless `PING` get no more time."""
-        self.front.core.counters.add("mute")
+        self.client_factory.core.counters.add("mute")
         self._finish_with(b"ERR")
 
     def lineReceived(self, line: bytes) -> None:
@@ -64,7 +64,7 @@
             self._line(line)
         except Exception:
             log.exception("a client's line failed")
-            self.front.core.counters.add("exceptions")
+            self.client_factory.core.counters.add("exceptions")
             self.fail_protocol()
 
     def _line(self, line: bytes) -> None:
@@ -73,81 +73,81 @@
         if self.upstream:
             self.upstream.forward_line(line)
         elif self.connection:
-            self.front.count_invalid(
+            self.client_factory.count_invalid(
                 "a line before its connection was established"
             )  # a client waits for its answer first
-            self.front.core.fail_unestablished(self.connection)
+            self.client_factory.core.fail_unestablished(self.connection)
         elif line == b"PING" and self.pings < MAX_PINGS:
             self.pings += 1
-            self.write_line(b"PONG" if self.front.core.lifecycle.accepts_clients else b"ERR")
+            self.write_line(b"PONG" if self.client_factory.core.lifecycle.accepts_clients else b"ERR")
         else:
             self._on_request_line(line)
 
     def _on_request_line(self, line: bytes) -> None:
-        front = self.front
+        client_factory = self.client_factory
         try:
-            request, backend = read_first(line, front.config)
-            self.id = read_id(line)
-            front.new_id(self.id)
+            request, backend = parse_request_line(line, client_factory.config)
+            self.id = parse_connection_id(line)
+            client_factory.record_connection_id(self.id)
         except InvalidLineError as error:
-            if error.request_class in front.core.request_classes.names:  # it was in force before
-                front.core.counters.add_of_class("errored_total", error.request_class)
-            front.count_invalid(str(error))
+            if error.request_class in client_factory.core.request_classes.names:  # it was in force before
+                client_factory.core.counters.add_of_class("errored_total", error.request_class)
+            client_factory.count_invalid(str(error))
             self._finish_with(b"ERR")
             return
-        if front.descriptors_held() + 1 > front.budget.for_requests:
+        if client_factory.descriptors_held() + 1 > client_factory.budget.for_requests:
             # Guards against running out of descriptors: a connection holds one more, to its backend.
-            front.core.counters.add("no_sockets")
-            front.core.count_answer("deferred_total", request.request_class)
+            client_factory.core.counters.add("no_sockets")
+            client_factory.core.count_answer("deferred_total", request.request_class)
             self._finish_with(b"BUSY")
             return
         self.timeout.cancel()
-        front.pre_request.pop(self, None)
+        client_factory.pre_request.pop(self, None)
         if backend:
-            self.connection = front.core.adopt_connection(request, self, front.connector, backend)
+            self.connection = client_factory.core.adopt_connection(request, self, client_factory.connector, backend)
         else:
-            self.connection = front.core.accept(request, self, front.connector)
+            self.connection = client_factory.core.accept(request, self, client_factory.connector)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: ARG002 - Twisted's signature
         """End this connection for an overlong line."""
         if not self.closing:
-            self.front.count_invalid("an overlong line")
+            self.client_factory.count_invalid("an overlong line")
             self.fail_protocol()
 
     def fail_protocol(self) -> None:
         """End a connection on which nothing more can be understood, with a final answer if one is owed."""
         if self.connection and self.upstream:
-            self.front.core.migrate(self.connection)
+            self.client_factory.core.migrate(self.connection)
         elif self.connection:
-            self.front.core.fail_unestablished(self.connection)
+            self.client_factory.core.fail_unestablished(self.connection)
         self._finish_with(b"ERR")
 
     def peer_ended(self) -> None:
         """The client has shut its sending side and may still read: nothing more is forwarded for it, but a final
         answer harms in neither reading."""
-        unfinished = self.unfinished()
+        unfinished = self.take_partial_line()
         if self.upstream and unfinished:
-            self.upstream.forward_unfinished(unfinished)
+            self.upstream.forward_partial_line(unfinished)
         was_established = self.upstream is not None
         if self.connection:
-            self.front.core.on_client_closed(self.connection, ConnectionEnd.ORDERLY)
+            self.client_factory.core.on_client_closed(self.connection, ConnectionEnd.ORDERLY)
         if self.connection and not was_established:
             self._finish_with(b"ERR")
         self._close()
-        self.front.closing.on_peer_ended(self)
+        self.client_factory.closing.on_peer_ended(self)
 
     def connectionLost(self, reason: Any = None) -> None:
         """The client or this relay ended the connection."""
         super().connectionLost(reason)
-        self.front.open_connections -= 1
-        self.front.pre_request.pop(self, None)
+        self.client_factory.open_connections -= 1
+        self.client_factory.pre_request.pop(self, None)
         self.timeout.cancel()
-        unfinished = self.unfinished()
+        unfinished = self.take_partial_line()
         if self.upstream and unfinished and not self.closing:
-            self.upstream.forward_unfinished(unfinished)
+            self.upstream.forward_partial_line(unfinished)
         self.closing = True
         if self.connection:
-            self.front.core.on_client_closed(self.connection, ending(reason))
+            self.client_factory.core.on_client_closed(self.connection, ending(reason))
 
     # ---- the core's client side
 
@@ -160,8 +160,8 @@
 
     def start_forwarding(self, upstream: LineBackendConnection) -> None:
         """Forward all lines both ways, each side held back by the other's pace."""
-        assert upstream.line
-        client_transport, backend_transport = self.wire, upstream.line.wire
+        assert upstream.line_protocol
+        client_transport, backend_transport = self.tcp, upstream.line_protocol.tcp
         self.upstream = upstream
         upstream.to_client = client_transport.write
         client_transport.registerProducer(backend_transport, True)
@@ -192,24 +192,24 @@
         if self.closing:
             return
         self.closing = True
-        self.wire.unregisterProducer()  # else the transport would wait for its producer's end
+        self.tcp.unregisterProducer()  # else the transport would wait for its producer's end
         self.timeout.cancel()
-        self.front.pre_request.pop(self, None)
-        self.finish(self.front.closing, how)
+        self.client_factory.pre_request.pop(self, None)
+        self.finish(self.client_factory.closing, how)
 
     def has_disconnected(self) -> bool:
         """Whether the client has ended its side, even where that lies unread. What it sent before is handled."""
-        return self.catch_up()
+        return self.read_available()
 
     def free_descriptor(self) -> None:
         """Reject this client, since others need its descriptor more."""
-        self.front.core.counters.add("ended_for_room")
+        self.client_factory.core.counters.add("ended_for_room")
         self._finish_with(b"BUSY")
 
     def reject_for_descriptors(self) -> None:
         """Reject this client for want of descriptors, after a request that it has sent already is answered."""
-        self.front.core.counters.add("no_sockets")
-        self.catch_up()
+        self.client_factory.core.counters.add("no_sockets")
+        self.read_available()
         self._finish_with(b"BUSY")
 
 
@@ -254,7 +254,7 @@
             return
         next(iter(self.pre_request)).free_descriptor()
 
-    def end_rest(self) -> None:
+    def reject_pre_request(self) -> None:
         """The relay exits: reject the connections without a request."""
         for client in list(self.pre_request):
             client.free_descriptor()
@@ -281,7 +281,7 @@
         if self.descriptors_held() > budget.for_connections:
             client.reject_for_descriptors()
 
-    def new_id(self, connection_id: bytes) -> None:
+    def record_connection_id(self, connection_id: bytes) -> None:
         """Record a connection's id. Raises InvalidLineError for one that was used before."""
         self.seen_ids.add(connection_id)
 
--- a/gradefront/net/closing.py
+++ b/gradefront/net/closing.py
@@ -38,7 +38,7 @@
     """A connection that is to end."""
 
     @property
-    def wire(self) -> Any:
+    def tcp(self) -> Any:
         """Its transport."""
 
     def abort(self) -> None:
@@ -71,7 +71,7 @@
         return len(self.waiting)
 
     @property
-    def unsent(self) -> int:
+    def unsent_count(self) -> int:
         """How many hold bytes that the kernel has not taken."""
         return sum(not state.sent for state in self.waiting.values())
 
@@ -83,7 +83,7 @@
             self.free_descriptor()
         timer = self.core.after(UNSENT_TIMEOUT_US, partial(self._give_up, connection))
         self.waiting[connection] = _CloseState(how, timer)
-        wire = connection.wire
+        wire = connection.tcp
         wire.loseWriteConnection()
         wire.resumeProducing()  # it may have been held back by the other side's pace
         wire.flush()  # now, not when the loop comes round: its descriptor may be needed before
@@ -98,7 +98,7 @@
         if state.how is ConnectionEnd.BROKEN:
             connection.abort()
         elif state.peer_ended:
-            connection.wire.loseConnection()
+            connection.tcp.loseConnection()
         else:
             state.timer = self.core.after(LINGER_TIMEOUT_US, partial(self._close, connection))
 
@@ -109,7 +109,7 @@
             return
         state.peer_ended = True
         if state.sent:
-            connection.wire.loseConnection()
+            connection.tcp.loseConnection()
 
     def on_overrun(self, connection: Closable) -> None:
         """The peer has sent more than MAX_DISCARDED_BYTES after the end."""
@@ -117,7 +117,7 @@
         if state is None or state.sent:
             connection.abort()
         else:
-            connection.wire.pauseProducing()  # what it is owed has not left yet
+            connection.tcp.pauseProducing()  # what it is owed has not left yet
 
     def on_connection_lost(self, connection: Closable) -> None:
         """A connection is no more."""
@@ -129,7 +129,7 @@
         """Close the oldest one that is sent. False: there is none."""
         for connection, state in list(self.waiting.items()):
             if not state.sent:
-                connection.wire.flush()
+                connection.tcp.flush()
             if state.sent:
                 self._close(connection)
                 return True
@@ -145,8 +145,8 @@
     def _close(self, connection: Closable) -> None:
         """Close a sent one in order: what came meanwhile is read first, or the close would be a reset."""
         self.on_connection_lost(connection)
-        connection.wire.catch_up()
-        connection.wire.loseConnection()
+        connection.tcp.read_available()
+        connection.tcp.loseConnection()
 
     def _give_up(self, connection: Closable) -> None:
         """The peer reads nothing more."""
--- a/gradefront/net/endpoint_watch.py
+++ b/gradefront/net/endpoint_watch.py
@@ -71,10 +71,10 @@
     def read_pending(self) -> None:
         """Read what lies unread on the watch: a drain announced a moment ago counts for what is sent now."""
         call = self.call
-        if call and not call.ended and call.line and call.line.connected:
-            call.line.catch_up()
+        if call and not call.ended and call.line_protocol and call.line_protocol.connected:
+            call.line_protocol.read_available()
 
-    def go_to(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Discovery has moved. The old watch ends now: nothing late from it counts, and its end is not reported.
         Revisions mean nothing at the new address, so the complete list is requested."""
         self.address = address
--- a/gradefront/net/endpoint_watch_call.py
+++ b/gradefront/net/endpoint_watch_call.py
@@ -49,7 +49,7 @@
         self.has_update = False
         self.objects = Objects()
         self.was_rechecked = False  # since the last heartbeat
-        self.line: EndpointWatchProtocol | None = None
+        self.line_protocol: EndpointWatchProtocol | None = None
         self.ended = False
         self.connector: Any = None
         self.timeout_us = timeout_us
@@ -62,8 +62,8 @@
 
     def buildProtocol(self, addr: object) -> EndpointWatchProtocol:  # noqa: ARG002 - Twisted's signature
         """The connection is open."""
-        self.line = EndpointWatchProtocol(self)
-        return self.line
+        self.line_protocol = EndpointWatchProtocol(self)
+        return self.line_protocol
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: ARG002 - Twisted's signature
         """Discovery refused."""
@@ -132,7 +132,7 @@
         """End this call without a report."""
         self.ended = True
         self.timeout.cancel()
-        if self.line and self.line.transport:
-            self.line.abort()
+        if self.line_protocol and self.line_protocol.transport:
+            self.line_protocol.abort()
         elif self.connector is not None:
             self.connector.disconnect()
--- a/gradefront/net/endpoint_watch_protocol.py
+++ b/gradefront/net/endpoint_watch_protocol.py
@@ -5,7 +5,7 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from .base import Lines
+from .base import LineProtocol
 
 OK_STATUS = b"200"
 
@@ -39,7 +39,7 @@
         """End the call. It may be called more than once."""
 
 
-class EndpointWatchProtocol(Lines):
+class EndpointWatchProtocol(LineProtocol):
     """One watch: an HTTP response in chunks, with JSON objects across them."""
 
     def __init__(self, call: WatchCaller) -> None:
@@ -51,7 +51,7 @@
     def connectionMade(self) -> None:
         """Request the changes since the revision in force."""
         host, port = self.call.address
-        transport = self.wire
+        transport = self.tcp
         transport.setTcpNoDelay(True)
         transport.write(
             f"GET /discovery/hosts?stream=1&index={self.call.revision} HTTP/1.1\r\n"
--- a/gradefront/net/health_checks.py
+++ b/gradefront/net/health_checks.py
@@ -11,16 +11,16 @@
 from gradefront.core.relay import RelayCore
 from gradefront.core.timer_wheel import Timer
 
-from .base import Lines
+from .base import LineProtocol
 from .connect_check import ConnectCheck
-from .lines import read_report
+from .lines import parse_load_report
 from .reactor import Reactor
 
 RESPONSE_TIMEOUT_US = 200_000
 IDLE_TIMEOUT_US = 12_000_000
 
 
-class HealthCheckProtocol(Lines):
+class HealthCheckProtocol(LineProtocol):
     """The lines of one health check connection."""
 
     def __init__(self, owner: HealthCheckConnection) -> None:
@@ -28,7 +28,7 @@
 
     def connectionMade(self) -> None:
         """Send the health check for which the connection was opened."""
-        self.wire.setTcpNoDelay(True)
+        self.tcp.setTcpNoDelay(True)
         self.write_line(b"STATS")
 
     def lineReceived(self, line: bytes) -> None:
@@ -54,7 +54,7 @@
         self.checker = checker
         self.backend = backend
         self.address = address
-        self.line: HealthCheckProtocol | None = None
+        self.line_protocol: HealthCheckProtocol | None = None
         self.connector: Any = None
         self.pending_since_us = 0  # when the check began that has no response yet; 0: none
         self.last_used_us = 0
@@ -69,9 +69,9 @@
         core = self.checker.core
         self.pending_since_us = self.last_used_us = core.clock()
         self.timeout = core.after(RESPONSE_TIMEOUT_US, self._on_timeout)
-        self.reused = self.line is not None
-        if self.line:
-            self.line.write_line(b"STATS")
+        self.reused = self.line_protocol is not None
+        if self.line_protocol:
+            self.line_protocol.write_line(b"STATS")
         else:
             self._connect()
 
@@ -80,8 +80,8 @@
 
     def buildProtocol(self, addr: object) -> HealthCheckProtocol:  # noqa: ARG002 - Twisted's signature
         """The connection is open."""
-        self.line = HealthCheckProtocol(self)
-        return self.line
+        self.line_protocol = HealthCheckProtocol(self)
+        return self.line_protocol
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: ARG002 - Twisted's signature
         """The backend refused."""
@@ -93,12 +93,12 @@
             self.drop()  # a line unasked: the next response here could be that of an earlier check
             return
         ok = line.partition(b" ")[0] == b"PONG"
-        self._finish(AttemptResult.OK if ok else AttemptResult.ERROR, read_report(line) if ok else None)
+        self._finish(AttemptResult.OK if ok else AttemptResult.ERROR, parse_load_report(line) if ok else None)
 
     def on_connection_lost(self, line: HealthCheckProtocol) -> None:
         """The connection ended."""
-        if self.line is line:
-            self.line = None
+        if self.line_protocol is line:
+            self.line_protocol = None
             if self.pending_since_us and self.reused:
                 self.reused = False  # backends close idle connections: that is no outcome, so check on a new one
                 self._connect()
@@ -107,7 +107,7 @@
 
     def _on_timeout(self) -> None:
         if self.pending_since_us:
-            self._finish(AttemptResult.TIMEOUT if self.line else AttemptResult.CONNECT_FAILED, None)
+            self._finish(AttemptResult.TIMEOUT if self.line_protocol else AttemptResult.CONNECT_FAILED, None)
             self.drop()  # a late response must not be taken for the next one's
 
     def _finish(self, result: AttemptResult, report: LoadReport | None) -> None:
@@ -120,7 +120,7 @@
 
     def drop(self) -> None:
         """Close the connection."""
-        line, self.line = self.line, None
+        line, self.line_protocol = self.line_protocol, None
         if line and line.transport:
             line.abort()
         elif self.connector is not None:
@@ -128,7 +128,7 @@
 
     def _close_if_idle(self) -> None:
         now_us = self.checker.core.clock()
-        if self.line and not self.pending_since_us and now_us - self.last_used_us > IDLE_TIMEOUT_US:
+        if self.line_protocol and not self.pending_since_us and now_us - self.last_used_us > IDLE_TIMEOUT_US:
             self.drop()
         if self.checker.connections.get(self.backend) is self:
             self.checker.core.after(IDLE_TIMEOUT_US, self._close_if_idle)
--- a/gradefront/net/lines.py
+++ b/gradefront/net/lines.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class FirstLine:
+class RequestLine:
     """A client's request line, forwarded unchanged but for the remaining time."""
 
     head: bytes  # up to and including `d=`, or the whole line where it has none
@@ -57,7 +57,7 @@
         return self.head + str(max(1, remaining_us // 1000)).encode() + self.tail
 
 
-def read_first(line: bytes, config: Config) -> tuple[ConnectRequest, str]:
+def parse_request_line(line: bytes, config: Config) -> tuple[ConnectRequest, str]:
     """Read an `OPEN` line: the request, and the backend that served the client before the relay's start, or "".
 
     Raises InvalidLineError.
@@ -86,7 +86,7 @@
         float(fields.get("h", 0)),
         "again" in fields,
         "r" in fields,
-        read_id(line).decode("ascii"),
+        parse_connection_id(line).decode("ascii"),
     )
     return request, fields.get("at", "")
 
@@ -104,12 +104,12 @@
     return fields
 
 
-def read_id(line: bytes) -> bytes:
-    """The connection id in a line that `read_first` has read."""
+def parse_connection_id(line: bytes) -> bytes:
+    """The connection id in a line that `parse_request_line` has read."""
     return line[CONNECTION_ID]
 
 
-def _split(line: bytes) -> FirstLine:
+def _split(line: bytes) -> RequestLine:
     """Cut the line round the value of `d`, which stands first in the list or after a comma."""
     start = line.rfind(b" ") + 1
     for name in (b"d=", b",d="):
@@ -117,11 +117,11 @@
         if at >= 0 and line.startswith(name, at):
             value_at = at + len(name)
             end = line.find(b",", value_at)
-            return FirstLine(line[:value_at], line[end:] if end >= 0 else b"", True)
-    return FirstLine(line, b"", False)
+            return RequestLine(line[:value_at], line[end:] if end >= 0 else b"", True)
+    return RequestLine(line, b"", False)
 
 
-def read_report(line: bytes) -> LoadReport | None:
+def parse_load_report(line: bytes) -> LoadReport | None:
     """The load report after a response's verb, or None where it has no figure."""
     values: dict[str, float] = {}
     for pair in line.partition(b" ")[2].split(b","):
--- a/gradefront/net/transport.py
+++ b/gradefront/net/transport.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger("gradefront.transport")
 
-MAX_READS = 16  # of 64 KiB at most, in one `catch_up`: a peer may send without end
+MAX_READS = 16  # of 64 KiB at most, in one `read_available`: a peer may send without end
 MAX_ACCEPTS = 64  # in one turn of the loop
 MAX_LAST_ACCEPTS = 64  # rounds of MAX_ACCEPTS before a listener closes
 ACCEPT_PAUSE_S = 0.01  # after accept has failed for want of a resource
@@ -45,7 +45,7 @@
     """Twisted's connection, with reads and writes that tolerate transient errors."""
 
     before_send: Callable[[], bool] | None = None  # asked before each piece leaves; False: nothing more may leave
-    found_broken = False  # the socket gave `catch_up` an error that the reactor has not seen yet
+    found_broken = False  # the socket gave `read_available` an error that the reactor has not seen yet
 
     def read_once(self) -> ReadResult:
         """Read what is there, 64 KiB at most, and pass it to the protocol."""
@@ -71,7 +71,7 @@
             return CONNECTION_DONE
         return CONNECTION_LOST if result is ReadResult.BROKEN else None
 
-    def catch_up(self) -> bool:
+    def read_available(self) -> bool:
         """Read now what lies unread, MAX_READS reads at most. Whether the peer has ended its sending side, or the
         connection is no more; the reactor finds that itself later."""
         connection: Any = self
@@ -94,7 +94,7 @@
             return 0 if error.errno in TRANSIENT_ERRORS else CONNECTION_LOST
 
     @property
-    def unsent(self) -> bool:
+    def has_unsent_data(self) -> bool:
         """Whether something written is not with the kernel yet."""
         connection: Any = self
         return bool(len(connection.dataBuffer) > connection.offset or connection._tempDataLen)
@@ -106,7 +106,7 @@
             ended = connection.doWrite()
             if ended:  # the reactor did not ask, so it would not see that
                 connection.reactor.callLater(0, self._end, ended)
-        return not self.unsent
+        return not self.has_unsent_data
 
     def _end(self, why: Exception) -> None:
         connection: Any = self
@@ -145,9 +145,9 @@
 
     def doRead(self) -> None:
         """Accept what waits, MAX_ACCEPTS at most."""
-        self.accept_waiting(MAX_ACCEPTS)
+        self.accept_pending(MAX_ACCEPTS)
 
-    def accept_waiting(self, limit: int) -> bool:
+    def accept_pending(self, limit: int) -> bool:
         """Accept the connections that wait, `limit` at most. Whether none waits any more."""
         for _ in range(limit):
             try:
@@ -167,12 +167,12 @@
         if self.connected and not self.is_shared and not drop_new_handshakes(self.socket):
             log.info("this system can't drop new handshakes")
 
-    def accept_last_and_close(self) -> None:
+    def accept_pending_and_close(self) -> None:
         """Accept all that wait, and close in the same call: a turn of the loop later others may have connected."""
         if not self.connected:
             return
         for _ in range(MAX_LAST_ACCEPTS):  # each failure for want of a descriptor frees one
-            if self.accept_waiting(MAX_ACCEPTS):
+            if self.accept_pending(MAX_ACCEPTS):
                 break
         cast(Any, self).stopReading()
         self.connectionLost(cast(Any, Failure)(CONNECTION_DONE))
--- a/gradefront/reload.py
+++ b/gradefront/reload.py
@@ -49,14 +49,14 @@
     def __init__(
         self,
         config: Config,
-        front: ClientProtocolFactory,
+        client_factory: ClientProtocolFactory,
         endpoint_list: EndpointList,
         endpoint_watch: EndpointWatch,
         quic: QuicFront | None,
     ) -> None:
         self.config = config
-        self.core = front.core
-        self.front = front
+        self.core = client_factory.core
+        self.client_factory = client_factory
         self.endpoint_list = endpoint_list
         self.endpoint_watch = endpoint_watch
         self.quic = quic
@@ -95,14 +95,14 @@
     def _apply(self, prepared: _Prepared) -> None:
         config, settings = prepared.config, prepared.settings
         moved = config.discovery != self.config.discovery
-        self.config = self.front.config = self.endpoint_list.config = config
+        self.config = self.client_factory.config = self.endpoint_list.config = config
         if (prepared.request_classes, settings) != (self.core.request_classes, self.core.settings):
             self.core.apply_settings(prepared.request_classes, settings, config.reports_message_latency)
             log.info("settings: classes %s, %d attempts", ", ".join(config.class_names), settings.max_attempts)
         self.core.counters.add("conf_loaded_total")
         log.info("configuration taken; discovery at %s:%d", *config.discovery)
         if moved:
-            self.endpoint_watch.go_to(config.discovery)
+            self.endpoint_watch.change_address(config.discovery)
         if self.quic and prepared.quic:
             self.quic.config = config
             self.quic.configure(prepared.quic)
--- a/gradefront/service.py
+++ b/gradefront/service.py
@@ -65,8 +65,8 @@
         if awaits_fresh_list:
             core.lifecycle.await_endpoint_list()
         startup.apply_known_endpoints(config, self.endpoint_list)
-        self.front = startup.build_client_factory(config, core, self.endpoint_list, reactor)
-        self.client_listener = ClientListener(config, self.front, reactor, inherited)
+        self.client_factory = startup.build_client_factory(config, core, self.endpoint_list, reactor)
+        self.client_listener = ClientListener(config, self.client_factory, reactor, inherited)
         if inherited:
             core.lifecycle.on_ready = self.client_listener.adopt
         self.quic = startup.build_quic_front(config, quic, core, reactor) if quic else None
@@ -76,9 +76,11 @@
             self.client_listener.listen()
         if awaits_fresh_list:  # others spread their first poll, since a whole fleet may start and ask one service
             self.endpoint_watch.watch()
-        self._reloader = ConfigReloader(config, self.front, self.endpoint_list, self.endpoint_watch, self.quic)
+        self._reloader = ConfigReloader(
+            config, self.client_factory, self.endpoint_list, self.endpoint_watch, self.quic
+        )
         self._shutdown = Shutdown(
-            self.front, self.client_listener, self.endpoint_watch, self.fleet, self.admin_server, reactor
+            self.client_factory, self.client_listener, self.endpoint_watch, self.fleet, self.admin_server, reactor
         )
 
     @property
@@ -88,7 +90,7 @@
 
     def log_counters(self) -> None:
         """Log the counters as one line."""
-        levels = {"connections_now": self.front.open_connections, "visits_now": len(self.core.connections)}
+        levels = {"connections_now": self.client_factory.open_connections, "visits_now": len(self.core.connections)}
         if self.quic:
             levels |= self.quic.levels()
         if self.fleet:
--- a/gradefront/shutdown.py
+++ b/gradefront/shutdown.py
@@ -35,15 +35,15 @@
 
     def __init__(  # noqa: PLR0913 - it ends all parts of the process
         self,
-        front: ClientProtocolFactory,
+        client_factory: ClientProtocolFactory,
         listener: ClientListener,
         endpoint_watch: EndpointWatch,
         fleet: FleetPort | None,
         admin_port: Any,
         reactor: Reactor,
     ) -> None:
-        self.core = front.core
-        self.front = front
+        self.core = client_factory.core
+        self.client_factory = client_factory
         self.listener = listener
         self.endpoint_watch = endpoint_watch
         self.fleet = fleet
@@ -67,13 +67,13 @@
         self.listener.close_handover()
         if call:
             log.info("connections go to the process that takes over")
-            HandoverSender(self.core, self.front, call).step()
+            HandoverSender(self.core, self.client_factory, call).step()
         self.core.lifecycle.leave(self._close_connections, at_once=call is None, waited_us=waited_us)
         self._stop_when_empty()
 
     def _stop_when_empty(self) -> None:
         """End early: no client connects here any more, and the new process needs time, memory and descriptors."""
-        if self.front.open_connections or self.core.connections:
+        if self.client_factory.open_connections or self.core.connections:
             self.core.after(EMPTY_CHECK_US, self._stop_when_empty)
         else:
             self.core.lifecycle.stop(self._close_connections)
@@ -104,20 +104,20 @@
             return
         self.pre_request_ended = True
         self.timeline.record("clients without a request rejected")
-        self.listener.accept_last_and_close()
-        self.front.end_rest()
+        self.listener.accept_pending_and_close()
+        self.client_factory.reject_pre_request()
 
     def _stop_when_closed(self) -> None:
         """Wait for the peers to close, so that no close resets what they have not read yet."""
         port = self.listener.port
-        if self.front.open_connections or self.front.upstreams or (port and port.connected):
+        if self.client_factory.open_connections or self.client_factory.upstreams or (port and port.connected):
             self.core.after(CLOSED_CHECK_US, self._stop_when_closed)
         else:
             self._stop()
 
     def _stop_when_sent(self) -> None:
         """Wait no longer for peers to close, only for those that have not read their answer."""
-        if self.front.closing.unsent:
+        if self.client_factory.closing.unsent_count:
             self.core.after(CLOSED_CHECK_US, self._stop_when_sent)
         else:
             self._stop()
@@ -127,11 +127,12 @@
             self._end_pre_request()
             port = self.listener.port
             self.timeline.record(
-                f"stopped with {self.front.open_connections} clients, {len(self.front.upstreams)} connections to"
-                f" backends, listener {'open' if port and port.connected else 'closed'}"
+                f"stopped with {self.client_factory.open_connections} clients,"
+                f" {len(self.client_factory.upstreams)} connections to backends,"
+                f" listener {'open' if port and port.connected else 'closed'}"
             )
-            self.front.closing.close_all()
-            self.front.upstreams.close_all()
+            self.client_factory.closing.close_all()
+            self.client_factory.upstreams.close_all()
             self.endpoint_watch.close()
             self._end_admin_interface()
             self.reactor.stop()
@@ -139,5 +140,5 @@
     def _end_admin_interface(self) -> None:
         """Answer the calls that have come. Prevents a close from resetting callers that wait to be accepted."""
         if self.admin_port:
-            self.admin_port.accept_last_and_close()
+            self.admin_port.accept_pending_and_close()
             self.admin_port.factory.end()
--- a/gradefront/state/handover_receiver.py
+++ b/gradefront/state/handover_receiver.py
@@ -14,7 +14,7 @@
 from gradefront.core.relay import RelayCore
 from gradefront.net.backend_connection import BackendProtocol, LineBackendConnection, RequestStage
 from gradefront.net.client_protocol import ClientProtocol, ClientProtocolFactory
-from gradefront.net.lines import FirstLine, InvalidLineError
+from gradefront.net.lines import InvalidLineError, RequestLine
 from gradefront.net.reactor import Reactor
 
 from .form import MAX_FORM_BYTES, ConnectionSnapshot, FormError, read, stored_rules
@@ -39,9 +39,11 @@
 
     def connectionMade(self) -> None:
         """Count the connection; it has no deadline for a request."""
-        self.arrived_us = self.front.core.clock()
-        self.timeout = self.front.core.after(0, lambda: None)  # nothing to time: `_close` cancels a timer in any case
-        self.front.open_connections += 1
+        self.arrived_us = self.client_factory.core.clock()
+        self.timeout = self.client_factory.core.after(
+            0, lambda: None
+        )  # nothing to time: `_close` cancels a timer in any case
+        self.client_factory.open_connections += 1
 
 
 class AdoptedBackend(BackendProtocol):
@@ -106,9 +108,11 @@
 class HandoverReceiver:
     """Takes over the connections of processes before this one, which call at the Unix socket in `folder`."""
 
-    def __init__(self, core: RelayCore, front: ClientProtocolFactory, reactor: Reactor, folder: Path) -> None:
+    def __init__(
+        self, core: RelayCore, client_factory: ClientProtocolFactory, reactor: Reactor, folder: Path
+    ) -> None:
         self.core = core
-        self.front = front
+        self.client_factory = client_factory
         self.reactor = reactor
         self.path = folder / SOCKET_NAME
         self.senders: list[_SenderConnection] = []
@@ -207,29 +211,29 @@
             log.warning("a connection can't be taken over: %s", error)
             core.counters.add("taken_over_badly")
             return
-        class_numbers = self.front.config.class_numbers
+        class_numbers = self.client_factory.config.class_numbers
         known = class_numbers.get(snapshot.request_class)
         has_same_rules = known is not None and stored_rules(core.settings.classes[known]) == snapshot.class_rules
         request_class = known if known is not None else next(iter(class_numbers.values()))
-        client = AdoptedClient(self.front)
+        client = AdoptedClient(self.client_factory)
         client.id = snapshot.id.encode()
         connection, attempt = self._establish(snapshot, request_class, client)
         client.connection = connection
-        upstream = LineBackendConnection(attempt, FirstLine(b"", b"", False), self.front.upstreams)
-        upstream.line = AdoptedBackend(upstream)
+        upstream = LineBackendConnection(attempt, RequestLine(b"", b"", False), self.client_factory.upstreams)
+        upstream.line_protocol = AdoptedBackend(upstream)
         attempt.upstream, attempt.load = upstream, snapshot.load
-        for fd, protocol in zip(fds, (client, upstream.line), strict=True):
+        for fd, protocol in zip(fds, (client, upstream.line_protocol), strict=True):
             os.set_blocking(fd, False)
             self.reactor.adoptStreamConnection(fd, socket.AF_INET, SingleProtocolFactory(protocol))
         with suppress(InvalidLineError):  # an id known here already is no reason to end it
-            self.front.new_id(client.id)
+            self.client_factory.record_connection_id(client.id)
         client.start_forwarding(upstream)
         core.counters.add("taken_over")
         if not has_same_rules or not core.accepts_work:
             core.migrate(connection)
             return
-        client.take_bytes(snapshot.from_carer)
-        upstream.line.take_bytes(snapshot.from_box)
+        client.replay_received(snapshot.from_carer)
+        upstream.line_protocol.replay_received(snapshot.from_box)
 
     def _establish(
         self, snapshot: ConnectionSnapshot, request_class: int, client: AdoptedClient
@@ -249,7 +253,7 @@
             self.core,
             request,
             client,
-            self.front.connector,
+            self.client_factory.connector,
             snapshot.backend,
             snapshot.last_received_us,
             snapshot.awaiting_reply_us,
--- a/gradefront/state/handover_sender.py
+++ b/gradefront/state/handover_sender.py
@@ -27,9 +27,9 @@
 class HandoverSender:
     """Hands this process's connections to the next one, over the connected Unix socket `call`."""
 
-    def __init__(self, core: RelayCore, front: ClientProtocolFactory, call: socket.socket) -> None:
+    def __init__(self, core: RelayCore, client_factory: ClientProtocolFactory, call: socket.socket) -> None:
         self.core = core
-        self.front = front
+        self.client_factory = client_factory
         self.call: socket.socket | None = call
 
     def step(self) -> None:
@@ -39,7 +39,7 @@
             if self.call is None or sent == STEP_CONNECTIONS:
                 break
             sent += self._hand_over(self.call, connection)
-        if self.call and (self.core.connections or self.front.open_connections):
+        if self.call and (self.core.connections or self.client_factory.open_connections):
             self.core.after(STEP_US, self.step)
         else:
             self.end()
@@ -53,27 +53,27 @@
     def _hand_over(self, call: socket.socket, connection: Connection) -> bool:
         """Whether the connection went; False also where it can go in a later step only."""
         client, upstream = connection.client, _upstream(connection)
-        if upstream is None or upstream.line is None:
+        if upstream is None or upstream.line_protocol is None:
             return False
         if not isinstance(client, ClientProtocol) or client.closing:
             return False
-        client_transport, backend_transport = client.wire, upstream.line.wire
+        client_transport, backend_transport = client.tcp, upstream.line_protocol.tcp
         if not (has_sent_all(client_transport) and has_sent_all(backend_transport)):
             return False
-        snapshot = self._snapshot(connection, client.unfinished(), upstream.line.unfinished())
+        snapshot = self._snapshot(connection, client.take_partial_line(), upstream.line_protocol.take_partial_line())
         descriptors = [client_transport.getHandle().fileno(), backend_transport.getHandle().fileno()]
         try:
             socket.send_fds(call, [write(snapshot)], descriptors)
         except OSError as error:
-            client.take_bytes(snapshot.from_carer)
-            upstream.line.take_bytes(snapshot.from_box)
+            client.replay_received(snapshot.from_carer)
+            upstream.line_protocol.replay_received(snapshot.from_box)
             if not isinstance(error, BlockingIOError):
                 log.warning("nothing more can be handed over: %s", error)
                 self.end()
             return False
         release(client_transport)
         release(backend_transport)
-        self.front.open_connections -= 1
+        self.client_factory.open_connections -= 1
         client.closing, upstream.gone = True, True
         give_away(self.core, connection)
         return True
--- a/tests/loop.py
+++ b/tests/loop.py
@@ -29,7 +29,7 @@
 OPEN = "OPEN {id:016x} 7f3a9c21e0b4d655 c={c},d={d},g=5c0f6e1a2b3d4c59"
 
 
-def arrived(sock: socket.socket, events: int = select.POLLIN) -> None:
+def wait_ready(sock: socket.socket, events: int = select.POLLIN) -> None:
     """Waits until a socket is ready, by default until bytes that are under way have arrived."""
     poll = select.poll()
     poll.register(sock, events)
@@ -58,7 +58,7 @@
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         sock.settimeout(HANG_TIMEOUT_S)
-        self.got = b""
+        self.received = b""
         self.reset = False
         self.ended = False
 
@@ -66,7 +66,7 @@
         """Sends all of it."""
         self.sock.sendall(data.encode() if isinstance(data, str) else data)
 
-    def line(self, text: str) -> None:
+    def send_line(self, text: str) -> None:
         """Sends a line."""
         self.send(text + "\r\n")
 
@@ -80,10 +80,10 @@
                 except ConnectionError:
                     self.reset = self.ended = True
                     break
-                self.got += part
+                self.received += part
                 self.ended = not part
         self.sock.settimeout(HANG_TIMEOUT_S)
-        return self.got
+        return self.received
 
     def close(self, reset: bool = False) -> None:
         """Closes the connection, by a reset if asked to."""
@@ -101,7 +101,7 @@
         self.port = int(self.listener.getsockname()[1])
 
     @property
-    def called(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether a connection waits to be accepted."""
         return bool(select.select([self.listener], [], [], 0)[0])
 
@@ -202,12 +202,12 @@
     def client(self) -> Peer:
         """A client that has connected and has sent nothing yet."""
         port = self.relay.port.getHost().port
-        before = set(self.relay.front.pre_request)
+        before = set(self.relay.client_factory.pre_request)
         peer = Peer(socket.create_connection(("127.0.0.1", port), HANG_TIMEOUT_S))
-        self.until(lambda: set(self.relay.front.pre_request) - before)
+        self.until(lambda: set(self.relay.client_factory.pre_request) - before)
         return peer
 
-    def side(self, peer: Peer) -> ClientProtocol:
+    def protocol_of(self, peer: Peer) -> ClientProtocol:
         """The relay's side of a client's connection."""
         here = peer.sock.getsockname()
         for end in [*self.reactor.getReaders(), *self.reactor.getWriters()]:
@@ -218,21 +218,21 @@
 
     def open(self, peer: Peer, d: int = 1500, c: str = "visit-checkin") -> None:
         """Sends a client's first line, and waits until the loop has seen it."""
-        side = self.side(peer)
-        peer.line(OPEN.format(id=next(IDS), d=d, c=c))
+        side = self.protocol_of(peer)
+        peer.send_line(OPEN.format(id=next(IDS), d=d, c=c))
         self.until(lambda: side.connection or side.closing)
 
-    def standing(self, backend: Backend) -> tuple[Peer, Peer]:
+    def establish(self, backend: Backend) -> tuple[Peer, Peer]:
         """A client that is served: its end, and the backend's."""
         client = self.client()
         self.open(client)
-        self.until(lambda: backend.called)
+        self.until(lambda: backend.has_pending)
         at_backend = backend.accept()
         self.until(lambda: at_backend.read().endswith(b"\r\n"))
-        at_backend.got = b""
-        at_backend.line("UP r-1")
+        at_backend.received = b""
+        at_backend.send_line("UP r-1")
         self.until(lambda: client.read() == b"UP r-1\r\n")
-        client.got = b""
+        client.received = b""
         return client, at_backend
 
     def leave(self) -> None:
@@ -242,7 +242,7 @@
 
 
 @contextmanager
-def guarded() -> Iterator[None]:
+def fail_on_hang() -> Iterator[None]:
     """Fails what does not end, even if it catches the exception that is raised to end it."""
     alarms = list[int]()
 
@@ -263,7 +263,7 @@
 def hold_connects(loop: Loop) -> list[Attempt]:
     """Hides from the loop that connections to backends come up. Returns the list of attempts, which grows."""
     attempts = list[Attempt]()
-    call = loop.relay.front.connector.connect
+    call = loop.relay.client_factory.connector.connect
 
     def held(attempt: Attempt, request_line: object) -> BackendConnection:
         upstream = call(attempt, request_line)
@@ -271,5 +271,5 @@
         attempts.append(attempt)
         return upstream
 
-    loop.relay.front.connector.connect = held  # type: ignore[method-assign]
+    loop.relay.client_factory.connector.connect = held  # type: ignore[method-assign]
     return attempts
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -29,7 +29,7 @@
     def flush(self) -> bool:
         return True
 
-    def catch_up(self) -> bool:
+    def read_available(self) -> bool:
         return False
 
     def abortConnection(self) -> None:
@@ -62,8 +62,8 @@
         assert line
         for part in parts:
             cast(Any, line).dataReceived(part)
-        answer = cast(bytes, line.wire.value())
-        assert line.wire.disconnecting == bool(answer)
+        answer = cast(bytes, line.tcp.value())
+        assert line.tcp.disconnecting == bool(answer)
         line.connectionLost()
         return answer
 
@@ -110,7 +110,7 @@
         callers.bench.wait(300_000)
         assert len(callers.server.callers) <= MAX_CALLERS
     callers.bench.wait(CALL_TIMEOUT_US + 10_000)
-    assert all(line.wire.value().startswith(b"fail") for line in callers.server.callers), "silence ends too"
+    assert all(line.tcp.value().startswith(b"fail") for line in callers.server.callers), "silence ends too"
 
 
 def test_figures_are_there_from_the_start_and_labels_can_not_break_the_form() -> None:
--- a/tests/test_handover_end.py
+++ b/tests/test_handover_end.py
@@ -43,7 +43,7 @@
 def test_a_connection_handed_over_in_the_last_instant_is_taken_or_refused(tmp_path: Path, is_accepted: bool) -> None:
     """Guards against clients that are cut off: their sockets lay unread as the receiving process closed."""
     loop = Loop(tmp_path, [Backend()])
-    receiver = HandoverReceiver(loop.core, loop.relay.front, loop.reactor, tmp_path)
+    receiver = HandoverReceiver(loop.core, loop.relay.client_factory, loop.reactor, tmp_path)
     receiver.open()
     sender = Sender(tmp_path, loop.now_us)
     if is_accepted:
@@ -52,6 +52,8 @@
     receiver.close()
     assert loop.core.counters.counts["taken_over"] == 3
     loop.until(lambda: all(client.read() for client in clients))
-    assert all(client.got == b"MOVE\r\n" and not client.reset for client in clients), "their class has other rules"
+    assert all(client.received == b"MOVE\r\n" and not client.reset for client in clients), (
+        "their class has other rules"
+    )
     with pytest.raises(OSError):
         sender.send()
--- a/tests/test_listener_end.py
+++ b/tests/test_listener_end.py
@@ -37,11 +37,11 @@
         self.address = ("127.0.0.1", self.port.getHost().port)
         self.connected: list[Peer] = []
         self.left_outside: list[socket.socket] = []
-        self.accept_waiting = self.port.accept_waiting
-        self.port.accept_waiting = self._accept_held_up
+        self.accept_pending = self.port.accept_pending
+        self.port.accept_pending = self._accept_held_up
 
     def _accept_held_up(self, limit: int) -> Any:
-        result = self.accept_waiting(limit)
+        result = self.accept_pending(limit)
         if self.loop.core.lifecycle.state is LifecycleState.STOPPING:
             self.come()
         return result
@@ -54,7 +54,7 @@
             self.left_outside.append(one)
             return
         self.connected.append(Peer(one))
-        self.connected[-1].line(OPEN.format(id=0x9000 + len(self.connected), c="visit-checkin", d=900))
+        self.connected[-1].send_line(OPEN.format(id=0x9000 + len(self.connected), c="visit-checkin", d=900))
 
 
 def _is_connected(one: socket.socket) -> bool:
@@ -91,7 +91,7 @@
         return call
 
     port.drop_new_handshakes = noted(port.drop_new_handshakes)
-    port.accept_last_and_close = noted(port.accept_last_and_close)
+    port.accept_pending_and_close = noted(port.accept_pending_and_close)
     stopping(loop)
     loop.now_us += held_up_us
     loop.until(lambda: loop.wait(4_000) or loop.stopped)
@@ -111,7 +111,7 @@
     address = ("127.0.0.1", port.getHost().port)
     queued = [Peer(socket.create_connection(address, HANG_TIMEOUT_S)) for _ in range(5)]
     for number, client in enumerate(queued):
-        client.line(OPEN.format(id=0x9000 + number, c="visit-checkin", d=900))
+        client.send_line(OPEN.format(id=0x9000 + number, c="visit-checkin", d=900))
     faulty(port).errors["accept"] = [errno.EMFILE, errno.ENOMEM, errno.EMFILE]
     loop.until(lambda: loop.wait(4_000) or loop.stopped)
     for client in [resting, *queued]:
--- a/tests/test_lost_model.py
+++ b/tests/test_lost_model.py
@@ -30,7 +30,7 @@
 from lab.stand_ins import settings
 
 from .faults import FaultySocket, faulty
-from .loop import Backend, Loop, Peer, arrived
+from .loop import Backend, Loop, Peer, wait_ready
 from .lost_model_records import AttemptSocket, ClientRecord
 
 PASSING = [errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN]
@@ -80,7 +80,7 @@
         made, oracle = BackendProtocol.connectionMade, self
 
         def recorded(line: BackendProtocol) -> None:
-            sent = line.wire.socket = AttemptSocket(line.wire.socket, oracle.request_left)
+            sent = line.tcp.socket = AttemptSocket(line.tcp.socket, oracle.request_left)
             sent.send_capacity = oracle.piece
             oracle.attempts.append(sent)
             made(line)
@@ -128,7 +128,7 @@
         """Some turns of the loop, and the backends' new connections."""
         self.loop.step(3)
         for backend in self.backends:
-            while backend.called:
+            while backend.has_pending:
                 peer = backend.accept()
                 with suppress(OSError):  # the relay may have reset it already
                     self.backend_ends[peer.sock.getpeername()[1]] = peer
@@ -153,7 +153,7 @@
         self.settle()
 
     def ask(self, client: ClientRecord, d: int) -> None:
-        client.peer.line(f"OPEN {client.id.decode()} 7f3a9c21e0b4d655 c=visit-checkin,d={d},g=5c0f6e1a2b3d4c59")
+        client.peer.send_line(f"OPEN {client.id.decode()} 7f3a9c21e0b4d655 c=visit-checkin,d={d},g=5c0f6e1a2b3d4c59")
         client.requested = True
         client.due_us = self.loop.now_us + d * 1000 + 60_000  # an accept that failed may take some ms
 
@@ -173,7 +173,7 @@
             client
             and not client.requested
             and not client.half_closed
-            and not client.peer.got
+            and not client.peer.received
             and not client.peer.ended
         ):
             self.ask(client, d)
@@ -360,7 +360,7 @@
                 if client.closed:
                     continue
                 if not client.peer.ended:
-                    arrived(client.peer.sock, select.POLLIN | select.POLLRDHUP)
+                    wait_ready(client.peer.sock, select.POLLIN | select.POLLRDHUP)
                 lines = client.lines()
                 assert not client.requested or FINAL.fullmatch(lines[0]), f"never answered: {lines!r}"
         finally:
--- a/tests/test_lost_requests.py
+++ b/tests/test_lost_requests.py
@@ -16,7 +16,7 @@
 from lab.stand_ins import settings
 
 from .faults import FaultySocket, failure, faulty
-from .loop import Backend, Loop, Peer, arrived, hold_connects
+from .loop import Backend, Loop, Peer, hold_connects, wait_ready
 
 BROKEN = [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ECONNRESET, errno.EPIPE]
 PASSING = [errno.ENOBUFS, errno.ENOMEM, errno.EINTR]
@@ -24,7 +24,7 @@
 
 def accepted(loop: Loop, backend: Backend) -> Peer:
     """The backend's end of a connection that has brought a request whole."""
-    loop.until(lambda: loop.wait(4_000) or backend.called)
+    loop.until(lambda: loop.wait(4_000) or backend.has_pending)
     peer = backend.accept()
     loop.until(lambda: peer.read().endswith(b"\r\n"))
     return peer
@@ -36,7 +36,7 @@
     made = BackendProtocol.connectionMade
 
     def first_piece(line: BackendProtocol) -> None:
-        sock = faulty(line.wire)
+        sock = faulty(line.tcp)
         sock.send_capacity = piece
         sockets.append(sock)
         made(line)
@@ -48,12 +48,12 @@
 def fails_at_the_look(loop: Loop, number: int) -> tuple[Peer, list[Attempt]]:
     """A client whose connection fails so as its relay looks at it, when a connection to a backend has come up."""
     client = loop.client()
-    side = loop.side(client)
+    side = loop.protocol_of(client)
     attempts = hold_connects(loop)
     loop.open(client)
     loop.until(lambda: attempts)
-    faulty(side.wire).errors["recv"] = [number]
-    loop.order.held = {side.wire.fileno()}
+    faulty(side.tcp).errors["recv"] = [number]
+    loop.order.held = {side.tcp.fileno()}
     return client, attempts
 
 
@@ -65,13 +65,13 @@
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client = loop.client()
-    faulty(loop.side(client).wire).errors["recv"] = [number] * 2
+    faulty(loop.protocol_of(client).tcp).errors["recv"] = [number] * 2
     loop.open(client)
     served = accepted(loop, backend)
-    served.line("UP r-1")
+    served.send_line("UP r-1")
     loop.until(lambda: client.read() == b"UP r-1\r\n")
-    loop.side(client).wire.socket.errors["recv"] = [number] * 2
-    client.line("a message")
+    loop.protocol_of(client).tcp.socket.errors["recv"] = [number] * 2
+    client.send_line("a message")
     loop.until(lambda: served.read().endswith(b"a message\r\n"))
 
 
@@ -83,8 +83,8 @@
     loop.open(client)
     served = accepted(loop, backend)
     (connection,) = loop.core.connections.values()
-    faulty(connection.attempt.upstream.line.wire).errors["recv"] = [number] * 2  # type: ignore[union-attr]
-    served.line("UP r-1")
+    faulty(connection.attempt.upstream.line_protocol.tcp).errors["recv"] = [number] * 2  # type: ignore[union-attr]
+    served.send_line("UP r-1")
     loop.until(lambda: client.read() == b"UP r-1\r\n")
 
 
@@ -95,7 +95,7 @@
     client, _ = fails_at_the_look(loop, number)
     served = accepted(loop, backend)
     loop.order.held.clear()
-    served.line("UP r-1")
+    served.send_line("UP r-1")
     loop.until(lambda: client.read() == b"UP r-1\r\n")
 
 
@@ -107,8 +107,8 @@
     loop.until(lambda: attempts[0].is_over)
     loop.order.held.clear()
     client.close()
-    loop.until(lambda: not loop.relay.front.open_connections)
-    while backend.called:
+    loop.until(lambda: not loop.relay.client_factory.open_connections)
+    while backend.has_pending:
         assert b"OPEN" not in backend.accept().read()
     assert not loop.core.connections and loop.core.counters.counts["gave_up_waiting"] == 1
 
@@ -118,12 +118,12 @@
     backends = [] if when == "in a backoff" else [Backend()]
     loop = Loop(tmp_path, backends)
     client = loop.client()
-    side = loop.side(client)
+    side = loop.protocol_of(client)
     attempts = hold_connects(loop) if when == "connecting" else []
     if when == "in the queue":
-        client.line("OPEN 9b1f03aa5c7e2d42 7f3a9c21e0b4d655 c=visit-checkin,d=900,g=5c0f6e1a2b3d4c59")
+        client.send_line("OPEN 9b1f03aa5c7e2d42 7f3a9c21e0b4d655 c=visit-checkin,d=900,g=5c0f6e1a2b3d4c59")
         client.sock.shutdown(socket.SHUT_WR)
-        arrived(side.wire.socket, select.POLLRDHUP)
+        wait_ready(side.tcp.socket, select.POLLRDHUP)
     else:
         loop.open(client)
         if when == "sent":
@@ -131,32 +131,32 @@
         elif when == "connecting":
             loop.until(lambda: attempts)
         client.sock.shutdown(socket.SHUT_WR)
-        arrived(side.wire.socket, select.POLLRDHUP)
+        wait_ready(side.tcp.socket, select.POLLRDHUP)
     loop.until(lambda: client.read() and client.ended or loop.wait(4_000))
-    assert client.got in (b"ERR\r\n", b"BUSY\r\n") and not client.reset
+    assert client.received in (b"ERR\r\n", b"BUSY\r\n") and not client.reset
     loop.order.held.clear()
     loop.wait(600_000, 20_000)
-    assert not loop.core.connections and not loop.relay.front.open_connections
+    assert not loop.core.connections and not loop.relay.client_factory.open_connections
     for backend in backends if when in ("connecting", "in the queue") else ():
-        while backend.called:
+        while backend.has_pending:
             assert b"OPEN" not in backend.accept().read(), "sent on after its client had ended"
 
 
 def test_a_client_that_is_served_and_shuts_its_sending_side_ends_both_in_order(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
-    client, served = loop.standing(backend)
-    sock = faulty(loop.side(client).wire)
+    client, served = loop.establish(backend)
+    sock = faulty(loop.protocol_of(client).tcp)
     sock.send_capacity = 0
     served.send(b"a line that is under way\r\n")
     loop.step(3)
     client.send(b"half a line")
     client.sock.shutdown(socket.SHUT_WR)
     loop.until(lambda: served.read() and served.ended)
-    assert served.got == b"half a line" and not served.reset
+    assert served.received == b"half a line" and not served.reset
     sock.send_capacity = None
     loop.until(lambda: client.read() and client.ended)
-    assert client.got == b"a line that is under way\r\n" and not client.reset
+    assert client.received == b"a line that is under way\r\n" and not client.reset
     assert not loop.core.connections
 
 
@@ -166,8 +166,8 @@
     client.send(b"OPEN 9b1f")
     client.sock.shutdown(socket.SHUT_WR)
     loop.until(lambda: client.read() or client.ended)
-    assert client.got == b"" and not client.reset
-    loop.until(lambda: not loop.relay.front.open_connections)
+    assert client.received == b"" and not client.reset
+    loop.until(lambda: not loop.relay.client_factory.open_connections)
 
 
 # ---- the first line in pieces
@@ -197,16 +197,16 @@
         loop.step(2)
     sockets = broke_off(monkeypatch, 10)
     client = loop.client()
-    side = loop.side(client)
+    side = loop.protocol_of(client)
     loop.open(client)
     loop.until(lambda: loop.wait(4_000) or sockets)
     served = backend.accept()
     loop.until(lambda: served.read())
-    assert served.got == b"OPEN 00000"
+    assert served.received == b"OPEN 00000"
     (connection,) = loop.core.connections.values()
     attempt = connection.attempt
     assert attempt and connection.state is ConnectionState.CONNECTING
-    loop.order.held.add(side.wire.fileno())  # the loop is busy, and does not read what the client does
+    loop.order.held.add(side.tcp.fileno())  # the loop is busy, and does not read what the client does
     if what == "the client leaves":
         client.close()
     elif what == "the client shuts its side":
@@ -229,18 +229,18 @@
     else:
         loop.now_us = connection.deadline_us + 1_000
     if what.startswith("the client"):
-        arrived(side.wire.socket, select.POLLRDHUP)
+        wait_ready(side.tcp.socket, select.POLLRDHUP)
     sockets[0].send_capacity = None
     loop.until(lambda: attempt.is_over)
     loop.order.held.clear()
     loop.until(lambda: served.read() and served.ended)
-    assert served.got == b"OPEN 00000", "the rest has left"
+    assert served.received == b"OPEN 00000", "the rest has left"
     if drains:  # it never ran there, and goes where it may
         monkeypatch.undo()
-        assert accepted(loop, other).got.startswith(b"OPEN ")
+        assert accepted(loop, other).received.startswith(b"OPEN ")
     elif not what.startswith("the client"):
         loop.until(lambda: client.read() and client.ended)
-        assert client.got.split()[0] in (b"BUSY", b"ERR") and not client.reset
+        assert client.received.split()[0] in (b"BUSY", b"ERR") and not client.reset
 
 
 def test_a_request_that_leaves_in_pieces_arrives_whole(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -257,8 +257,8 @@
         loop.step(3)
     sockets[0].send_capacity = None
     loop.until(lambda: served.read().endswith(b"\r\n"))
-    assert served.got.count(b"OPEN") == 1 and served.got.startswith(b"OPEN ")
-    served.line("UP r-1")
+    assert served.received.count(b"OPEN") == 1 and served.received.startswith(b"OPEN ")
+    served.send_line("UP r-1")
     loop.until(lambda: client.read() == b"UP r-1\r\n")
 
 
@@ -272,12 +272,12 @@
     client = loop.client()
     loop.open(client)
     loop.until(lambda: loop.wait(4_000) or sockets)
-    early = next(b for b in backends if b.called)
+    early = next(b for b in backends if b.has_pending)
     early.accept().send(answer)
     monkeypatch.undo()
     other = accepted(loop, next(b for b in backends if b is not early))
     assert client.read() == b""
-    other.line("UP r-1")
+    other.send_line("UP r-1")
     loop.until(lambda: client.read() == b"UP r-1\r\n")
 
 
@@ -289,7 +289,7 @@
     attempts = hold_connects(loop)
     loop.open(client)
     loop.until(lambda: attempts)
-    side = loop.side(client)
+    side = loop.protocol_of(client)
     watcher: Any = loop.core.endpoint_watcher
     catch_up = watcher.read_pending
 
@@ -297,13 +297,13 @@
         catch_up()
         loop.now_us += 150_000
         client.close()
-        arrived(side.wire.socket, select.POLLRDHUP)
+        wait_ready(side.tcp.socket, select.POLLRDHUP)
 
     watcher.read_pending = held_up
-    loop.order.held = {side.wire.fileno()}
+    loop.order.held = {side.tcp.fileno()}
     loop.until(lambda: attempts[0].is_over)
     loop.order.held.clear()
-    assert backend.called and b"OPEN" not in backend.accept().read()
+    assert backend.has_pending and b"OPEN" not in backend.accept().read()
 
 
 # ---- the backend's side
@@ -345,10 +345,10 @@
     monkeypatch.setattr(tcp.Client, "createInternetSocket", fails_once)
     client = loop.client()
     loop.open(client)
-    loop.until(lambda: loop.wait(4_000) or any(b.called for b in backends))
-    served = next(b for b in backends if b.called).accept()
+    loop.until(lambda: loop.wait(4_000) or any(b.has_pending for b in backends))
+    served = next(b for b in backends if b.has_pending).accept()
     loop.until(lambda: served.read().endswith(b"\r\n"))
-    served.line("UP r-1")
+    served.send_line("UP r-1")
     loop.until(lambda: client.read() == b"UP r-1\r\n")
     assert failed
 
@@ -379,16 +379,16 @@
 
     loop.core.enqueue = hear  # type: ignore[method-assign]
     loop.until(lambda: loop.wait(4_000) or attempt.write_started_us)
-    line: Any = attempt.upstream.line  # type: ignore[union-attr]
-    sock = faulty(line.wire)
+    line: Any = attempt.upstream.line_protocol  # type: ignore[union-attr]
+    sock = faulty(line.tcp)
     sock.errors[call] = [number]
     if call == "send":
-        line.wire.write(b"x")
+        line.tcp.write(b"x")
     else:
-        line.wire.reactor.callLater(0, line.wire.doRead)  # as the loop does when there is something to read
+        line.tcp.reactor.callLater(0, line.tcp.doRead)  # as the loop does when there is something to read
         sock.errors[call] = [number] * 2
         loop.step()
-        why = line.wire.doRead()
-        line.wire.reactor._disconnectSelectable(line.wire, why, True)
+        why = line.tcp.doRead()
+        line.tcp.reactor._disconnectSelectable(line.tcp, why, True)
     loop.until(lambda: client.read() and client.ended)
-    assert client.got == b"ERR\r\n" and results == [AttemptResult.RESET]
+    assert client.received == b"ERR\r\n" and results == [AttemptResult.RESET]
--- a/tests/test_moments_list.py
+++ b/tests/test_moments_list.py
@@ -14,7 +14,7 @@
 from gradefront.core.connection import Attempt
 from lab.stand_ins import settings
 
-from .loop import Backend, Loop, Peer, arrived, guarded, hold_connects
+from .loop import Backend, Loop, Peer, fail_on_hang, hold_connects, wait_ready
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 IN_FORCE_US = 6_000_000  # an update that a silent watch missed is in force then
@@ -27,7 +27,7 @@
 
 def watch(loop: Loop, head: bytes = HEAD) -> Peer:
     """The relay's next call, answered up to the first object."""
-    loop.until(lambda: loop.wait(20_000) or loop.discovery.called)
+    loop.until(lambda: loop.wait(20_000) or loop.discovery.has_pending)
     call = loop.discovery.accept()
     loop.until(lambda: call.read().endswith(b"\r\n\r\n"))
     call.send(head)
@@ -86,7 +86,7 @@
         first.send(chunk(line(loop.known)))
     began = loop.now_us
     for n in range(20):
-        if loop.discovery.called:
+        if loop.discovery.has_pending:
             break
         part = {
             "half an object": chunk(b'{"revision":' if not n else b"4"),
@@ -95,7 +95,7 @@
         }[drip]
         first.send(part)
         loop.wait(400_000, 20_000)
-    loop.until(lambda: loop.wait(20_000) or loop.discovery.called)
+    loop.until(lambda: loop.wait(20_000) or loop.discovery.has_pending)
     assert loop.now_us - began < IN_FORCE_US - 1_000_000
 
 
@@ -144,7 +144,7 @@
     began = loop.now_us
     loop.until(lambda: loop.core.counters.counts["list_errors"] == 1)
     assert loop.now_us == began
-    loop.until(lambda: loop.wait(4_000) or loop.discovery.called)
+    loop.until(lambda: loop.wait(4_000) or loop.discovery.has_pending)
     assert loop.core.is_ready("box-0") and loop.core.is_ready("box-1")
 
 
@@ -198,15 +198,15 @@
     old.send(chunk(line(loop.known)))
     loop.until(lambda: loop.relay.endpoint_watch.call and loop.relay.endpoint_watch.call.has_update)
     call = loop.relay.endpoint_watch.call
-    assert call and call.line
-    loop.order.held.add(call.line.wire.fileno())
+    assert call and call.line_protocol
+    loop.order.held.add(call.line_protocol.tcp.fileno())
     old.send(chunk(line(change(loop, 1, "DELETED", 40))))  # under way as the address changes
     other = Backend()
     loop.discovery = other
-    loop.relay.endpoint_watch.go_to(("127.0.0.1", other.port))
+    loop.relay.endpoint_watch.change_address(("127.0.0.1", other.port))
     loop.order.held.clear()
     new = watch(loop)
-    assert b"index=0" in new.got, "revisions of one address mean nothing at another"
+    assert b"index=0" in new.received, "revisions of one address mean nothing at another"
     new.send(chunk(line({**loop.known, "revision": 2})))
     loop.until(lambda: loop.relay.endpoint_list.revision == 2)
     loop.step(5)
@@ -223,7 +223,7 @@
     first.send(chunk(line(change(loop, 0, "DRAINING", 5))[:60]))
     first.close(reset=True)
     second = watch(loop)
-    assert b"index=4" in second.got and loop.core.is_ready("box-0")
+    assert b"index=4" in second.received and loop.core.is_ready("box-0")
     second.send(chunk(line(change(loop, 0, "DRAINING", 3))))  # revisions may go back after an outage
     loop.until(lambda: drains(loop))
     assert loop.relay.endpoint_list.revision == 3
@@ -240,9 +240,9 @@
     attempts = hold_connects(loop)
     loop.open(client)
     loop.until(lambda: loop.wait(4_000) or attempts)
-    assert call and call.line
-    loop.order.held = {call.line.wire.fileno()}
-    return first, call.line.wire.socket, client, attempts
+    assert call and call.line_protocol
+    loop.order.held = {call.line_protocol.tcp.fileno()}
+    return first, call.line_protocol.tcp.socket, client, attempts
 
 
 @pytest.mark.parametrize("phase", ["DRAINING", "DELETED"])
@@ -252,11 +252,11 @@
     first, unread, _client, attempts = connecting_beside_a_watch(loop)
     number = int(attempts[0].backend[-1])
     first.send(chunk(line(change(loop, number, phase, 8))))
-    arrived(unread)
+    wait_ready(unread)
     loop.until(lambda: attempts[0].is_over or attempts[0].write_started_us)
     assert attempts[0].is_over, "sent to a backend after its drain was announced"
     other = backends[1 - number]
-    loop.until(lambda: loop.release() or loop.wait(4_000) or other.called)
+    loop.until(lambda: loop.release() or loop.wait(4_000) or other.has_pending)
     at_other = other.accept()
     loop.until(lambda: loop.release() or at_other.read().endswith(b"\r\n"))
 
@@ -268,7 +268,9 @@
     loop.until(lambda: loop.core.lifecycle.accepts_clients)
     first.close(reset=True)
     silent = [
-        loop.discovery.accept() for _ in range(10) if loop.until(lambda: loop.wait(20_000) or loop.discovery.called)
+        loop.discovery.accept()
+        for _ in range(10)
+        if loop.until(lambda: loop.wait(20_000) or loop.discovery.has_pending)
     ]  # down: calls are taken and not answered
     assert len(silent) == 10
     returned_us = loop.now_us
@@ -287,8 +289,8 @@
     with suppress(BlockingIOError):
         first.sock.send(chunk(junk))
     first.sock.settimeout(10)
-    arrived(unread)
-    with guarded():
+    wait_ready(unread)
+    with fail_on_hang():
         loop.until(lambda: attempts[0].write_started_us)
     at_backend = backend.accept()
     loop.until(lambda: at_backend.read().endswith(b"\r\n"))
--- a/tests/test_moments_send.py
+++ b/tests/test_moments_send.py
@@ -25,7 +25,7 @@
 from gradefront.core.connection import ConnectionState
 from lab.stand_ins import settings
 
-from .loop import Backend, Loop, Peer, arrived, guarded, hold_connects
+from .loop import Backend, Loop, Peer, fail_on_hang, hold_connects, wait_ready
 
 
 def stored_rules(effect: str, scope: str = "all", window_ms: int = 400, **more: Any) -> dict[str, Any]:
@@ -37,12 +37,12 @@
 
 def called(backends: list[Backend]) -> tuple[int, Peer]:
     """The backend that a connection waits at, and that connection."""
-    number = next(n for n, b in enumerate(backends) if b.called)
+    number = next(n for n, b in enumerate(backends) if b.has_pending)
     return number, backends[number].accept()
 
 
 def first_at(loop: Loop, backends: list[Backend]) -> tuple[int, Peer]:
-    loop.until(lambda: loop.wait(4_000) or any(b.called for b in backends))
+    loop.until(lambda: loop.wait(4_000) or any(b.has_pending for b in backends))
     number, peer = called(backends)
     loop.until(lambda: peer.read().endswith(b"\r\n"))
     return number, peer
@@ -72,7 +72,7 @@
     loop.now_us = written_us + 400_000
     loop.order.held.clear()
     second = next(n for n, b in enumerate(backends) if n != number and attempts[0].backend == f"box-{n}")
-    loop.until(lambda: backends[second].called)
+    loop.until(lambda: backends[second].has_pending)
     at_second = backends[second].accept()
     loop.until(lambda: at_second.read() or attempts[0].is_over)
     loop.step(4)
@@ -81,7 +81,7 @@
         return
     assert b"OPEN" not in at_second.read(), "a retry outside the window of the first attempt"
     loop.until(lambda: client.read().endswith(b"\r\n"))
-    assert client.got.split()[0] == answer
+    assert client.received.split()[0] == answer
 
 
 @pytest.mark.parametrize("scope", [KeyScope.ALL, KeyScope.CELL])
@@ -111,9 +111,9 @@
     if what != "a timeout":
         peer.close(reset=what != "half an answer")
     loop.until(lambda: loop.wait(20_000) or client.read().endswith(b"\r\n"))
-    assert client.got == b"ERR\r\n", "a rejection would invite a retry"
+    assert client.received == b"ERR\r\n", "a rejection would invite a retry"
     loop.wait(500_000)
-    assert not backends[1 - number].called
+    assert not backends[1 - number].has_pending
 
 
 def test_an_attempt_cancelled_before_its_connection_opened_never_writes_and_the_next_one_does(tmp_path: Path) -> None:
@@ -127,11 +127,11 @@
     loop.order.held.clear()  # both connections come up in the same turn
     late = next(b for n, b in enumerate(backends) if attempts[0].backend == f"box-{n}")
     other = next(b for b in backends if b is not late)
-    loop.until(lambda: other.called)
+    loop.until(lambda: other.has_pending)
     at_other = other.accept()
     loop.until(lambda: b"OPEN" in at_other.read())
     loop.wait(100_000)
-    assert attempts[0].is_over and (not late.called or b"OPEN" not in late.accept().read())
+    assert attempts[0].is_over and (not late.has_pending or b"OPEN" not in late.accept().read())
 
 
 @pytest.mark.parametrize("where", ["backoff", "connecting", "after a timeout to connect"])
@@ -155,19 +155,19 @@
         loop.until(lambda: loop.wait(4_000) or len(attempts) >= 2)
         if where.startswith("after"):
             loop.wait(160_000)
-    sides = [loop.side(c) for c in clients]
+    sides = [loop.protocol_of(c) for c in clients]
     for n, client in enumerate(clients):
         client.close(reset=bool(n % 2))
     for side in sides:
-        arrived(side.wire.socket, select.POLLRDHUP)
+        wait_ready(side.tcp.socket, select.POLLRDHUP)
     before = len(attempts)
-    loop.order.first = [side.wire.fileno() for side in sides] if where == "connecting" else []
+    loop.order.first = [side.tcp.fileno() for side in sides] if where == "connecting" else []
     loop.order.held.clear()
-    loop.until(lambda: not loop.relay.front.open_connections)
+    loop.until(lambda: not loop.relay.client_factory.open_connections)
     loop.wait(1_500_000, 20_000)
     assert not loop.core.connections and len(attempts) <= before + many
     for backend in backends if where != "backoff" else ():
-        while backend.called:
+        while backend.has_pending:
             assert b"OPEN" not in backend.accept().read()
 
 
@@ -202,12 +202,12 @@
         peer.close()
     loop.until(lambda: loop.wait(4_000) or client.read() and client.ended)
     if exact:
-        assert client.got == expected and not client.reset
+        assert client.received == expected and not client.reset
     else:
-        assert client.got.count(b"\r\n") == 1 and client.got.split()[0] in (b"BUSY", b"ERR")
+        assert client.received.count(b"\r\n") == 1 and client.received.split()[0] in (b"BUSY", b"ERR")
     if not ends:
         with suppress(ConnectionError):
-            peer.line("UP r-9")  # some milliseconds later
+            peer.send_line("UP r-9")  # some milliseconds later
         loop.step(5)
         assert b"UP" not in client.read()
     assert not loop.core.connections and not loop.core.counters.counts["exceptions"]
@@ -221,11 +221,11 @@
     _, peer = first_at(loop, [backend])
     (connection,) = loop.core.connections.values()
     assert connection.attempt
-    peer.line("UP r-1")
-    arrived(connection.attempt.upstream.line.wire.socket)  # type: ignore[union-attr]
+    peer.send_line("UP r-1")
+    wait_ready(connection.attempt.upstream.line_protocol.tcp.socket)  # type: ignore[union-attr]
     loop.now_us = connection.attempt.expires_us + 5_000  # the loop was held up; it sees the timer first
     loop.until(lambda: client.read() and client.ended)
-    assert client.got.count(b"\r\n") == 1 and not loop.core.connections
+    assert client.received.count(b"\r\n") == 1 and not loop.core.connections
 
 
 @pytest.mark.parametrize("last", [b"BYE\r\n", b"MOVE\r\n", b"half a line", b"a line\r\n"])
@@ -233,17 +233,17 @@
 def test_a_move_that_meets_the_backends_own_end_is_one_move(tmp_path: Path, last: bytes, reset: bool) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
-    client, peer = loop.standing(backend)
+    client, peer = loop.establish(backend)
     (connection,) = loop.core.connections.values()
     upstream = connection.attempt.upstream  # type: ignore[union-attr]
-    loop.order.held.add(upstream.line.wire.fileno())  # type: ignore[union-attr]
+    loop.order.held.add(upstream.line_protocol.tcp.fileno())  # type: ignore[union-attr]
     peer.send(last)
-    arrived(upstream.line.wire.socket)  # type: ignore[union-attr]
+    wait_ready(upstream.line_protocol.tcp.socket)  # type: ignore[union-attr]
     peer.close(reset=reset)
     loop.core.migrate(connection)
     loop.order.held.clear()
     loop.until(lambda: client.read() and client.ended)
-    assert client.got == b"MOVE\r\n" and not client.reset
+    assert client.received == b"MOVE\r\n" and not client.reset
     loop.core.migrate(connection)  # decided for one that has just ended
     loop.step(3)
     assert not loop.core.connections and not loop.core.counters.counts["exceptions"]
@@ -262,17 +262,17 @@
 
     loop.core.enqueue = record  # type: ignore[method-assign]
     loop.relay.core.health_checker.check("box-0")  # type: ignore[union-attr]
-    loop.until(lambda: backend.called)
+    loop.until(lambda: backend.has_pending)
     check = backend.accept()
     loop.until(lambda: check.read() == b"STATS\r\n")
     check.send(b"PONG x0=0.25\r\nPONG x0=0.9\r\n")  # the second response belongs to no check
     loop.until(lambda: results)
     loop.step(3)
     loop.relay.core.health_checker.check("box-0")  # type: ignore[union-attr]
-    loop.until(lambda: backend.called)
+    loop.until(lambda: backend.has_pending)
     again = backend.accept()
     loop.until(lambda: again.read() == b"STATS\r\n")
-    again.line("PONG x0=0.5")
+    again.send_line("PONG x0=0.5")
     loop.until(lambda: len(results) == 2)
     assert [t.load_report.load for t in results if t.load_report] == [0.25, 0.5]
 
@@ -282,20 +282,20 @@
     loop = Loop(tmp_path, [backend], settings(probes=True))
     checker: Any = loop.relay.core.health_checker
     checker.check("box-0")
-    loop.until(lambda: backend.called)
+    loop.until(lambda: backend.has_pending)
     check = backend.accept()
     loop.until(lambda: check.read() == b"STATS\r\n")
-    check.line("PONG x0=0.25")
+    check.send_line("PONG x0=0.25")
     loop.until(lambda: not checker.connections["box-0"].pending_since_us)
-    loop.order.held.add(checker.connections["box-0"].line.wire.fileno())
+    loop.order.held.add(checker.connections["box-0"].line_protocol.tcp.fileno())
     check.close(reset=True)
     checker.check("box-0")
     loop.step(2)
     loop.order.held.clear()
-    loop.until(lambda: backend.called)
+    loop.until(lambda: backend.has_pending)
     again = backend.accept()
     loop.until(lambda: again.read() == b"STATS\r\n")
-    again.line("PONG x0=0.5")
+    again.send_line("PONG x0=0.5")
     loop.until(lambda: not checker.connections["box-0"].pending_since_us)
     assert not loop.core.counters.counts["probes_failed"]
 
@@ -303,20 +303,25 @@
 def test_a_flood_that_sends_much_and_goes_leaves_nothing_behind(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
-    usual, served = loop.standing(backend)
+    usual, served = loop.establish(backend)
     for _ in range(40):
         flood = [loop.client() for _ in range(8)]
         for n, peer in enumerate(flood):
             peer.send((b"z" * 3000 + b"\r\n") * (1 + n % 3) + b"z" * (n % 2) * 6000)
             peer.close(reset=n % 4 == 0)
-        loop.until(lambda: loop.relay.front.open_connections <= 1 + len(loop.relay.front.closing) or loop.wait(4_000))
-    loop.until(lambda: loop.relay.front.open_connections == 1)
+        loop.until(
+            lambda: (
+                loop.relay.client_factory.open_connections <= 1 + len(loop.relay.client_factory.closing)
+                or loop.wait(4_000)
+            )
+        )
+    loop.until(lambda: loop.relay.client_factory.open_connections == 1)
     assert (
-        loop.relay.front.descriptors_held() == 2
-        and not loop.relay.front.pre_request
-        and not len(loop.relay.front.closing)
+        loop.relay.client_factory.descriptors_held() == 2
+        and not loop.relay.client_factory.pre_request
+        and not len(loop.relay.client_factory.closing)
     )
-    usual.line("still here")
+    usual.send_line("still here")
     loop.until(lambda: served.read() == b"still here\r\n")
     assert loop.core.counters.counts["bad_lines"] >= 320
 
@@ -325,26 +330,26 @@
 def test_a_client_that_sends_much_as_its_backend_connection_opens_delays_nobody(tmp_path: Path, more: bytes) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
-    usual, _ = loop.standing(backend)
+    usual, _ = loop.establish(backend)
     client = loop.client()
     attempts = hold_connects(loop)
     loop.open(client)
     loop.until(lambda: loop.wait(4_000) or attempts)
-    side = loop.side(client)
-    loop.order.held = {side.wire.fileno()}  # all of it lies unread
+    side = loop.protocol_of(client)
+    loop.order.held = {side.tcp.fileno()}  # all of it lies unread
     client.sock.setblocking(False)
     with suppress(BlockingIOError):
         while more:
             more = more[client.sock.send(more) :]
     client.sock.settimeout(10)
-    arrived(side.wire.socket)
-    with guarded():
+    wait_ready(side.tcp.socket)
+    with fail_on_hang():
         loop.until(lambda: attempts[0].is_over)
     loop.order.held.clear()
     loop.until(lambda: client.read() and client.ended or client.ended)
-    assert client.reset or client.got == b"ERR\r\n"
-    assert not backend.called or b"OPEN" not in backend.accept().read()
-    usual.line("still here")
+    assert client.reset or client.received == b"ERR\r\n"
+    assert not backend.has_pending or b"OPEN" not in backend.accept().read()
+    usual.send_line("still here")
     loop.step(3)
     assert not usual.read() and not usual.ended
 
@@ -354,7 +359,7 @@
 ) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend], settings(objective_ms=300, deadline_ms=1500, maxAttempts=1))
-    _, served = loop.standing(backend)
+    _, served = loop.establish(backend)
     caplog.set_level("WARNING")
     served.send(b"LOAD much\r\n" * 300)
     loop.until(lambda: loop.core.counters.counts["bad_answers"] >= 300)
@@ -375,8 +380,8 @@
 ) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
-    client, served = loop.standing(backend)
+    client, served = loop.establish(backend)
     served.send(endless)
     loop.until(lambda: client.read() and client.ended or client.ended)
-    assert client.got.endswith(b"MOVE\r\n") and client.got.count(b"x") + client.got.count(b"y") == 0
+    assert client.received.endswith(b"MOVE\r\n") and client.received.count(b"x") + client.received.count(b"y") == 0
     assert not client.reset and not loop.core.connections
--- a/tests/test_moments_stop.py
+++ b/tests/test_moments_stop.py
@@ -12,7 +12,7 @@
 from gradefront.core.lifecycle_state import LifecycleState
 from lab.stand_ins import settings
 
-from .loop import HANG_TIMEOUT_S, Backend, Loop, Peer, arrived, hold_connects
+from .loop import HANG_TIMEOUT_S, Backend, Loop, Peer, hold_connects, wait_ready
 
 
 def stopping(loop: Loop) -> None:
@@ -34,9 +34,9 @@
     loop.until(lambda: loop.wait(4_000) or loop.core.lifecycle.state is LifecycleState.STOPPING)
     loop.open(late)
     loop.until(lambda: late.read().endswith(b"\r\n"))
-    assert late.got == b"BUSY\r\n"
+    assert late.received == b"BUSY\r\n"
     loop.wait(400_000)
-    assert not backend.called, "a request read after the shutdown was forwarded"
+    assert not backend.has_pending, "a request read after the shutdown was forwarded"
     assert loop.stopped and late.read() == b"BUSY\r\n" and late.ended and not late.reset
     assert resting.read() and resting.ended and not resting.reset
 
@@ -50,11 +50,11 @@
     assert address, "the listener stands until its queue is empty"
     loop.order.held.add(port.fileno())
     queued = Peer(socket.create_connection(address, HANG_TIMEOUT_S))
-    queued.line("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=visit-checkin,d=900,g=5c0f6e1a2b3d4c59")
+    queued.send_line("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=visit-checkin,d=900,g=5c0f6e1a2b3d4c59")
     loop.order.held.clear()
     loop.wait(400_000)
     assert queued.read() == b"BUSY\r\n" and queued.ended and not queued.reset
-    assert loop.stopped and not backend.called
+    assert loop.stopped and not backend.has_pending
 
 
 def test_an_attempt_that_connects_after_the_shutdown_writes_nothing(tmp_path: Path) -> None:
@@ -65,7 +65,7 @@
     client = loop.client()
     attempts = hold_connects(loop)
     loop.open(client)
-    loop.until(lambda: attempts and backend.called)
+    loop.until(lambda: attempts and backend.has_pending)
     assert attempts[0].connection.state is ConnectionState.CONNECTING
     at_backend = backend.accept()
     loop.wait(64_000)
@@ -78,14 +78,14 @@
 def test_what_stands_is_notified_though_a_line_of_it_comes_in_that_instant(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
-    client, _ = loop.standing(backend)
-    side = loop.side(client)
+    client, _ = loop.establish(backend)
+    side = loop.protocol_of(client)
     lifecycle = loop.core.lifecycle
-    loop.order.held.add(side.wire.fileno())  # its line lies unread
+    loop.order.held.add(side.tcp.fileno())  # its line lies unread
     loop.leave()
     loop.wait(lifecycle.kill_us - 460_000, 20_000)
-    client.line("a message")
-    arrived(side.wire.socket)
+    client.send_line("a message")
+    wait_ready(side.tcp.socket)
     loop.order.held.clear()
     loop.order.first = []
     loop.wait(450_000)
@@ -100,23 +100,23 @@
     lifecycle = loop.core.lifecycle
     loop.wait(lifecycle.kill_us - 600_000, 20_000)
     resting, asking = loop.client(), loop.client()
-    loop.order.held.add(loop.side(asking).wire.fileno())
-    side = loop.side(asking)
+    loop.order.held.add(loop.protocol_of(asking).tcp.fileno())
+    side = loop.protocol_of(asking)
     loop.wait(300_000)
-    asking.line("OPEN 9b1f03aa5c7e2d42 7f3a9c21e0b4d655 c=visit-checkin,d=900,g=5c0f6e1a2b3d4c59")
+    asking.send_line("OPEN 9b1f03aa5c7e2d42 7f3a9c21e0b4d655 c=visit-checkin,d=900,g=5c0f6e1a2b3d4c59")
     if not side.closing:
-        arrived(side.wire.socket)
+        wait_ready(side.tcp.socket)
     loop.order.held.clear()
     loop.until(lambda: loop.wait(4_000) or loop.stopped)
     for peer in (resting, asking):
         assert peer.read() == b"BUSY\r\n" and peer.ended and not peer.reset
-    assert loop.stopped - loop.now_us <= 0 and not backend.called
+    assert loop.stopped - loop.now_us <= 0 and not backend.has_pending
 
 
 def test_signals_that_come_twice_or_late_change_nothing(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend], settings(deadline_ms=800))
-    ends = [loop.standing(backend) for _ in range(10)]
+    ends = [loop.establish(backend) for _ in range(10)]
     clients = [client for client, _ in ends]
     loop.core.lifecycle.lame_duck()  # a drain of 3.2 s; SIGKILL may come 1.5 s after SIGTERM
     loop.wait(200_000)
@@ -140,7 +140,7 @@
     backend = Backend()
     loop = Loop(tmp_path, [backend] if before != "no list" else [])
     client = loop.client()
-    ends = loop.standing(backend) if before != "no list" else None
+    ends = loop.establish(backend) if before != "no list" else None
     if before == "a drain ended":
         loop.core.lifecycle.lame_duck()
         loop.wait(300_000, 20_000)
@@ -159,17 +159,17 @@
     loop.open(client)
     if before == "no list":
         loop.until(lambda: loop.wait(20_000) or client.read().endswith(b"\r\n"))
-        assert client.got.startswith(b"BUSY")
+        assert client.received.startswith(b"BUSY")
     else:
-        loop.until(lambda: loop.wait(4_000) or backend.called)
+        loop.until(lambda: loop.wait(4_000) or backend.has_pending)
         at_backend = backend.accept()
         loop.until(lambda: at_backend.read().endswith(b"\r\n"))
-        at_backend.line("UP r-1")
+        at_backend.send_line("UP r-1")
     loop.until(lambda: loop.wait(20_000) or loop.stopped)
     assert loop.stopped - began <= kill_us - 150_000
     for peer in (client, *(ends[:1] if ends else ())):
         assert peer.read() and peer.ended and not peer.reset
-        assert before == "no list" or peer.got.endswith(b"MOVE\r\n")
+        assert before == "no list" or peer.received.endswith(b"MOVE\r\n")
     assert not loop.core.counters.counts["exceptions"]
 
 
@@ -186,13 +186,13 @@
     (end,) = set(loop.reactor.getReaders()) - before
     loop.order.held = {end.fileno()}
     caller.send(b"more than was asked for\r\n")
-    arrived(end.socket)
+    wait_ready(end.socket)
     resting.close()
-    loop.until(lambda: not loop.relay.front.open_connections)
+    loop.until(lambda: not loop.relay.client_factory.open_connections)
     loop.wait(20_000)
     loop.order.held.clear()
     loop.until(lambda: caller.read() and caller.ended)
-    assert caller.got.startswith(b"ok") and caller.got.endswith(b"eof\r\n") and not caller.reset
+    assert caller.received.startswith(b"ok") and caller.received.endswith(b"eof\r\n") and not caller.reset
     caller.close()
     loop.until(lambda: loop.wait(4_000) or loop.stopped)
 
@@ -206,7 +206,7 @@
     address = ("127.0.0.1", port.getHost().port)
     loop.order.held.add(port.fileno())
     calling, silent = (Peer(socket.create_connection(address, HANG_TIMEOUT_S)) for _ in range(2))
-    calling.line("PING")
+    calling.send_line("PING")
     loop.until(lambda: loop.wait(4_000) or loop.stopped)
     assert calling.read() == b"fail stopped\r\n" and calling.ended and not calling.reset
     assert silent.read() == b"fail the relay ends\r\n" and silent.ended and not silent.reset
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -18,7 +18,7 @@
 from gradefront.net.endpoint_list import EndpointList
 from gradefront.net.endpoint_watch import EndpointWatch
 from gradefront.net.health_checks import BackendHealthChecker
-from gradefront.net.lines import InvalidLineError, read_first, read_id, read_report
+from gradefront.net.lines import InvalidLineError, parse_connection_id, parse_load_report, parse_request_line
 from lab.stand_ins import settings
 
 from .helper import SETTINGS, Bench
@@ -32,12 +32,12 @@
 
 
 def test_a_request_line_is_read() -> None:
-    call, at = read_first(HEAD + b"c=visit-checkin,d=1400,g=000a0c821d1466e1,r=1,again=1,at=s-1", CONFIG)
+    call, at = parse_request_line(HEAD + b"c=visit-checkin,d=1400,g=000a0c821d1466e1,r=1,again=1,at=s-1", CONFIG)
     assert (call.request_class, call.timeout_us, call.sticky_group) == (1, 1_400_000, "000a0c821d1466e1")
     assert call.is_retry and call.is_reconnect and at == "s-1" and call.idempotency_key == "7f3a9c21e0b4d655"
-    call, at = read_first(USUAL + b",h=12.5,x=odd", CONFIG)
+    call, at = parse_request_line(USUAL + b",h=12.5,x=odd", CONFIG)
     assert (call.request_class, call.timeout_us, at, call.is_reconnect) == (0, 1_500_000, "", False)
-    assert call.load_hint == 12.5 and read_id(USUAL) == b"9b1f03aa5c7e2d41"
+    assert call.load_hint == 12.5 and parse_connection_id(USUAL) == b"9b1f03aa5c7e2d41"
 
 
 @pytest.mark.parametrize(
@@ -100,7 +100,7 @@
 )
 def test_a_line_that_no_client_sends_is_invalid(line: bytes) -> None:
     with pytest.raises(InvalidLineError):
-        read_first(line, CONFIG)
+        parse_request_line(line, CONFIG)
 
 
 @given(st.integers(1, 10**6), st.integers(0, 10**7), st.text("abcd=é", max_size=8), st.booleans())
@@ -110,7 +110,7 @@
     listed = ",".join(fields if first else fields[::-1])
     line = HEAD + listed.encode()
     with suppress(InvalidLineError):  # figures that are not ASCII
-        call, _ = read_first(line, CONFIG)
+        call, _ = parse_request_line(line, CONFIG)
         assert call.timeout_us == d * 1000
         wanted = ",".join(f"d={max(1, left)}" if f == f"d={d}" else f for f in listed.split(","))
         assert call.request_line.with_time(left * 1000) == HEAD + wanted.encode()  # type: ignore[attr-defined]
@@ -119,16 +119,16 @@
 @given(st.binary(max_size=200), st.sampled_from([b"", HEAD, USUAL + b","]))
 def test_no_line_breaks_the_reader(noise: bytes, head: bytes) -> None:
     with suppress(InvalidLineError):
-        call, _ = read_first(head + noise, CONFIG)
+        call, _ = parse_request_line(head + noise, CONFIG)
         assert call.timeout_us >= 0
-    report = read_report(noise)
+    report = parse_load_report(noise)
     assert report is None or isinstance(report, LoadReport)
 
 
 def test_a_load_report_is_read_by_name() -> None:
-    assert read_report(b"PONG latency_ms=3.1,qps=7,util=0.61,x0=0.72") == LoadReport(0.72, 0.61)
-    assert read_report(b"BYE") is None
-    assert read_report(b"BUSY util=none,x0=1.5") == LoadReport(1.5, None)
+    assert parse_load_report(b"PONG latency_ms=3.1,qps=7,util=0.61,x0=0.72") == LoadReport(0.72, 0.61)
+    assert parse_load_report(b"BYE") is None
+    assert parse_load_report(b"BUSY util=none,x0=1.5") == LoadReport(1.5, None)
 
 
 def test_the_endpoint_list_keeps_addresses_and_leaves_out_invalid_members() -> None:
@@ -186,7 +186,7 @@
     watch.watch()
     old = watch.call
     assert old
-    watch.go_to(("127.0.0.1", 2))
+    watch.change_address(("127.0.0.1", 2))
     watch.watch()  # a retry that the decision module had set for the old watch
     old.on_data(b'{"revision": 9, "complete": true, "members": []}')
     old.fail("the connection ended")
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -20,7 +20,7 @@
 from gradefront.net.endpoint_watch import EndpointWatch
 from gradefront.net.endpoint_watch_call import EndpointWatchCall
 from gradefront.net.health_checks import BackendHealthChecker, HealthCheckConnection, HealthCheckProtocol
-from gradefront.net.lines import FirstLine
+from gradefront.net.lines import RequestLine
 
 from .helper import Bench, Upstream
 from .test_net_parts import CONFIG
@@ -59,15 +59,15 @@
     def forward_line(self, line: bytes) -> None:
         self.forwarded.append(line)
 
-    def forward_unfinished(self, unfinished: bytes) -> None:
+    def forward_partial_line(self, unfinished: bytes) -> None:
         self.forwarded.append(unfinished)
 
 
 def client(parts: list[bytes]) -> object:
     """A client's first line, `PING`s before it, lines and half a line behind."""
     bench = Bench()
-    front = ClientProtocolFactory(CONFIG, bench.core, bench)
-    line, wire, upstream = cast(Any, front.buildProtocol(None)), Piped(), RecordingUpstream()
+    client_factory = ClientProtocolFactory(CONFIG, bench.core, bench)
+    line, wire, upstream = cast(Any, client_factory.buildProtocol(None)), Piped(), RecordingUpstream()
     line.makeConnection(wire)
     for part in parts:
         line.dataReceived(part)
@@ -85,7 +85,7 @@
     connection, client_side = bench.arrive()
     bench.order(StartAttempt(connection.number, "box-1", 1_000_000))
     attempt = bench.attempts[-1]
-    upstream = LineBackendConnection(attempt, FirstLine(FIRST[:-2], b"", False), ConnectionCloser(bench.core, 8))
+    upstream = LineBackendConnection(attempt, RequestLine(FIRST[:-2], b"", False), ConnectionCloser(bench.core, 8))
     line, wire, forwarded = cast(Any, upstream.buildProtocol(None)), Piped(), list[bytes]()
     attempt.upstream = upstream
     cast(Any, client_side).establish = lambda *_: setattr(upstream, "to_client", forwarded.append)
@@ -105,7 +105,7 @@
         BackendHealthChecker(cast(Any, None), bench.core, lambda _: None), "box-1", ("127.0.0.1", 1)
     )
     line = cast(Any, HealthCheckProtocol(connection))
-    connection.line, connection.pending_since_us = line, bench.now
+    connection.line_protocol, connection.pending_since_us = line, bench.now
     line.makeConnection(Piped())
     for part in parts:
         line.dataReceived(part)
@@ -173,8 +173,8 @@
             self.cut = True
 
     bench = Bench()
-    front = ClientProtocolFactory(CONFIG, bench.core, bench)
-    line, wire = cast(Any, front.buildProtocol(None)), Stuck()
+    client_factory = ClientProtocolFactory(CONFIG, bench.core, bench)
+    line, wire = cast(Any, client_factory.buildProtocol(None)), Stuck()
     line.makeConnection(wire)
     line.dataReceived(FIRST)
     line.connection.client.establish = lambda *_: None
@@ -189,17 +189,17 @@
     bench.wait(UNSENT_TIMEOUT_US - 200_000)
     assert not wire.cut, "what it is owed has not left yet"
     bench.wait(300_000)
-    assert wire.cut and not len(front.closing)
+    assert wire.cut and not len(client_factory.closing)
 
 
 def test_a_half_line_of_one_peer_keeps_no_other_waiting() -> None:
     bench = Bench()
-    front = ClientProtocolFactory(CONFIG, bench.core, bench)
-    slow, quick = (cast(Any, front.buildProtocol(None)) for _ in range(2))
+    client_factory = ClientProtocolFactory(CONFIG, bench.core, bench)
+    slow, quick = (cast(Any, client_factory.buildProtocol(None)) for _ in range(2))
     for line in (slow, quick):
         line.makeConnection(Piped())
     slow.dataReceived(FIRST[:40])
     quick.dataReceived(FIRST)
     assert quick.connection and not slow.connection
     bench.wait(2_300_000)
-    assert slow.wire.written == b"ERR\r\n" and slow.wire.ended, "nor its descriptor for long"
+    assert slow.tcp.written == b"ERR\r\n" and slow.tcp.ended, "nor its descriptor for long"
--- a/tests/test_pre_request.py
+++ b/tests/test_pre_request.py
@@ -36,7 +36,7 @@
             self.line.writeConnectionLost()
         return True
 
-    def catch_up(self) -> bool:
+    def read_available(self) -> bool:
         return False
 
     def write(self, data: bytes) -> None:
@@ -61,12 +61,12 @@
 class ConnectedClient:
     """One client's connection, on a transport that records."""
 
-    def __init__(self, front: ClientProtocolFactory, line: ClientProtocol) -> None:
+    def __init__(self, client_factory: ClientProtocolFactory, line: ClientProtocol) -> None:
         self.line = cast(Any, line)
         self.wire = Wire()
         self.wire.line = self.line
         self.line.makeConnection(self.wire)
-        self.arrived_us = front.core.clock()
+        self.arrived_us = client_factory.core.clock()
 
     def send(self, data: bytes) -> None:
         if not self.wire.ended:
@@ -82,13 +82,13 @@
     def __init__(self, sockets: int = 512) -> None:
         self.bench = Bench()
         config = replace(CONFIG, sockets=sockets)
-        self.front = ClientProtocolFactory(config, self.bench.core, self.bench)
+        self.client_factory = ClientProtocolFactory(config, self.bench.core, self.bench)
         self.ids = count(1)
 
     def connect(self) -> ConnectedClient:
-        line = self.front.buildProtocol(None)
+        line = self.client_factory.buildProtocol(None)
         assert line
-        return ConnectedClient(self.front, line)
+        return ConnectedClient(self.client_factory, line)
 
     def request_line(self, number: int = 0) -> bytes:
         return b"OPEN %016x 7f3a9c21e0b4d655 c=roster-feed,d=1500,g=5c0f6e1a2b3d4c59\r\n" % (number or next(self.ids))
@@ -107,7 +107,7 @@
     listener.bench.wait(client.arrived_us + ANSWER_OWED_US - 100_000 - listener.bench.now)
     assert client.wire.written.endswith(b"ERR\r\n") and client.wire.written.count(b"ERR") == 1 and client.wire.ended
     client.leave()
-    assert listener.front.open_connections == 0 and not listener.front.pre_request
+    assert listener.client_factory.open_connections == 0 and not listener.client_factory.pre_request
 
 
 def test_a_line_before_the_connection_is_established_is_answered_once_and_not_forwarded() -> None:
@@ -143,8 +143,8 @@
     listener, silent, usual = Listener(sockets), list[ConnectedClient](), list[ConnectedClient]()
     for n in range(600):
         listener.bench.wait(2_000)
-        if line := listener.front.buildProtocol(None):
-            silent.append(ConnectedClient(listener.front, line))
+        if line := listener.client_factory.buildProtocol(None):
+            silent.append(ConnectedClient(listener.client_factory, line))
         if n % 15 == 0:
             usual.append(listener.connect())
             usual[-1].send(listener.request_line())
@@ -153,7 +153,7 @@
         for client in [m for m in silent if m.wire.ended]:
             silent.remove(client)
             client.leave()
-        assert listener.front.descriptors_held() <= sockets - RESERVED_DESCRIPTORS // 2
+        assert listener.client_factory.descriptors_held() <= sockets - RESERVED_DESCRIPTORS // 2
     assert all(u.wire.written == b"" for u in usual), "none was rejected"
     assert len(listener.bench.attempts) == len(usual) == 40
     assert listener.bench.core.counters.counts["ended_for_room"] > 0
--- a/tests/test_send_slot_end.py
+++ b/tests/test_send_slot_end.py
@@ -93,7 +93,7 @@
     assert attempts[0].slow_start
     loop.now_us += late_us
     loop.order.held.clear()
-    loop.until(lambda: backend.called)
+    loop.until(lambda: backend.has_pending)
     peer = backend.accept()
     loop.until(lambda: peer.read() or attempts[0].is_over)
     loop.step(4)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -10,7 +10,7 @@
 
 from balancer.settings import Idempotency
 from gradefront.config import parse
-from gradefront.net.lines import read_first
+from gradefront.net.lines import parse_request_line
 
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
 
@@ -82,6 +82,6 @@
             f"c={request_class['name']},t={tenant},d={request_class['deadline_ms']},"
             "g=5c0f6e1a2b3d4c59"
         )
-        call, _ = read_first(line.encode(), config)
+        call, _ = parse_request_line(line.encode(), config)
         assert (call.request_class, call.tenant) == (number, tenants - 1)
         assert call.timeout_us == config.settings.classes[number].deadline_us
