--- a/gradefront/config.py
+++ b/gradefront/config.py
@@ -70,7 +70,7 @@
             object.__setattr__(self, "class_numbers", {name: n for n, name in enumerate(self.class_names)})
 
 
-def address(text: object, what: str) -> Address:
+def parse_address(text: object, what: str) -> Address:
     """Read `HOST:PORT`, with an IPv6 host in brackets. Raises SettingError for the field `what`."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
@@ -116,7 +116,7 @@
     limits = document.get("limits") or {}
     family = info.get("familyInfo") or {}
     known = document.get("known")
-    filed_discovery = address(document["discovery"], "discovery") if document.get("discovery") else None
+    filed_discovery = parse_address(document["discovery"], "discovery") if document.get("discovery") else None
     admin = environment.get("LB_ADMIN") or document.get("admin")
     socket_fd = _socket_fd(environment.get("LB_SOCKET_FD"))
     if socket_fd is not None:
@@ -126,8 +126,8 @@
         raise SettingError("limits.sockets", f"'{sockets}' is not above 0")
     return Config(
         name=environment.get("LB_NAME") or str(document.get("name", "relay")),
-        listen=address(environment.get("LB_LISTEN") or document.get("listen"), "LB_LISTEN"),
-        discovery=address(environment.get("LB_DISCOVERY") or document.get("discovery"), "LB_DISCOVERY"),
+        listen=parse_address(environment.get("LB_LISTEN") or document.get("listen"), "LB_LISTEN"),
+        discovery=parse_address(environment.get("LB_DISCOVERY") or document.get("discovery"), "LB_DISCOVERY"),
         seed=_seed(document.get("seed", 0)),
         sockets=sockets,
         settings=settings,
@@ -141,7 +141,7 @@
         filed_discovery=filed_discovery,
         socket_fd=socket_fd,
         document={**document, "known": {}},
-        admin=address(admin, "LB_ADMIN") if admin else None,
+        admin=parse_address(admin, "LB_ADMIN") if admin else None,
     )
 
 
--- a/gradefront/fleet/settings.py
+++ b/gradefront/fleet/settings.py
@@ -10,9 +10,9 @@
 import msgspec
 from msgspec import Meta
 
-from gradefront.config import ConfigError, address
-from gradefront.settings.files import secret
-from gradefront.settings.typed import checked
+from gradefront.config import ConfigError, parse_address
+from gradefront.settings.files import read_key
+from gradefront.settings.typed import convert
 
 KEY_OCTETS = 32
 MAX_NAME_LENGTH = 40
@@ -53,7 +53,7 @@
 def parse(content: dict[str, Any], name: str, path: Path) -> FleetConfig:
     """The configuration of the relay `name`. Raises ConfigError that names file, field and value."""
     try:
-        file = checked(content, FleetFile)
+        file = convert(content, FleetFile)
         keys = {key.id: _key(key, index, path.parent) for index, key in enumerate(file.keys)}
         if len(keys) < len(file.keys):
             raise ValueError("keys: an id stands twice")
@@ -77,7 +77,7 @@
 
 
 def _key(key: Key, index: int, folder: Path) -> bytes:
-    octets = secret("", key.key_file, 0, f"keys[{index}]", folder)
+    octets = read_key("", key.key_file, 0, f"keys[{index}]", folder)
     if len(octets) != KEY_OCTETS:
         raise ValueError(
             f"keys[{index}].key_file: '{key.key_file}': has {len(octets)} octets, "
@@ -88,7 +88,7 @@
 
 def _numeric_address(text: str, where: str) -> tuple[str, int]:
     """A numeric address. Guards against a host name, which a datagram socket does not resolve."""
-    host, port = address(text, where)
+    host, port = parse_address(text, where)
     try:
         ip_address(host)
     except ValueError:
--- a/gradefront/net/fleet_port.py
+++ b/gradefront/net/fleet_port.py
@@ -9,7 +9,7 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from gradefront.config import ConfigError, address
+from gradefront.config import ConfigError, parse_address
 from gradefront.core.relay import RelayCore
 from gradefront.fleet.members import Record, State
 from gradefront.fleet.settings import FleetConfig
@@ -96,7 +96,7 @@
             if member is None:
                 continue
             try:
-                self.transport.write(self.sealer.seal(message), address(member.record.address, "where"))
+                self.transport.write(self.sealer.seal(message), parse_address(member.record.address, "where"))
             except (OSError, ValueError, ConfigError):  # a full buffer, or a peer's address is none: as if lost
                 self.core.counters.add("fleet_unsent")
 
--- a/gradefront/quic/config.py
+++ b/gradefront/quic/config.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from gradefront.config import Address, Config, ConfigError, address
-from gradefront.settings.files import octets, secret
+from gradefront.config import Address, Config, ConfigError, parse_address
+from gradefront.settings.files import parse_hex, read_key
 
 from . import FILE
 from .ids import IdBook, IdForm
@@ -65,12 +65,12 @@
 
 def parse(given: dict[str, Any], config: Config, path: Path = FILE) -> QuicConfig:
     """The settings from the file's object; an error names file, field and value."""
-    from gradefront.settings.typed import checked
+    from gradefront.settings.typed import convert
 
     from .settings import QuicFile
 
     try:
-        return _build(checked(given, QuicFile), config, path.parent)
+        return _build(convert(given, QuicFile), config, path.parent)
     except (ValueError, ConfigError) as error:
         raise ConfigError(f"{path.name}: {error}") from None
 
@@ -81,7 +81,8 @@
     limits, prove = _limits(file), file.retry
     keys = {
         key.sequence: TokenKey(
-            secret(key.key, key.key_file, 16, f"retry.keys[{n}]", folder), octets(key.iv, f"retry.keys[{n}].iv", 12)
+            read_key(key.key, key.key_file, 16, f"retry.keys[{n}]", folder),
+            parse_hex(key.iv, f"retry.keys[{n}].iv", 12),
         )
         for n, key in enumerate(prove.keys)
     }
@@ -92,7 +93,8 @@
         raise ValueError(f"retry.newest: {newest}: no key has this sequence, and mode is '{prove.mode}'")
     return QuicConfig(
         listen={
-            _class(name, config, "listen"): address(where, f"listen.{name}") for name, where in file.listen.items()
+            _class(name, config, "listen"): parse_address(where, f"listen.{name}")
+            for name, where in file.listen.items()
         },
         forms=forms,
         backends=backends,
@@ -126,7 +128,7 @@
         return (IdForm(file.config_id, file.server_id_length, file.nonce_length, file.id_encodes_length),)
     forms = []
     for n, one in enumerate(given):
-        key = secret(one.key, one.key_file, 16, f"ids[{n}]", folder) if one.key or one.key_file else None
+        key = read_key(one.key, one.key_file, 16, f"ids[{n}]", folder) if one.key or one.key_file else None
         try:
             forms.append(IdForm(one.config_id, one.server_id_length, one.nonce_length, one.encodes_length, key))
         except ValueError as error:
@@ -139,7 +141,7 @@
 
 
 def _backends(file: Any, forms: Iterable[IdForm]) -> dict[str, QuicBackend]:
-    from gradefront.settings.typed import checked
+    from gradefront.settings.typed import convert
 
     from .settings import BackendEntry
 
@@ -147,13 +149,13 @@
     backends: dict[str, QuicBackend] = {}
     owners: dict[bytes, str] = {}
     for name, entry in file.backends.items():
-        backend = checked(entry, BackendEntry, f"boxes.{name}")
+        backend = convert(entry, BackendEntry, f"boxes.{name}")
         texts = ([backend.server_id] if backend.server_id else []) + list(backend.server_ids)
         if not texts:
             raise ValueError(f"boxes.{name}.server_id: missing")
         ids = []
         for text in texts:
-            server_id = octets(text, f"boxes.{name}.server_id")
+            server_id = parse_hex(text, f"boxes.{name}.server_id")
             if len(server_id) not in lengths:
                 expected = " or ".join(map(str, sorted(lengths)))
                 raise ValueError(f"boxes.{name}.server_id: '{text}' is not {expected} octets")
@@ -163,8 +165,8 @@
             ids.append(server_id)
         backends[name] = QuicBackend(
             tuple(ids),
-            address(backend.address, f"boxes.{name}.address"),
-            octets(backend.reset_key, f"boxes.{name}.reset_key"),
+            parse_address(backend.address, f"boxes.{name}.address"),
+            parse_hex(backend.reset_key, f"boxes.{name}.reset_key"),
         )
     return backends
 
--- a/gradefront/settings/files.py
+++ b/gradefront/settings/files.py
@@ -27,7 +27,7 @@
     return document
 
 
-def octets(text: str, where: str, length: int = 0) -> bytes:
+def parse_hex(text: str, where: str, length: int = 0) -> bytes:
     """Octets from hex; with `length`, just so many.
 
     Raises ValueError, which names `where` and never repeats the text: it might be a key.
@@ -41,7 +41,7 @@
     return octets
 
 
-def secret(text: str, file: str, length: int, where: str, folder: Path) -> bytes:
+def read_key(text: str, file: str, length: int, where: str, folder: Path) -> bytes:
     """A key of `length` octets: `text`, or what `file` in `folder` holds, which only its owner may read.
 
     Raises ValueError, which names `where`.
@@ -49,13 +49,13 @@
     if bool(text) is bool(file):
         raise ValueError(f"{where}: needs one of key and key_file")
     if text:
-        return octets(text, f"{where}.key", length)
+        return parse_hex(text, f"{where}.key", length)
     path = folder / file
     try:
         with path.open() as opened:
             mode = os.fstat(opened.fileno()).st_mode
             if not stat.S_ISREG(mode) or mode & FORBIDDEN_KEY_FILE_MODE:
                 raise ValueError(f"{where}.key_file: '{file}': others may read it; its mode must be 600")
-            return octets(opened.read(MAX_KEY_FILE_CHARACTERS).strip(), f"{where}.key_file: '{file}'", length)
+            return parse_hex(opened.read(MAX_KEY_FILE_CHARACTERS).strip(), f"{where}.key_file: '{file}'", length)
     except OSError as error:
         raise ValueError(f"{where}.key_file: '{file}': {error.strerror}") from None
--- a/gradefront/settings/typed.py
+++ b/gradefront/settings/typed.py
@@ -12,7 +12,7 @@
 MAX_SHOWN_CHARACTERS = 59  # of a value in an error
 
 
-def checked(document: Any, kind: type[T], under: str = "") -> T:
+def convert(document: Any, kind: type[T], under: str = "") -> T:
     """An object as a value of `kind`; `under` is the path at which it stands in its file.
 
     Raises ValueError, which begins with the field's path.
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -14,7 +14,7 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from balancer.events import BackendState, Endpoint, EndpointListError, EndpointListUpdate, LoadReport
-from gradefront.config import Config, ConfigError, address, parse
+from gradefront.config import Config, ConfigError, parse, parse_address
 from gradefront.net.endpoint_list import EndpointList
 from gradefront.net.endpoint_watch import EndpointWatch
 from gradefront.net.health_checks import BackendHealthChecker
@@ -157,7 +157,7 @@
 @pytest.mark.parametrize("text", ["", "x", "x:", ":1", "h:70000", "h:p"])
 def test_an_address_without_sense_is_named(text: str) -> None:
     with pytest.raises(ConfigError, match="LB_LISTEN"):
-        address(text, "LB_LISTEN")
+        parse_address(text, "LB_LISTEN")
 
 
 def test_variables_go_before_the_file() -> None:
