--- a/gradefront/admin/metrics.py
+++ b/gradefront/admin/metrics.py
@@ -25,7 +25,7 @@
     labels = {name: f'{CLASS_LABEL}="{escape_label(name)}"' for name in classes}
     return [
         *(
-            f"{PREFIX}{name}{{{label}}} {counters.of_class(name, request_class)}"
+            f"{PREFIX}{name}{{{label}}} {counters.get_for_class(name, request_class)}"
             for name in COUNTERS_BY_CLASS
             for request_class, label in labels.items()
         ),
--- a/gradefront/admin/server.py
+++ b/gradefront/admin/server.py
@@ -39,7 +39,7 @@
     def connectionMade(self) -> None:
         """Wait for the call, for a limited time."""
         self.arrived_us = self.server.core.clock()
-        self.timeout = self.server.core.after(CALL_TIMEOUT_US, lambda: self.answer(["fail no call came"]))
+        self.timeout = self.server.core.call_later(CALL_TIMEOUT_US, lambda: self.answer(["fail no call came"]))
         self.server.on_connected(self)
 
     def lineReceived(self, line: bytes) -> None:
--- a/gradefront/core/adopted.py
+++ b/gradefront/core/adopted.py
@@ -7,7 +7,7 @@
 from balancer.events import ConnectionAdopted, Event
 
 from .answers import Answers
-from .attempt_error import AttemptError, AttemptPhase, Cause
+from .attempt_outcome import AttemptOutcome, AttemptPhase, Cause
 from .connect_request import ConnectRequest
 from .connection import Attempt, BackendConnector, Connection, ConnectionState, Owner
 from .ports import ClientConnection
@@ -24,7 +24,7 @@
         """Keep an event for the decision module."""
 
 
-def take_over(  # noqa: PLR0913 - one parameter for each part of the handed-over description
+def adopt_established(  # noqa: PLR0913 - one parameter for each part of the handed-over description
     core: Core,
     connect_request: ConnectRequest,
     client: ClientConnection,
@@ -48,11 +48,11 @@
     return connection, attempt
 
 
-def give_away(core: Core, connection: Connection) -> None:
+def release_for_handover(core: Core, connection: Connection) -> None:
     """Release an established connection that goes on in the next process; nothing of it ends."""
     attempt = connection.attempt
     assert connection.state is ConnectionState.ESTABLISHED and attempt
     core.answers.release(connection)
     attempt.is_over = True
     core.counters.add("given_away")
-    core.answers.report_attempt_end(attempt, AttemptError(attempt.phase, Cause.CALLED_OFF), is_final=True)
+    core.answers.report_attempt_end(attempt, AttemptOutcome(attempt.phase, Cause.CLOSED_LOCALLY), is_final=True)
--- a/gradefront/core/answers.py
+++ b/gradefront/core/answers.py
@@ -8,7 +8,7 @@
 from balancer.actions import Fail, Reject
 from balancer.events import AttemptEnded, ClientDisconnected, Event
 
-from .attempt_error import AttemptError, AttemptPhase, Cause
+from .attempt_outcome import AttemptOutcome, AttemptPhase, Cause
 from .connection import Attempt, Connection, ConnectionState
 from .counters import Counters
 from .ports import ConnectionEnd
@@ -64,7 +64,7 @@
         if connection.is_awaiting_answer:
             self.give_up(connection)
 
-    def on_client_closed(self, connection: Connection, how: ConnectionEnd) -> None:
+    def on_client_closed(self, connection: Connection, ending: ConnectionEnd) -> None:
         """The client closed its side: it is owed no answer any more."""
         if connection.state is ConnectionState.CLOSED:
             return
@@ -74,9 +74,9 @@
             self.core.enqueue(ClientDisconnected(connection.number))
         self.release(connection)
         if attempt:
-            attempt.close(how)
+            attempt.close(ending)
             if was_established or not connection.adopted_backend:
-                self.report_attempt_end(attempt, AttemptError(attempt.phase, Cause.CALLED_OFF), is_final=True)
+                self.report_attempt_end(attempt, AttemptOutcome(attempt.phase, Cause.CLOSED_LOCALLY), is_final=True)
 
     def migrate(self, connection: Connection) -> None:
         """Tell the client of an established connection to reconnect, and end both sides."""
@@ -96,8 +96,8 @@
         self.release(connection)
         connection.client.migrate()
         attempt.close(ConnectionEnd.BROKEN)
-        cause = Cause.CALLED_OFF if alone else Cause.SILENT
-        self.report_attempt_end(attempt, AttemptError(AttemptPhase.UP, cause), is_final=True)
+        cause = Cause.CLOSED_LOCALLY if alone else Cause.TIMED_OUT
+        self.report_attempt_end(attempt, AttemptOutcome(AttemptPhase.UP, cause), is_final=True)
 
     def release(self, connection: Connection) -> None:
         """Close a connection as far as the core goes. Raises IllegalTransitionError if it was closed already."""
@@ -107,21 +107,21 @@
             connection.deadline_timer.cancel()
         self.core.connections.pop(connection.number, None)
 
-    def report_attempt_end(self, attempt: Attempt, attempt_error: AttemptError, is_final: bool) -> None:
+    def report_attempt_end(self, attempt: Attempt, outcome: AttemptOutcome, is_final: bool) -> None:
         """Report to the module how an attempt, or the connection that it established, ended."""
-        self.core.request_log.on_attempt_end(attempt, attempt_error)
+        self.core.request_log.on_attempt_end(attempt, outcome)
         self.core.enqueue(
             AttemptEnded(
                 request_id=attempt.connection.number,
                 attempt=attempt.number,
                 backend=attempt.backend,
-                result=attempt_error.result,
+                result=outcome.result,
                 is_final=is_final,
                 duration_us=self.core.clock() - attempt.started_us,
-                load_report=attempt.report,
+                load_report=attempt.load_report,
             )
         )
 
     def _cancel(self, attempt: Attempt) -> None:
         attempt.close(ConnectionEnd.ORDERLY)
-        self.report_attempt_end(attempt, AttemptError(attempt.phase, Cause.CALLED_OFF), is_final=True)
+        self.report_attempt_end(attempt, AttemptOutcome(attempt.phase, Cause.CLOSED_LOCALLY), is_final=True)
--- a/gradefront/core/attempt_error.py
+++ b/gradefront/core/attempt_outcome.py
@@ -22,18 +22,18 @@
 
     BROKEN = "broken"  # refused, reset or closed without a response; also vetoed: the backend drains or is not listed
     UNREACHABLE = "unreachable"  # nothing listens there: the request was never received
-    SILENT = "silent"  # timeout ran out
-    FULL = "full"  # the backend rejected it, unread
+    TIMED_OUT = "silent"  # timeout ran out
+    REJECTED = "full"  # the backend rejected it, unread
     ERROR = "error"  # the backend answered with an error
-    SERVED = "served"  # the backend ended it in order
-    SENT_AWAY = "sent away"  # the backend told the client to reconnect
-    CALLED_OFF = "called off"  # this relay or the client ended it
+    COMPLETED = "served"  # the backend ended it in order
+    MIGRATED_BY_BACKEND = "sent away"  # the backend told the client to reconnect
+    CLOSED_LOCALLY = "called off"  # this relay or the client ended it
     SLOT_ENDED = "slot ended"  # its send slot ended before the complete request had left
-    NOT_TRIED = "not tried"  # this relay stopped it before the complete request had left
+    ABORTED_BEFORE_SEND = "not tried"  # this relay stopped it before the complete request had left
 
 
 @dataclass(slots=True, frozen=True)
-class AttemptError:
+class AttemptOutcome:
     """The end of an attempt, with the phase that it had reached."""
 
     phase: AttemptPhase
@@ -44,7 +44,7 @@
         """The decision module's result for it."""
         if self.cause is Cause.BROKEN:
             return AttemptResult.RESET if self.phase >= AttemptPhase.SENT else AttemptResult.CONNECT_FAILED
-        if self.cause is Cause.SILENT:
+        if self.cause is Cause.TIMED_OUT:
             if self.phase is AttemptPhase.UP:
                 return AttemptResult.RESET
             return AttemptResult.TIMEOUT if self.phase is AttemptPhase.SENT else AttemptResult.CONNECT_FAILED
@@ -58,11 +58,11 @@
 
 _RESULT_IN_ANY_PHASE = {
     Cause.UNREACHABLE: AttemptResult.CONNECT_FAILED,
-    Cause.FULL: AttemptResult.OVERLOADED,
+    Cause.REJECTED: AttemptResult.OVERLOADED,
     Cause.ERROR: AttemptResult.ERROR,
-    Cause.SERVED: AttemptResult.OK,
-    Cause.SENT_AWAY: AttemptResult.CANCELLED,
-    Cause.CALLED_OFF: AttemptResult.CANCELLED,
+    Cause.COMPLETED: AttemptResult.OK,
+    Cause.MIGRATED_BY_BACKEND: AttemptResult.CANCELLED,
+    Cause.CLOSED_LOCALLY: AttemptResult.CANCELLED,
     Cause.SLOT_ENDED: AttemptResult.SLOT_ENDED,
-    Cause.NOT_TRIED: AttemptResult.NOT_SENT,
+    Cause.ABORTED_BEFORE_SEND: AttemptResult.NOT_SENT,
 }
--- a/gradefront/core/attempts.py
+++ b/gradefront/core/attempts.py
@@ -19,7 +19,7 @@
 )
 
 from .answers import Answers
-from .attempt_error import AttemptError, AttemptPhase, Cause
+from .attempt_outcome import AttemptOutcome, AttemptPhase, Cause
 from .connection import Attempt, Connection, ConnectionState, Owner
 from .ports import ConnectionEnd
 from .request_log import RequestLog
@@ -92,7 +92,7 @@
         connect_by_us = until_us
         if not connection.adopted_backend:
             connect_by_us = min(until_us, attempt.started_us + connection.settings.connect_timeout_us)
-        attempt.timer = core.timers.set(connect_by_us, partial(attempt.end, Cause.SILENT))
+        attempt.timer = core.timers.set(connect_by_us, partial(attempt.end, Cause.TIMED_OUT))
         attempt.upstream = connection.connector.connect(attempt, connection.connect_request.request_line)
         if attempt.is_over:  # it ended at once, before its upstream connection was known here
             attempt.upstream.close(ConnectionEnd.ORDERLY)
@@ -105,7 +105,7 @@
             core.counters.add("sends_total")
         if attempt.phase is AttemptPhase.WRITING and attempt.timer:
             attempt.timer.cancel()
-            attempt.timer = core.timers.set(attempt.expires_us, partial(attempt.end, Cause.SILENT))
+            attempt.timer = core.timers.set(attempt.expires_us, partial(attempt.end, Cause.TIMED_OUT))
             core.wake()
 
     def on_succeeded(self, attempt: Attempt, response_line: object) -> None:
@@ -136,34 +136,34 @@
         """A backend reported the load of a connection, in microseconds of work a second."""
         self.core.enqueue(ConnectionLoadReport(attempt.connection.number, attempt.backend, load))
 
-    def on_ended(self, attempt: Attempt, attempt_error: AttemptError, how: ConnectionEnd) -> None:
+    def on_ended(self, attempt: Attempt, outcome: AttemptOutcome, ending: ConnectionEnd) -> None:
         """An attempt failed, or an established connection ended at the backend's side."""
         core, connection = self.core, attempt.connection
         was_established = connection.state is ConnectionState.ESTABLISHED
-        attempt.close(how)
-        core.counters.add(f"ended: {attempt_error}")
+        attempt.close(ending)
+        core.counters.add(f"ended: {outcome}")
         if was_established:
             core.answers.release(connection)
-            core.answers.report_attempt_end(attempt, attempt_error, is_final=True)
-            connection.client.close(how)
+            core.answers.report_attempt_end(attempt, outcome, is_final=True)
+            connection.client.close(ending)
             return
         connection.transition(ConnectionState.QUEUED)
         connection.attempt = None
         if connection.adopted_backend:
-            self._retry_adopted(connection, attempt_error)
+            self._retry_adopted(connection, outcome)
             return
-        if attempt_error.result not in NEVER_EXECUTED:
+        if outcome.result not in NEVER_EXECUTED:
             connection.first_sent_us = connection.first_sent_us or attempt.write_started_us
-        core.answers.report_attempt_end(attempt, attempt_error, is_final=False)
+        core.answers.report_attempt_end(attempt, outcome, is_final=False)
 
-    def _retry_adopted(self, connection: Connection, attempt_error: AttemptError) -> None:
+    def _retry_adopted(self, connection: Connection, outcome: AttemptOutcome) -> None:
         """Retry an adopted connection after a backoff, or fail it: the module has no part in it yet."""
         if connection.attempts >= min(ADOPTED_MAX_ATTEMPTS, connection.settings.max_attempts):
             log.warning(
                 "connection %d could not go on at backend %s: %s",
                 connection.number,
                 connection.adopted_backend,
-                attempt_error,
+                outcome,
             )
             self.core.answers.answer(connection, None)
             return
@@ -172,4 +172,4 @@
             if connection.state is ConnectionState.QUEUED:
                 self.start_adopted(connection)
 
-        self.core.after(ADOPTED_BACKOFF_US << connection.attempts, retry)
+        self.core.call_later(ADOPTED_BACKOFF_US << connection.attempts, retry)
--- a/gradefront/core/connection.py
+++ b/gradefront/core/connection.py
@@ -12,7 +12,7 @@
 from balancer.events import LoadReport, Request
 from balancer.settings import Idempotency, Settings
 
-from .attempt_error import AttemptError, AttemptPhase, Cause
+from .attempt_outcome import AttemptOutcome, AttemptPhase, Cause
 from .connect_request import ConnectRequest
 from .counters import Counters
 from .ports import BackendConnection, ClientConnection, ConnectionEnd, EndpointWatcher
@@ -43,7 +43,7 @@
     def on_succeeded(self, attempt: Attempt, response_line: object) -> None:
         """The backend accepted the connection."""
 
-    def on_ended(self, attempt: Attempt, attempt_error: AttemptError, how: ConnectionEnd) -> None:
+    def on_ended(self, attempt: Attempt, outcome: AttemptOutcome, ending: ConnectionEnd) -> None:
         """It ended at the backend's side."""
 
     def on_load_report(self, attempt: Attempt, load: float) -> None:
@@ -69,13 +69,13 @@
     def accepts_work(self) -> bool:
         """Whether the relay begins anything new."""
 
-    def after(self, delay_us: int, then: Callable[[], None]) -> Timer:
-        """Run `then` later."""
+    def call_later(self, delay_us: int, callback: Callable[[], None]) -> Timer:
+        """Run `callback` later."""
 
     def is_ready(self, backend: str) -> bool:
         """Whether new work may go to a backend, by the newest endpoint list."""
 
-    def on_client_closed(self, connection: Connection, how: ConnectionEnd) -> None:
+    def on_client_closed(self, connection: Connection, ending: ConnectionEnd) -> None:
         """The client closed its side."""
 
     def migrate(self, connection: Connection) -> None:
@@ -187,8 +187,8 @@
         "is_over",
         "awaiting_reply_us",
         "last_received_us",
-        "report",
-        "load",
+        "load_report",
+        "connection_load",
         "write_started_us",
         "slow_start",
         "send_by_us",
@@ -208,15 +208,15 @@
         self.timer: Timer | None = None
         self.upstream: BackendConnection | None = None
         self.is_over = False
-        self.load = 0.0  # the connection's load as last reported, in us of work a second; 0: no report
-        self.report: LoadReport | None = None  # the backend's own load, in its final response
+        self.connection_load = 0.0  # the connection's load as last reported, in us of work a second; 0: no report
+        self.load_report: LoadReport | None = None  # the backend's own load, in its final response
         self.awaiting_reply_us: deque[int] = deque(maxlen=16)  # when messages went to the backend that await a reply
 
     def send_veto(self) -> Cause | None:
         """Why the request may not be sent any more, checked as a piece of it is about to be written; None: it may."""
         connection, core = self.connection, self.core
         if self.is_over or not core.accepts_work or not connection.may_retry(core.clock()):
-            return Cause.NOT_TRIED
+            return Cause.ABORTED_BEFORE_SEND
         if not connection.adopted_backend:
             # Guards against a late connect that delivers new work to a backend that began to drain meanwhile.
             if core.endpoint_watcher:
@@ -228,7 +228,7 @@
         # Last, as the check nearest to the write: the end of the client's side may lie unread yet.
         if connection.client.has_disconnected() and not self.is_over:
             core.on_client_closed(connection, ConnectionEnd.ORDERLY)
-        return Cause.NOT_TRIED if self.is_over else None
+        return Cause.ABORTED_BEFORE_SEND if self.is_over else None
 
     def _is_slot_over(self) -> bool:
         """Guards against a late connect that delivers a request in a window whose sends are other slots'."""
@@ -250,10 +250,10 @@
         if not self.is_over:
             self.core.attempts.on_succeeded(self, response_line)
 
-    def end(self, cause: Cause, how: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
+    def end(self, cause: Cause, ending: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
         """The attempt, or the connection that it established, ended at the backend's side."""
         if not self.is_over:
-            self.core.attempts.on_ended(self, AttemptError(self.phase, cause), how)
+            self.core.attempts.on_ended(self, AttemptOutcome(self.phase, cause), ending)
 
     def on_message_sent(self) -> None:
         """The client sent a message that the backend owes a reply to."""
@@ -276,17 +276,17 @@
     def on_load_report(self, load: float) -> None:
         """The backend reported the load of this connection, in microseconds of work a second."""
         if not self.is_over:
-            self.load = load
+            self.connection_load = load
             self.core.attempts.on_load_report(self, load)
 
-    def close(self, how: ConnectionEnd) -> None:
+    def close(self, ending: ConnectionEnd) -> None:
         """End it from this side."""
         self.is_over = True
         if self.timer:
             self.timer.cancel()
         if self.upstream:
             try:
-                self.upstream.close(how)
+                self.upstream.close(ending)
             except Exception:  # noqa: BLE001 - guards the client's answer against an error on the backend's side
                 log.exception("an attempt at backend %s could not be ended", self.backend)
                 self.core.counters.add("exceptions")
--- a/gradefront/core/counters.py
+++ b/gradefront/core/counters.py
@@ -24,7 +24,7 @@
         """Count."""
         self.counts[name] += amount
 
-    def bad(self, name: str, what: str, now_us: int, amount: int = 1) -> None:
+    def count_fault(self, name: str, what: str, now_us: int, amount: int = 1) -> None:
         """Count a fault of a peer; a log line of each kind once a second at most."""
         self.add(name, amount)
         if now_us - self.logged_us.get(name, -LOG_INTERVAL_US) >= LOG_INTERVAL_US:
@@ -32,14 +32,14 @@
             log.warning("%s (and %d more since the last such line)", what, more)
             self.logged_us[name], self.logged[name] = now_us, self.counts[name]
 
-    def add_of_class(self, name: str, request_class: str) -> None:
+    def add_for_class(self, name: str, request_class: str) -> None:
         """Count for one request class."""
         self.by_class[name, request_class] += 1
 
-    def of_class(self, name: str, request_class: str) -> int:
+    def get_for_class(self, name: str, request_class: str) -> int:
         """The count for one request class."""
         return self.by_class[name, request_class]
 
-    def line(self, **levels: int) -> str:
+    def as_json(self, **levels: int) -> str:
         """All counts and the given levels as JSON, names in order."""
         return json.dumps({**dict(sorted(self.counts.items())), **levels})
--- a/gradefront/core/lifecycle.py
+++ b/gradefront/core/lifecycle.py
@@ -42,11 +42,11 @@
     answers: Answers
     clock: Callable[[], int]
 
-    def after(self, delay_us: int, then: Callable[[], None]) -> Timer:
-        """Run `then` later."""
+    def call_later(self, delay_us: int, callback: Callable[[], None]) -> Timer:
+        """Run `callback` later."""
 
-    def at(self, at_us: int, then: Callable[[], None]) -> Timer:
-        """Run `then` at a time on the clock."""
+    def call_at(self, at_us: int, callback: Callable[[], None]) -> Timer:
+        """Run `callback` at a time on the clock."""
 
     def migrate(self, connection: Connection) -> None:
         """Tell a client to reconnect."""
@@ -106,7 +106,7 @@
     def await_endpoint_list(self) -> None:
         """Another process still serves: accept clients only by a fresh list, or after a timeout."""
         self.awaits_endpoint_list = True
-        self.core.after(ENDPOINT_LIST_TIMEOUT_US, self.on_fresh_endpoint_list)
+        self.core.call_later(ENDPOINT_LIST_TIMEOUT_US, self.on_fresh_endpoint_list)
 
     def on_fresh_endpoint_list(self) -> None:
         """Discovery has sent a list since the start."""
@@ -125,7 +125,7 @@
             # Not at once: the load balancer still sends clients here, and some would come back to where they left.
             now_us = self.core.clock()
             self._begin_drain(now_us + LOAD_BALANCER_DELAY_US, now_us + DRAIN_END_US)
-            self.core.after(DRAIN_ANSWER_US, partial(self._answer_waiting, self.drain_token))
+            self.core.call_later(DRAIN_ANSWER_US, partial(self._answer_waiting, self.drain_token))
         return True
 
     def rejoin(self) -> bool:
@@ -154,13 +154,13 @@
             first_us = max(signalled_us + LOAD_BALANCER_DELAY_US, killed_us - MIGRATION_START_US)
             self._begin_drain(now_us + MIGRATION_STEP_US if begins_at_once else first_us, by_us)
         self.stop_due_us = killed_us - STOP_US
-        self.core.at(self.stop_due_us, partial(self.stop, done))
+        self.core.call_at(self.stop_due_us, partial(self.stop, done))
 
     def _begin_drain(self, first_us: int, by_us: int) -> None:
         """Migrate from `first_us` until `by_us`, both on the clock."""
         token = self.drain_token = object()
         self.drained_by_us = by_us
-        self.core.at(first_us, partial(self._migrate_some, token, by_us))
+        self.core.call_at(first_us, partial(self._migrate_some, token, by_us))
 
     def _migrate_some(self, token: object, by_us: int) -> None:
         """Migrate a part of the connections, so that the last is notified by `by_us`; later ones at once."""
@@ -173,7 +173,7 @@
             self.core.migrate(connection)
         remaining = len(established) - count
         pause_us = max(MIGRATION_STEP_US, left_us // (remaining + 1) if remaining > 0 else 0)
-        self.core.after(pause_us, partial(self._migrate_some, token, by_us))
+        self.core.call_later(pause_us, partial(self._migrate_some, token, by_us))
 
     def _answer_waiting(self, token: object) -> None:
         """Answer all connections that still wait for a backend."""
--- a/gradefront/core/liveness.py
+++ b/gradefront/core/liveness.py
@@ -37,8 +37,8 @@
     health_checker: HealthChecker | None
     clock: Callable[[], int]
 
-    def after(self, delay_us: int, then: Callable[[], None]) -> Timer:
-        """Run `then` later."""
+    def call_later(self, delay_us: int, callback: Callable[[], None]) -> Timer:
+        """Run `callback` later."""
 
     def enqueue(self, event: Event) -> None:
         """Keep an event for the decision module."""
@@ -56,8 +56,8 @@
         self.last_reply_us: dict[str, int] = {}  # by backend, when it last replied to a message
         self.last_check_us = core.clock()
         self.silence_check_us = 0  # when the next check for silent backends is due; 0: none is set
-        core.after(MESSAGE_LATENCY_INTERVAL_US, self._report_latencies)
-        core.after(CHECK_INTERVAL_US, self._check_connections)
+        core.call_later(MESSAGE_LATENCY_INTERVAL_US, self._report_latencies)
+        core.call_later(CHECK_INTERVAL_US, self._check_connections)
 
     def apply_classes(self, classes: tuple[RequestClass, ...], reports_message_latency: bool) -> None:
         """Go by the message latency objectives of these classes from now on."""
@@ -87,7 +87,7 @@
             self._schedule_silence_check(now)
 
     def _report_latencies(self) -> None:
-        self.core.after(MESSAGE_LATENCY_INTERVAL_US, self._report_latencies)
+        self.core.call_later(MESSAGE_LATENCY_INTERVAL_US, self._report_latencies)
         for number, backend, latency_us in self.message_latency.pop_reports() if self.message_latency else ():
             log.info("messages at backend %s take %.0f ms", backend, latency_us / 1000)
             self.core.counters.add("delays_told")
@@ -97,7 +97,7 @@
 
     def _schedule_silence_check(self, now: int) -> None:
         self.silence_check_us = now + SILENCE_CHECK_INTERVAL_US
-        self.core.after(SILENCE_CHECK_INTERVAL_US, self._check_silence)
+        self.core.call_later(SILENCE_CHECK_INTERVAL_US, self._check_silence)
 
     def _check_silence(self) -> None:
         """Check by a connection those backends that owe replies and have sent nothing since."""
@@ -151,7 +151,7 @@
     def _check_connections(self) -> None:
         """Find connections whose backend or client has vanished."""
         now = self.core.clock()
-        self.core.after(CHECK_INTERVAL_US, self._check_connections)
+        self.core.call_later(CHECK_INTERVAL_US, self._check_connections)
         late, self.last_check_us = now - self.last_check_us > 2 * CHECK_INTERVAL_US, now
         if late:  # guards against a hiccup of this relay: replies may have come that it has not read yet
             return
--- a/gradefront/core/ports.py
+++ b/gradefront/core/ports.py
@@ -19,7 +19,7 @@
 class BackendConnection(Protocol):
     """The connection of one attempt to its backend."""
 
-    def close(self, how: ConnectionEnd) -> None:
+    def close(self, ending: ConnectionEnd) -> None:
         """End it; whatever arrives later is ignored."""
 
 
@@ -38,7 +38,7 @@
     def migrate(self) -> None:
         """Tell the client to reconnect through the load balancer, then end."""
 
-    def close(self, how: ConnectionEnd) -> None:
+    def close(self, ending: ConnectionEnd) -> None:
         """The backend ended an established connection."""
 
     def has_disconnected(self) -> bool:
--- a/gradefront/core/relay.py
+++ b/gradefront/core/relay.py
@@ -68,7 +68,7 @@
     ) -> None:
         self.balancer = balancer
         # Classes without a name are named by their place.
-        self.request_classes = RequestClassTable().extended(
+        self.request_classes = RequestClassTable().with_classes(
             class_names or tuple(str(n) for n in range(len(settings.classes))), settings.classes, ()
         )
         self.settings = settings
@@ -98,26 +98,26 @@
         Changes nothing. Raises TooManyClassesError.
         """
         in_use = {connection.connect_request.request_class for connection in self.connections.values()}
-        table = self.request_classes.extended(class_names, settings.classes, in_use)
+        table = self.request_classes.with_classes(class_names, settings.classes, in_use)
         return table, replace(settings, classes=table.rules)
 
     def apply_settings(self, table: RequestClassTable, settings: Settings, reports_message_latency: bool) -> None:
         """Apply settings to connections that arrive from now on."""
         self.request_classes, self.settings = table, settings
-        classes = tuple(table.rules[n] for n in table.current)
+        classes = tuple(table.rules[n] for n in table.active_numbers)
         self.liveness.apply_classes(classes, reports_message_latency)
         self.lifecycle.apply_classes(classes)
         self.enqueue(SettingsChanged(settings))
 
     # ---- the turn of the loop
 
-    def after(self, delay_us: int, then: Callable[[], None]) -> Timer:
-        """Run `then` at the first tick after the delay."""
-        return self.at(self.clock() + delay_us, then)
+    def call_later(self, delay_us: int, callback: Callable[[], None]) -> Timer:
+        """Run `callback` at the first tick after the delay."""
+        return self.call_at(self.clock() + delay_us, callback)
 
-    def at(self, at_us: int, then: Callable[[], None]) -> Timer:
-        """Run `then` at the first tick at or after a time on the clock."""
-        timer = self.timers.set(at_us, then)
+    def call_at(self, at_us: int, callback: Callable[[], None]) -> Timer:
+        """Run `callback` at the first tick at or after a time on the clock."""
+        timer = self.timers.set(at_us, callback)
         self.wake()
         return timer
 
@@ -129,9 +129,9 @@
 
     def run_once(self) -> None:
         """One turn: due timers, then all gathered events to the module, then all its actions."""
-        for then in self.timers.pop_due(self.clock()):
+        for callback in self.timers.pop_due(self.clock()):
             try:
-                then()
+                callback()
             except Exception:  # noqa: BLE001 - a broken timer must not stop the others
                 log.exception("a timer failed")
         events, self.pending_events = self.pending_events, []
@@ -247,9 +247,9 @@
         """A connection arrives that was established at `backend` before this relay started."""
         return self.requests.adopt(connect_request, client, connector, backend)
 
-    def on_client_closed(self, connection: Connection, how: ConnectionEnd) -> None:
+    def on_client_closed(self, connection: Connection, ending: ConnectionEnd) -> None:
         """The client closed its side."""
-        self.answers.on_client_closed(connection, how)
+        self.answers.on_client_closed(connection, ending)
 
     def fail_unestablished(self, connection: Connection) -> None:
         """The client broke the protocol before the connection was established."""
@@ -261,4 +261,4 @@
 
     def count_answer(self, name: str, request_class: int) -> None:
         """Count an answer for its class, where it is given."""
-        self.counters.add_of_class(name, self.request_classes.names[request_class])
+        self.counters.add_for_class(name, self.request_classes.names[request_class])
--- a/gradefront/core/request_classes.py
+++ b/gradefront/core/request_classes.py
@@ -16,13 +16,13 @@
 
 @dataclass(frozen=True)
 class RequestClassTable:
-    """An immutable value: `extended` makes a new table."""
+    """An immutable value: `with_classes` makes a new table."""
 
     names: tuple[str, ...] = ()
     rules: tuple[RequestClass, ...] = ()
-    current: tuple[int, ...] = ()  # the numbers in force
+    active_numbers: tuple[int, ...] = ()  # the numbers in force
 
-    def extended(
+    def with_classes(
         self, names: tuple[str, ...], rules: tuple[RequestClass, ...], in_use: Collection[int]
     ) -> RequestClassTable:
         """The table after these classes were configured; `in_use` are the numbers that connections use.
@@ -32,7 +32,7 @@
         table = list(zip(self.names, self.rules, strict=True))
         configured = list(zip(names, rules, strict=True))
         free = [n for n, entry in enumerate(table) if n not in in_use and entry not in configured]
-        current = []
+        active_numbers = []
         for entry in configured:
             if entry in table:
                 number = table.index(entry)
@@ -44,9 +44,9 @@
                 table[number] = entry
             else:
                 raise TooManyClassesError(f"connections use classes under all of {MAX_CLASSES} numbers")
-            current.append(number)
-        return RequestClassTable(tuple(n for n, _ in table), tuple(r for _, r in table), tuple(current))
+            active_numbers.append(number)
+        return RequestClassTable(tuple(n for n, _ in table), tuple(r for _, r in table), tuple(active_numbers))
 
-    def numbers(self) -> dict[str, int]:
+    def active_numbers_by_name(self) -> dict[str, int]:
         """The classes in force, by name."""
-        return {self.names[n]: n for n in self.current}
+        return {self.names[n]: n for n in self.active_numbers}
--- a/gradefront/core/request_log.py
+++ b/gradefront/core/request_log.py
@@ -12,7 +12,7 @@
 
 from balancer.actions import Fail, NotSentReason, Reject, SlowStartAllowance
 
-from .attempt_error import AttemptError
+from .attempt_outcome import AttemptOutcome
 from .connection import Attempt, Connection
 from .counters import Counters
 
@@ -87,7 +87,7 @@
             allowance,
         )
 
-    def on_attempt_end(self, attempt: Attempt, error: AttemptError) -> None:
+    def on_attempt_end(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """An attempt, or the connection that it made, has ended."""
         if not attempt.slow_start:
             return
@@ -97,5 +97,5 @@
             attempt.connection.connect_request.connection_id,
             attempt.backend,
             took_ms,
-            error,
+            outcome,
         )
--- a/gradefront/core/requests.py
+++ b/gradefront/core/requests.py
@@ -41,8 +41,8 @@
     def accepts_work(self) -> bool:
         """Whether anything new is begun."""
 
-    def after(self, delay_us: int, then: Callable[[], None]) -> Timer:
-        """Run `then` later."""
+    def call_later(self, delay_us: int, callback: Callable[[], None]) -> Timer:
+        """Run `callback` later."""
 
     def enqueue(self, event: Event) -> None:
         """Keep an event for the decision module."""
@@ -85,7 +85,7 @@
         if not core.accepts_work:
             core.answers.answer(connection, None)
             return connection
-        connection.deadline_timer = core.after(ADOPTED_TIMEOUT_US, partial(self._on_deadline, connection))
+        connection.deadline_timer = core.call_later(ADOPTED_TIMEOUT_US, partial(self._on_deadline, connection))
         core.attempts.start_adopted(connection)
         return connection
 
--- a/gradefront/core/start_times.py
+++ b/gradefront/core/start_times.py
@@ -9,31 +9,31 @@
 
 from dataclasses import dataclass
 
-NOTICE_US = 6_000_000  # within so long discovery passes on whatever changed, by the protocol page
+DISCOVERY_DELAY_US = 6_000_000  # within so long discovery passes on whatever changed, by the protocol page
 
 
 @dataclass(slots=True, frozen=True)
-class Start:
+class BackendStart:
     """One start of a backend: as discovery reported it, and on this relay's clock. 0 in both: long ago."""
 
     reported_us: int
     at_us: int
 
 
-LONG_AGO = Start(0, 0)
+LONG_AGO = BackendStart(0, 0)
 
 
 @dataclass(slots=True, frozen=True)
-class ListReading:
+class ListReadContext:
     """The moment at which an endpoint list is read, and how far its times of day can be trusted."""
 
     now_us: int
-    is_stepped: bool = False  # the wall clock has been stepped since this relay began
+    clock_was_stepped: bool = False  # the wall clock has been stepped since this relay began
     is_update: bool = False  # the relay had a list before: what is new in this one happened lately
-    oldest_us: int = 0  # how long ago a start can have been that only this update reports
+    max_start_age_us: int = 0  # how long ago a start can have been that only this update reports
 
 
-def start_time(reported_us: int, known: Start | None, reading: ListReading) -> Start:
+def estimate_start(reported_us: int, known: BackendStart | None, reading: ListReadContext) -> BackendStart:
     """The start that discovery reports as `reported_us`, where `known` is the last one of this backend."""
     if reported_us <= 0:
         return LONG_AGO
@@ -41,8 +41,8 @@
         return known
     age_us = reading.now_us - reported_us
     is_update = reading.is_update or known is not None
-    is_trusted = age_us >= 0 and not (is_update and (reading.is_stepped or age_us > reading.oldest_us))
+    is_trusted = age_us >= 0 and not (is_update and (reading.clock_was_stepped or age_us > reading.max_start_age_us))
     at_us = reported_us if is_trusted else reading.now_us
     if known and at_us <= known.at_us:  # another start, however the clocks stand: it is the later one
         at_us = known.at_us + 1
-    return Start(reported_us, at_us)
+    return BackendStart(reported_us, at_us)
--- a/gradefront/core/timer_wheel.py
+++ b/gradefront/core/timer_wheel.py
@@ -11,15 +11,15 @@
 class Timer:
     """One timer; `cancel` may be called at any time."""
 
-    __slots__ = ("tick", "then")
+    __slots__ = ("tick", "callback")
 
-    def __init__(self, tick: int, then: Callable[[], None]) -> None:
+    def __init__(self, tick: int, callback: Callable[[], None]) -> None:
         self.tick = tick
-        self.then: Callable[[], None] | None = then
+        self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
         """The timer will not run; its place on the wheel is cleared when its tick is due."""
-        self.then = None
+        self.callback = None
 
 
 class TimerWheel:
@@ -30,10 +30,10 @@
         self.slots: list[list[Timer]] = [[] for _ in range(SLOTS)]
         self.occupied = 0  # bit mask of the slots that hold timers
 
-    def set(self, at_us: int, then: Callable[[], None]) -> Timer:
-        """Run `then` at the first tick at or after `at_us`."""
+    def set(self, at_us: int, callback: Callable[[], None]) -> Timer:
+        """Run `callback` at the first tick at or after `at_us`."""
         tick = max(-(-at_us // TICK_US), self.tick + 1)
-        timer = Timer(tick, then)
+        timer = Timer(tick, callback)
         self.slots[tick % SLOTS].append(timer)
         self.occupied |= 1 << tick % SLOTS
         return timer
@@ -60,8 +60,8 @@
                 continue
             late = [t for t in self.slots[slot] if t.tick <= last]
             due += late
-            self.slots[slot] = [t for t in self.slots[slot] if t.tick > last and t.then]
+            self.slots[slot] = [t for t in self.slots[slot] if t.tick > last and t.callback]
             if not self.slots[slot]:
                 self.occupied &= ~(1 << slot)
         self.tick = max(self.tick, last)
-        return [t.then for t in sorted(due, key=lambda t: t.tick) if t.then]
+        return [t.callback for t in sorted(due, key=lambda t: t.tick) if t.callback]
--- a/gradefront/net/backend_connection.py
+++ b/gradefront/net/backend_connection.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import ClientFactory
 
 from balancer.settings import LoadReportSource
-from gradefront.core.attempt_error import AttemptPhase, Cause
+from gradefront.core.attempt_outcome import AttemptPhase, Cause
 from gradefront.core.connection import Attempt
 from gradefront.core.ports import BackendConnection, ConnectionEnd
 
@@ -134,7 +134,7 @@
             return
         verb = line.partition(b" ")[0]
         if verb in (b"BYE", b"ERR", b"BUSY") and self.reads_load_report:
-            attempt.report = read_report(line)
+            attempt.load_report = read_report(line)
         if attempt.phase < AttemptPhase.UP:
             self._on_response(line, verb)
             return
@@ -146,9 +146,9 @@
         else:
             attempt.on_message_received()
             if line == b"MOVE":
-                self.cause = Cause.SENT_AWAY
+                self.cause = Cause.MIGRATED_BY_BACKEND
             elif verb == b"BYE":
-                self.cause = Cause.SERVED
+                self.cause = Cause.COMPLETED
         if self.to_client:
             self.to_client(line + b"\r\n")
 
@@ -156,14 +156,14 @@
         """Handle the response to the request line."""
         attempt = self.attempt
         if verb == b"BUSY":
-            attempt.end(Cause.FULL)
+            attempt.end(Cause.REJECTED)
         elif attempt.phase < AttemptPhase.SENT:  # the request has not left completely, and was not executed
             self.count_invalid("responded before the request was sent")
             attempt.end(Cause.BROKEN)
         elif ESTABLISHED_RESPONSE.fullmatch(line):
             attempt.succeed(line)
         elif verb == b"MOVE":
-            attempt.end(Cause.SENT_AWAY)
+            attempt.end(Cause.MIGRATED_BY_BACKEND)
         else:
             if verb != b"ERR":
                 self.count_invalid("sent no response of the protocol")
@@ -172,7 +172,7 @@
     def count_invalid(self, what: str) -> None:
         """Count what no backend sends."""
         core = self.attempt.core
-        core.counters.bad("bad_answers", f"backend {self.attempt.backend} {what}", core.clock())
+        core.counters.count_fault("bad_answers", f"backend {self.attempt.backend} {what}", core.clock())
 
     def on_connection_lost(self, how: ConnectionEnd, unfinished: bytes) -> None:
         """The connection to the backend ended, after `unfinished` of a line."""
@@ -194,7 +194,7 @@
         if self.line and self.line.transport and not self.gone:
             self.line.wire.write(unfinished)
 
-    def close(self, how: ConnectionEnd) -> None:
+    def close(self, ending: ConnectionEnd) -> None:
         """End this connection, in the way given."""
         self.to_client = None
         if self.line is None:
@@ -204,7 +204,7 @@
         elif self.line.transport and not self.gone:
             # A cancelled attempt must leave nothing that could still arrive: a retry may follow, and what is written,
             # here or in the kernel, goes on its way until the connection is reset.
-            if how is ConnectionEnd.BROKEN or self.attempt.phase < AttemptPhase.UP:
+            if ending is ConnectionEnd.BROKEN or self.attempt.phase < AttemptPhase.UP:
                 self.line.abort()
             else:
                 self.line.wire.unregisterProducer()
--- a/gradefront/net/client_protocol.py
+++ b/gradefront/net/client_protocol.py
@@ -50,7 +50,7 @@
         """The client connected."""
         self.send_at_once()
         self.arrived_us = self.front.core.clock()
-        self.timeout = self.front.core.after(PRE_REQUEST_TIMEOUT_US, self._on_pre_request_timeout)
+        self.timeout = self.front.core.call_later(PRE_REQUEST_TIMEOUT_US, self._on_pre_request_timeout)
         self.front.on_connected(self)
 
     def _on_pre_request_timeout(self) -> None:
@@ -91,7 +91,7 @@
             front.new_id(self.id)
         except InvalidLineError as error:
             if error.request_class in front.core.request_classes.names:  # it was in force before
-                front.core.counters.add_of_class("errored_total", error.request_class)
+                front.core.counters.add_for_class("errored_total", error.request_class)
             front.count_invalid(str(error))
             self._finish_with(b"ERR")
             return
@@ -179,9 +179,9 @@
         """Final line `MOVE`. Only complete lines are forwarded, so it never cuts one."""
         self._finish_with(b"MOVE")
 
-    def close(self, how: ConnectionEnd) -> None:
+    def close(self, ending: ConnectionEnd) -> None:
         """End as the backend did."""
-        self._close(how)  # broken or not, its `UP` or its last line may still lie in the transport's buffer
+        self._close(ending)  # broken or not, its `UP` or its last line may still lie in the transport's buffer
 
     def _finish_with(self, line: bytes) -> None:
         if not self.closing:
@@ -244,7 +244,9 @@
 
     def accept_failed(self, error: OSError) -> None:
         """No connection could be accepted. For want of this process's descriptors, free the one needed least."""
-        self.core.counters.bad("accept_errors", f"no connection could be accepted: {error}", self.core.clock())
+        self.core.counters.count_fault(
+            "accept_errors", f"no connection could be accepted: {error}", self.core.clock()
+        )
         if (
             error.errno != errno.EMFILE
             or self.closing.free_descriptor()
@@ -287,4 +289,4 @@
 
     def count_invalid(self, what: str) -> None:
         """Count what no client sends."""
-        self.core.counters.bad("bad_lines", f"bad client: {what}", self.core.clock())
+        self.core.counters.count_fault("bad_lines", f"bad client: {what}", self.core.clock())
--- a/gradefront/net/closing.py
+++ b/gradefront/net/closing.py
@@ -30,8 +30,8 @@
 
     counters: Counters
 
-    def after(self, delay_us: int, then: Callable[[], None]) -> Timer:
-        """Run `then` at the first tick after the delay."""
+    def call_later(self, delay_us: int, callback: Callable[[], None]) -> Timer:
+        """Run `callback` at the first tick after the delay."""
 
 
 class Closable(Protocol):
@@ -81,7 +81,7 @@
             return
         if len(self.waiting) >= self.capacity:
             self.free_descriptor()
-        timer = self.core.after(UNSENT_TIMEOUT_US, partial(self._give_up, connection))
+        timer = self.core.call_later(UNSENT_TIMEOUT_US, partial(self._give_up, connection))
         self.waiting[connection] = _CloseState(how, timer)
         wire = connection.wire
         wire.loseWriteConnection()
@@ -100,7 +100,7 @@
         elif state.peer_ended:
             connection.wire.loseConnection()
         else:
-            state.timer = self.core.after(LINGER_TIMEOUT_US, partial(self._close, connection))
+            state.timer = self.core.call_later(LINGER_TIMEOUT_US, partial(self._close, connection))
 
     def on_peer_ended(self, connection: Closable) -> None:
         """The peer has shut its sending side; it may read still."""
--- a/gradefront/net/endpoint_list.py
+++ b/gradefront/net/endpoint_list.py
@@ -9,7 +9,7 @@
 from balancer.events import BackendState, Endpoint, EndpointListUpdate
 from gradefront.config import Config
 from gradefront.core.relay import RelayCore
-from gradefront.core.start_times import NOTICE_US, ListReading, Start, start_time
+from gradefront.core.start_times import DISCOVERY_DELAY_US, BackendStart, ListReadContext, estimate_start
 
 STATES = {"SERVING": BackendState.READY, "DRAINING": BackendState.DRAINING, "DELETED": BackendState.GONE}
 MAX_PORT = 65_535
@@ -20,7 +20,7 @@
 
     endpoint: Endpoint
     address: tuple[str, int]  # host and port; a gone backend has none
-    start: Start
+    start: BackendStart
 
 
 class _Members(NamedTuple):
@@ -86,7 +86,7 @@
     def _count_errors(self, errors: list[str]) -> None:
         if errors:
             what = f"a line of the endpoint list makes no sense: {errors[0]}"
-            self.core.counters.bad("bad_list_lines", what, self.core.clock(), len(errors))
+            self.core.counters.count_fault("bad_list_lines", what, self.core.clock(), len(errors))
 
     def _merged(self, listed: list[ListedBackend], is_complete: bool) -> dict[str, ListedBackend]:
         """The backends after these entries: in place of all before, or on top of them."""
@@ -98,15 +98,15 @@
                 backends[backend.endpoint.backend] = backend
         return backends
 
-    def _reading(self) -> ListReading:
+    def _reading(self) -> ListReadContext:
         """How far the times of day in a document that is applied now can be trusted."""
         now_us = self.core.clock()
         since_us = now_us - self.last_heartbeat_us if self.last_heartbeat_us is not None else 0
-        oldest_us = max(self.core.settings.warm_up_us, since_us + NOTICE_US)
+        max_start_age_us = max(self.core.settings.warm_up_us, since_us + DISCOVERY_DELAY_US)
         # What differs from a list that this relay had, be it from before its start, happened of late.
-        return ListReading(now_us, self.stepped(), bool(self.backends), oldest_us)
+        return ListReadContext(now_us, self.stepped(), bool(self.backends), max_start_age_us)
 
-    def _read_member(self, member: Any, reading: ListReading) -> ListedBackend:
+    def _read_member(self, member: Any, reading: ListReadContext) -> ListedBackend:
         """Read one member. Raises KeyError, TypeError, ValueError, AttributeError or OverflowError."""
         state = STATES.get(member["phase"], BackendState.UNKNOWN)
         address = ("", 0) if state is BackendState.GONE else _read_address(member["host_port"])
@@ -116,7 +116,7 @@
         backend = str(member["id"])
         before = self.backends.get(backend)
         up_since_us = int(member.get("up_since_ms") or 0) * 1000
-        start = start_time(up_since_us, before.start if before else None, reading)
+        start = estimate_start(up_since_us, before.start if before else None, reading)
         endpoint = Endpoint(
             backend,
             state,
--- a/gradefront/net/endpoint_watch.py
+++ b/gradefront/net/endpoint_watch.py
@@ -60,7 +60,7 @@
             log.warning("the agent's watch is lost: %s; calling again", why)
         self.failures += 1
         # At once, but at a pace: an agent that refuses, or ends each call, is called until it is back.
-        self.core.after(max(0, self.called_us + self.retry_us - self.core.clock()), self.watch)
+        self.core.call_later(max(0, self.called_us + self.retry_us - self.core.clock()), self.watch)
 
     def watch(self) -> None:
         """Start a watch unless one is open: a retry that was set for a watch that has since been replaced must not
--- a/gradefront/net/endpoint_watch_call.py
+++ b/gradefront/net/endpoint_watch_call.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger("gradefront.endpoint_watch")
 
-# An empty line comes every 2 s; an update is in force after `start_times.NOTICE_US`, received or not.
+# An empty line comes every 2 s; an update is in force after `start_times.DISCOVERY_DELAY_US`, received or not.
 HEARTBEAT_TIMEOUT_US = 3_000_000
 RECHECK_DELAY_US = 20_000  # for a loop that was held up to read what has come
 
@@ -81,7 +81,7 @@
         self.timeout = self._start_timeout(self.timeout_us)
 
     def _start_timeout(self, delay_us: int) -> Timer:
-        return self.owner.core.after(delay_us, partial(self._on_timeout, self.owner.core.clock() + delay_us))
+        return self.owner.core.call_later(delay_us, partial(self._on_timeout, self.owner.core.clock() + delay_us))
 
     def _on_timeout(self, due_us: int) -> None:
         """Guards against a watch that was cut off silently: updates meanwhile would be missed."""
--- a/gradefront/net/fleet_port.py
+++ b/gradefront/net/fleet_port.py
@@ -55,7 +55,7 @@
     def _tick(self) -> None:
         if self.swim and self.transport:
             # First: nothing that fails here ends the ticks.
-            self.core.after(self.config.period_us // TICKS_PER_PERIOD, self._tick)
+            self.core.call_later(self.config.period_us // TICKS_PER_PERIOD, self._tick)
             self._send(self.swim.tick(self.core.clock()))
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
--- a/gradefront/net/health_checks.py
+++ b/gradefront/net/health_checks.py
@@ -60,7 +60,7 @@
         self.last_used_us = 0
         self.reused = False  # whether the pending check went out on an open connection
         self.timeout: Timer | None = None  # of the last check
-        checker.core.after(IDLE_TIMEOUT_US, self._close_if_idle)
+        checker.core.call_later(IDLE_TIMEOUT_US, self._close_if_idle)
 
     def check(self) -> None:
         """Check on the open connection, or on a new one."""
@@ -68,7 +68,7 @@
             return  # the response to the pending check serves both
         core = self.checker.core
         self.pending_since_us = self.last_used_us = core.clock()
-        self.timeout = core.after(RESPONSE_TIMEOUT_US, self._on_timeout)
+        self.timeout = core.call_later(RESPONSE_TIMEOUT_US, self._on_timeout)
         self.reused = self.line is not None
         if self.line:
             self.line.write_line(b"STATS")
@@ -131,7 +131,7 @@
         if self.line and not self.pending_since_us and now_us - self.last_used_us > IDLE_TIMEOUT_US:
             self.drop()
         if self.checker.connections.get(self.backend) is self:
-            self.checker.core.after(IDLE_TIMEOUT_US, self._close_if_idle)
+            self.checker.core.call_later(IDLE_TIMEOUT_US, self._close_if_idle)
 
 
 class BackendHealthChecker:
@@ -149,7 +149,7 @@
         if address is None:  # not in the endpoint list any more: its connections migrate by themselves
             return
         connect_check = ConnectCheck(self.core, backend)
-        connect_check.timeout = self.core.after(timeout_us, connect_check.on_timeout)
+        connect_check.timeout = self.core.call_later(timeout_us, connect_check.on_timeout)
         connect_check.connector = self.reactor.connectTCP(*address, connect_check, timeout=None)
 
     def check(self, backend: str) -> None:
--- a/gradefront/quic/connections.py
+++ b/gradefront/quic/connections.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from gradefront.config import Address
-from gradefront.core.attempt_error import AttemptPhase, Cause
+from gradefront.core.attempt_outcome import AttemptPhase, Cause
 from gradefront.core.connection import Attempt, Connection, ConnectionState
 from gradefront.core.ports import BackendConnection, ConnectionEnd
 
@@ -184,7 +184,7 @@
         """A datagram client says nothing as it leaves."""
         return False
 
-    def close(self, how: ConnectionEnd) -> None:  # noqa: ARG002 - core's port
+    def close(self, ending: ConnectionEnd) -> None:  # noqa: ARG002 - core's port
         """The backend is gone: the client learns by a reset rather than by its own idle time."""
         self._reset()
 
@@ -251,7 +251,7 @@
         """Decide by the backend's Initial: an error, an established connection, or nothing yet."""
         if opened.close_code is not None:
             full = opened.close_code == CONNECTION_REFUSED
-            self.attempt.end(Cause.FULL if full else Cause.ERROR)
+            self.attempt.end(Cause.REJECTED if full else Cause.ERROR)
         elif opened.crypto:
             self._establish(packet, path, datagram)
         else:  # only an ACK: no client may hear of a backend that doesn't go on
@@ -263,7 +263,7 @@
         self.attempt.succeed((path, (datagram, *self.early)))
         self.early = []
 
-    def close(self, how: ConnectionEnd) -> None:  # noqa: ARG002 - core's port
+    def close(self, ending: ConnectionEnd) -> None:  # noqa: ARG002 - core's port
         """Its places are given back, so that what the backend still sends reaches nobody."""
         self.front.close_paths(self.owner)
         if self.owner.upstream is self and self.owner.reaching:
--- a/gradefront/quic/front.py
+++ b/gradefront/quic/front.py
@@ -55,7 +55,7 @@
             Listener(self.hub, request_class, where, self.routes, self.lengths, self.take)
             for request_class, where in quic.listen.items()
         ]
-        core.after(TICK_US, self._tick)
+        core.call_later(TICK_US, self._tick)
 
     # ---- from clients
 
@@ -197,7 +197,7 @@
             owner.hello = HelloReader()
             self._gather(owner, opened)
             if owner.connection is None:
-                self.core.after(HELLO_US, lambda: self._place(owner, listener.request_class))
+                self.core.call_later(HELLO_US, lambda: self._place(owner, listener.request_class))
         else:
             self._place(owner, listener.request_class)
         return owner
--- a/gradefront/quic/maintenance.py
+++ b/gradefront/quic/maintenance.py
@@ -6,7 +6,7 @@
 from itertools import islice
 
 from balancer.events import BackendState
-from gradefront.core.attempt_error import Cause
+from gradefront.core.attempt_outcome import Cause
 from gradefront.core.connect_request import ConnectRequest
 from gradefront.core.connection import Attempt
 from gradefront.core.ports import BackendConnection, ConnectionEnd
@@ -45,7 +45,7 @@
         return upstream
 
     def _tick(self) -> None:
-        self.core.after(TICK_US, self._tick)
+        self.core.call_later(TICK_US, self._tick)
         now = self.now()
         for table in (self.answered, self.moved):
             while table and next(iter(table.values()))[1] <= now:
@@ -153,7 +153,7 @@
         assert owner.upstream and owner.connection
         attempt = owner.upstream.attempt
         if owner.unanswered >= SILENT_DATAGRAMS and now - owner.unanswered_us > SILENT_US:
-            attempt.end(Cause.SILENT, ConnectionEnd.BROKEN)
+            attempt.end(Cause.TIMED_OUT, ConnectionEnd.BROKEN)
         elif now - owner.used_us > IDLE_AFTER_US and self.adopt(owner, attempt.backend):
             log.debug("connection %d goes on at another address", owner.connection.number)
         elif now - owner.used_us > self.quic.connection_idle_us:
--- a/gradefront/quic/tables.py
+++ b/gradefront/quic/tables.py
@@ -6,7 +6,7 @@
 from itertools import islice
 
 from gradefront.config import Address, Config
-from gradefront.core.attempt_error import Cause
+from gradefront.core.attempt_outcome import Cause
 from gradefront.core.ports import ConnectionEnd
 from gradefront.core.relay import RelayCore
 from gradefront.net.reactor import Reactor
--- a/gradefront/reload.py
+++ b/gradefront/reload.py
@@ -83,7 +83,7 @@
         config = replace(
             loaded,
             settings=settings,
-            class_numbers=request_classes.numbers(),
+            class_numbers=request_classes.active_numbers_by_name(),
             discovery=_discovery(loaded, current),
             seed=current.seed,
             **{name: getattr(current, name) for name in FIXED_AT_START},
--- a/gradefront/service.py
+++ b/gradefront/service.py
@@ -93,7 +93,7 @@
             levels |= self.quic.levels()
         if self.fleet:
             levels |= self.fleet.levels()
-        log.info("counters %s", self.core.counters.line(**levels))
+        log.info("counters %s", self.core.counters.as_json(**levels))
 
     def reload(self) -> None:
         """Read the configuration file anew; established connections go on."""
--- a/gradefront/shutdown.py
+++ b/gradefront/shutdown.py
@@ -74,7 +74,7 @@
     def _stop_when_empty(self) -> None:
         """End early: no client connects here any more, and the new process needs time, memory and descriptors."""
         if self.front.open_connections or self.core.connections:
-            self.core.after(EMPTY_CHECK_US, self._stop_when_empty)
+            self.core.call_later(EMPTY_CHECK_US, self._stop_when_empty)
         else:
             self.core.lifecycle.stop(self._close_connections)
 
@@ -87,16 +87,16 @@
             self.fleet.leave()
         # From when this was due, not from when it ran: SIGKILL does not wait for a late loop.
         began_us = min(due_us, self.core.clock())
-        self.core.at(began_us + HANDSHAKES_END_US, partial(self._end_handshakes, began_us + PRE_REQUEST_END_US))
-        self.core.at(began_us + STOP_US, self._stop_when_sent)
-        self.core.at(began_us + FORCED_STOP_US, self._stop)
+        self.core.call_at(began_us + HANDSHAKES_END_US, partial(self._end_handshakes, began_us + PRE_REQUEST_END_US))
+        self.core.call_at(began_us + STOP_US, self._stop_when_sent)
+        self.core.call_at(began_us + FORCED_STOP_US, self._stop)
         self._stop_when_closed()
 
     def _end_handshakes(self, pre_request_end_us: int) -> None:
         """Let no further client connect. Late, it moves the end of the listener: handshakes under way need a time."""
         self.timeline.record("no new handshakes")
         self.listener.drop_new_handshakes()
-        self.core.at(max(pre_request_end_us, self.core.clock() + HANDSHAKE_US), self._end_pre_request)
+        self.core.call_at(max(pre_request_end_us, self.core.clock() + HANDSHAKE_US), self._end_pre_request)
 
     def _end_pre_request(self) -> None:
         """Reject clients without a request, also those that still wait to be accepted. Once, whoever comes first."""
@@ -111,14 +111,14 @@
         """Wait for the peers to close, so that no close resets what they have not read yet."""
         port = self.listener.port
         if self.front.open_connections or self.front.upstreams or (port and port.connected):
-            self.core.after(CLOSED_CHECK_US, self._stop_when_closed)
+            self.core.call_later(CLOSED_CHECK_US, self._stop_when_closed)
         else:
             self._stop()
 
     def _stop_when_sent(self) -> None:
         """Wait no longer for peers to close, only for those that have not read their answer."""
         if self.front.closing.unsent:
-            self.core.after(CLOSED_CHECK_US, self._stop_when_sent)
+            self.core.call_later(CLOSED_CHECK_US, self._stop_when_sent)
         else:
             self._stop()
 
--- a/gradefront/state/handover_receiver.py
+++ b/gradefront/state/handover_receiver.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from gradefront.core.adopted import take_over
+from gradefront.core.adopted import adopt_established
 from gradefront.core.connect_request import ConnectRequest
 from gradefront.core.connection import Attempt, Connection
 from gradefront.core.relay import RelayCore
@@ -40,7 +40,9 @@
     def connectionMade(self) -> None:
         """Count the connection; it has no deadline for a request."""
         self.arrived_us = self.front.core.clock()
-        self.timeout = self.front.core.after(0, lambda: None)  # nothing to time: `_close` cancels a timer in any case
+        self.timeout = self.front.core.call_later(
+            0, lambda: None
+        )  # nothing to time: `_close` cancels a timer in any case
         self.front.open_connections += 1
 
 
@@ -217,7 +219,7 @@
         client.connection = connection
         upstream = LineBackendConnection(attempt, FirstLine(b"", b"", False), self.front.upstreams)
         upstream.line = AdoptedBackend(upstream)
-        attempt.upstream, attempt.load = upstream, snapshot.load
+        attempt.upstream, attempt.connection_load = upstream, snapshot.load
         for fd, protocol in zip(fds, (client, upstream.line), strict=True):
             os.set_blocking(fd, False)
             self.reactor.adoptStreamConnection(fd, socket.AF_INET, SingleProtocolFactory(protocol))
@@ -245,7 +247,7 @@
             snapshot.load,
             True,
         )
-        return take_over(
+        return adopt_established(
             self.core,
             request,
             client,
--- a/gradefront/state/handover_sender.py
+++ b/gradefront/state/handover_sender.py
@@ -9,7 +9,7 @@
 import logging
 import socket
 
-from gradefront.core.adopted import give_away
+from gradefront.core.adopted import release_for_handover
 from gradefront.core.connection import Connection, ConnectionState
 from gradefront.core.relay import RelayCore
 from gradefront.net.backend_connection import LineBackendConnection
@@ -40,7 +40,7 @@
                 break
             sent += self._hand_over(self.call, connection)
         if self.call and (self.core.connections or self.front.open_connections):
-            self.core.after(STEP_US, self.step)
+            self.core.call_later(STEP_US, self.step)
         else:
             self.end()
 
@@ -75,7 +75,7 @@
         release(backend_transport)
         self.front.open_connections -= 1
         client.closing, upstream.gone = True, True
-        give_away(self.core, connection)
+        release_for_handover(self.core, connection)
         return True
 
     def _snapshot(self, connection: Connection, from_client: bytes, from_backend: bytes) -> ConnectionSnapshot:
@@ -90,7 +90,7 @@
             sticky_group=request.sticky_group,
             tenant=request.tenant,
             backend=attempt.backend,
-            load=attempt.load,
+            load=attempt.connection_load,
             last_received_us=attempt.last_received_us,
             awaiting_reply_us=tuple(attempt.awaiting_reply_us),
             from_carer=from_client,
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -20,8 +20,8 @@
     def __init__(self) -> None:
         self.closed: list[ConnectionEnd] = []
 
-    def close(self, how: ConnectionEnd) -> None:
-        self.closed.append(how)
+    def close(self, ending: ConnectionEnd) -> None:
+        self.closed.append(ending)
 
 
 class Client:
@@ -44,7 +44,7 @@
     def migrate(self) -> None:
         self.calls.append("migrate")
 
-    def close(self, how: ConnectionEnd) -> None:
+    def close(self, ending: ConnectionEnd) -> None:
         self.calls.append("close")
 
     def has_disconnected(self) -> bool:
@@ -58,7 +58,7 @@
         self.now = 1_000_000
         self.events: list[Event] = []
         self.actions: list[Action] = []
-        self.broken = False  # the module raises
+        self.handle_raises = False  # the module raises
         self.attempts: list[Attempt] = []
         self.upstreams: list[Upstream] = []
         self.connect_checks: list[str] = []
@@ -74,7 +74,7 @@
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
         self.events.append(event)
-        if self.broken:
+        if self.handle_raises:
             raise IndexError("the module broke")
         actions, self.actions = self.actions, []
         return actions
@@ -87,7 +87,7 @@
         self.upstreams.append(Upstream())
         return self.upstreams[-1]
 
-    def order(self, *actions: Action) -> None:
+    def run_actions(self, *actions: Action) -> None:
         """Have the module return these actions now."""
         self.core.run_once()
         self.actions += actions
@@ -101,21 +101,21 @@
             self.now = min(end, max(self.now + 1, self.core.timers.next_due() or end))
             self.core.run_once()
 
-    def arrive(self, timeout_us: int = 2_000_000) -> tuple[Connection, Client]:
+    def accept_client(self, timeout_us: int = 2_000_000) -> tuple[Connection, Client]:
         """A client requests a connection."""
         client = Client()
         connection = self.core.accept(ConnectRequest(timeout_us, "request line"), client, self)
         self.core.run_once()
         return connection, client
 
-    def standing(self, backend: str = "box-1") -> tuple[Connection, Client, Attempt]:
+    def establish(self, backend: str = "box-1") -> tuple[Connection, Client, Attempt]:
         """A client whose connection is established."""
-        connection, client = self.arrive()
-        self.order(StartAttempt(connection.number, backend, 1_000_000))
+        connection, client = self.accept_client()
+        self.run_actions(StartAttempt(connection.number, backend, 1_000_000))
         self.attempts[-1].succeed("response line")
         self.core.run_once()
         return connection, client, self.attempts[-1]
 
-    def outcomes(self, connection: Connection) -> list[AttemptEnded]:
+    def attempt_ends(self, connection: Connection) -> list[AttemptEnded]:
         """The ends of attempts that were reported to the module."""
         return [e for e in self.events if isinstance(e, AttemptEnded) and e.request_id == connection.number]
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -124,7 +124,7 @@
         "svc_conf_invalid_total 0",
         "svc_current 0",
     ]
-    counters.add_of_class("answered_total", 'q"\\\n')
+    counters.add_for_class("answered_total", 'q"\\\n')
     assert render_metrics(counters, ['q"\\\n', 'q"\\\n'], {})[0] == 'svc_answered_total{group="q\\"\\\\\\n"} 1'
 
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -14,7 +14,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gradefront.core.start_times import NOTICE_US, ListReading, Start, start_time
+from gradefront.core.start_times import DISCOVERY_DELAY_US, BackendStart, ListReadContext, estimate_start
 from gradefront.net.endpoint_list import EndpointList
 from gradefront.net.reactor import STEP_US, Clock
 from lab.stand_ins import BUSY_S, Discovery, LineDevice, Program, StandInBackend, program, settings, soon
@@ -125,40 +125,40 @@
 NOW_US = 1_800_000_000_000_000
 HOUR_US = 3_600_000_000
 WARM_UP_US = 20_000_000
-KNOWN = Start(NOW_US - 2 * HOUR_US, NOW_US - 2 * HOUR_US)
+KNOWN = BackendStart(NOW_US - 2 * HOUR_US, NOW_US - 2 * HOUR_US)
 
 
-def reading(**changes: Any) -> ListReading:
-    return ListReading(**{"now_us": NOW_US, "is_update": True, "oldest_us": WARM_UP_US, **changes})
+def reading(**changes: Any) -> ListReadContext:
+    return ListReadContext(**{"now_us": NOW_US, "is_update": True, "max_start_age_us": WARM_UP_US, **changes})
 
 
 @pytest.mark.parametrize("age_us", [0, 1_500_000, WARM_UP_US])
 def test_a_start_that_can_be_so_is_believed(age_us: int) -> None:
-    assert start_time(NOW_US - age_us, None, reading()).at_us == NOW_US - age_us
+    assert estimate_start(NOW_US - age_us, None, reading()).at_us == NOW_US - age_us
 
 
 @pytest.mark.parametrize("age_us", [HOUR_US, WARM_UP_US + 1, -1, -HOUR_US])
 @pytest.mark.parametrize("known", [None, KNOWN])
-def test_news_of_a_start_that_cannot_be_so_counts_from_now(age_us: int, known: Start | None) -> None:
+def test_news_of_a_start_that_cannot_be_so_counts_from_now(age_us: int, known: BackendStart | None) -> None:
     reported_us = NOW_US - age_us
-    assert start_time(reported_us, known, reading()) == Start(reported_us, NOW_US)
+    assert estimate_start(reported_us, known, reading()) == BackendStart(reported_us, NOW_US)
 
 
 @pytest.mark.parametrize("age_us", [0, 3_000_000, HOUR_US, -HOUR_US])
 def test_no_time_of_day_is_believed_after_a_step(age_us: int) -> None:
-    assert start_time(NOW_US - age_us, KNOWN, reading(is_stepped=True)).at_us == NOW_US
+    assert estimate_start(NOW_US - age_us, KNOWN, reading(clock_was_stepped=True)).at_us == NOW_US
 
 
 def test_what_was_there_before_the_relay_began_is_believed_unless_it_lies_ahead() -> None:
     first = reading(is_update=False)
-    assert start_time(NOW_US - HOUR_US, None, first).at_us == NOW_US - HOUR_US
-    assert start_time(NOW_US + HOUR_US, None, first).at_us == NOW_US
-    assert start_time(0, None, first) == Start(0, 0)
+    assert estimate_start(NOW_US - HOUR_US, None, first).at_us == NOW_US - HOUR_US
+    assert estimate_start(NOW_US + HOUR_US, None, first).at_us == NOW_US
+    assert estimate_start(0, None, first) == BackendStart(0, 0)
 
 
 def test_a_start_reported_again_keeps_its_time() -> None:
-    once = start_time(NOW_US + HOUR_US, None, reading())
-    assert start_time(NOW_US + HOUR_US, once, reading(now_us=NOW_US + 5_000_000)) == once
+    once = estimate_start(NOW_US + HOUR_US, None, reading())
+    assert estimate_start(NOW_US + HOUR_US, once, reading(now_us=NOW_US + 5_000_000)) == once
 
 
 @given(st.lists(st.tuples(st.integers(1, 2 * NOW_US), st.integers(0, 10**7), st.booleans()), max_size=8))
@@ -166,7 +166,7 @@
     now, known = NOW_US, None
     for reported_us, later_us, step in reports:
         now += later_us + 1
-        start = start_time(reported_us, known, reading(now_us=now, is_stepped=step))
+        start = estimate_start(reported_us, known, reading(now_us=now, clock_was_stepped=step))
         assert start.at_us <= now
         assert known is None or start.at_us > known.at_us or start == known
         known = start
@@ -182,7 +182,7 @@
     backends.apply({"revision": 2, "complete": False, "members": [{**member, "up_since_ms": bench.now // 1000}]})
     assert backends.backends["b"].endpoint.started_us == bench.now // 1000 * 1000
     steps.append(step_us)
-    bench.wait(NOTICE_US)
+    bench.wait(DISCOVERY_DELAY_US)
     reported_ms = (bench.now + step_us) // 1000  # another start, reported by a clock that is an hour off
     backends.apply({"revision": 3, "complete": False, "members": [{**member, "up_since_ms": max(1, reported_ms)}]})
     assert backends.backends["b"].endpoint.started_us == bench.now
--- a/tests/test_connection_model.py
+++ b/tests/test_connection_model.py
@@ -10,7 +10,7 @@
 
 from balancer.actions import Fail, Migrate, Reject, StartAttempt
 from balancer.events import AttemptResult
-from gradefront.core.attempt_error import AttemptPhase, Cause
+from gradefront.core.attempt_outcome import AttemptPhase, Cause
 from gradefront.core.connection import Attempt, Connection, ConnectionState
 from gradefront.core.ports import ConnectionEnd
 
@@ -46,13 +46,13 @@
 
     @rule(timeout=st.integers(50_000, 2_000_000))
     def arrives(self, timeout: int) -> None:
-        connection, client = self.bench.arrive(timeout)
+        connection, client = self.bench.accept_client(timeout)
         self.models.append(Model(connection, client, self.bench.now + timeout))
 
     @rule(n=st.integers(0), backend=st.sampled_from(["box-1", "box-2"]), timeout=st.integers(1, 900_000))
     def module_starts(self, n: int, backend: str, timeout: int) -> None:
         if model := self.pick(n):
-            self.bench.order(StartAttempt(model.connection.number, backend, timeout))
+            self.bench.run_actions(StartAttempt(model.connection.number, backend, timeout))
             if model.stage is ConnectionState.QUEUED and model.attempts < SETTINGS.max_attempts:
                 model.stage, model.attempts = ConnectionState.CONNECTING, model.attempts + 1
 
@@ -61,13 +61,13 @@
         model = self.pick(n)
         if model and model.stage is not ConnectionState.ESTABLISHED:
             number = model.connection.number
-            self.bench.order(Reject(number, 5_000) if rejects else Fail(number))
+            self.bench.run_actions(Reject(number, 5_000) if rejects else Fail(number))
             model.stage = ConnectionState.CLOSED
 
     @rule(n=st.integers(0))
     def module_migrates(self, n: int) -> None:
         if model := self.pick(n):
-            self.bench.order(Migrate(model.connection.number))
+            self.bench.run_actions(Migrate(model.connection.number))
             if model.stage is ConnectionState.ESTABLISHED:
                 assert model.client.calls[-1] == "migrate"
                 model.stage = ConnectionState.CLOSED
@@ -87,7 +87,10 @@
                 attempt.succeed("response line")
                 model.stage = ConnectionState.ESTABLISHED
 
-    @rule(n=st.integers(0), cause=st.sampled_from([Cause.BROKEN, Cause.FULL, Cause.ERROR, Cause.SENT_AWAY]))
+    @rule(
+        n=st.integers(0),
+        cause=st.sampled_from([Cause.BROKEN, Cause.REJECTED, Cause.ERROR, Cause.MIGRATED_BY_BACKEND]),
+    )
     def backend_ends(self, n: int, cause: Cause) -> None:
         model = self.pick(n)
         if model and (attempt := self.out(model)):
@@ -128,7 +131,7 @@
             ("deferred_total", "reject"),
             ("errored_total", "fail"),
         ):
-            assert counters.of_class(name, "visit-checkin") == calls.count(answer)
+            assert counters.get_for_class(name, "visit-checkin") == calls.count(answer)
         assert counters.counts["sends_total"] == self.sent
 
     @invariant()
@@ -146,7 +149,7 @@
             mine = [a for a in self.bench.attempts if a.connection is model.connection]
             assert sum(not a.is_over for a in mine) <= 1, "a hedged request"
             ends = [
-                o.attempt for o in self.bench.outcomes(model.connection) if o.result is not AttemptResult.NOT_SENT
+                o.attempt for o in self.bench.attempt_ends(model.connection) if o.result is not AttemptResult.NOT_SENT
             ]
             assert sorted(ends) == [a.number for a in mine if a.is_over], "one outcome for each attempt"
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -21,7 +21,7 @@
     MessageLatencyReport,
     Request,
 )
-from gradefront.core.attempt_error import AttemptError, AttemptPhase, Cause
+from gradefront.core.attempt_outcome import AttemptOutcome, AttemptPhase, Cause
 from gradefront.core.connect_request import ConnectRequest
 from gradefront.core.connection import ConnectionState
 from gradefront.core.message_latency import MessageLatency
@@ -83,23 +83,23 @@
     ("phase", "cause", "result"),
     [
         (AttemptPhase.CONNECTING, Cause.BROKEN, AttemptResult.CONNECT_FAILED),
-        (AttemptPhase.CONNECTING, Cause.SILENT, AttemptResult.CONNECT_FAILED),
+        (AttemptPhase.CONNECTING, Cause.TIMED_OUT, AttemptResult.CONNECT_FAILED),
         (AttemptPhase.WRITING, Cause.BROKEN, AttemptResult.CONNECT_FAILED),
         (AttemptPhase.SENT, Cause.BROKEN, AttemptResult.RESET),
-        (AttemptPhase.SENT, Cause.SILENT, AttemptResult.TIMEOUT),
-        (AttemptPhase.SENT, Cause.FULL, AttemptResult.OVERLOADED),
+        (AttemptPhase.SENT, Cause.TIMED_OUT, AttemptResult.TIMEOUT),
+        (AttemptPhase.SENT, Cause.REJECTED, AttemptResult.OVERLOADED),
         (AttemptPhase.SENT, Cause.ERROR, AttemptResult.ERROR),
         (AttemptPhase.SENT, Cause.UNREACHABLE, AttemptResult.CONNECT_FAILED),
-        (AttemptPhase.SENT, Cause.SENT_AWAY, AttemptResult.CANCELLED),
-        (AttemptPhase.UP, Cause.SERVED, AttemptResult.OK),
+        (AttemptPhase.SENT, Cause.MIGRATED_BY_BACKEND, AttemptResult.CANCELLED),
+        (AttemptPhase.UP, Cause.COMPLETED, AttemptResult.OK),
         (AttemptPhase.UP, Cause.UNREACHABLE, AttemptResult.RESET),
-        (AttemptPhase.UP, Cause.SILENT, AttemptResult.RESET),
+        (AttemptPhase.UP, Cause.TIMED_OUT, AttemptResult.RESET),
     ],
 )
 def test_attempt_error_gives_the_result_for_the_module(
     phase: AttemptPhase, cause: Cause, result: AttemptResult
 ) -> None:
-    assert AttemptError(phase, cause).result is result
+    assert AttemptOutcome(phase, cause).result is result
 
 
 def test_late_backends_are_reported_each_second_and_once_more_when_back() -> None:
@@ -116,7 +116,7 @@
 
 def test_late_messages_and_load_are_reported_to_the_module() -> None:
     bench = Bench()
-    connection, _, attempt = bench.standing()
+    connection, _, attempt = bench.establish()
     attempt.on_message_sent()
     bench.now += 40_000
     attempt.on_message_received()
@@ -128,7 +128,7 @@
 
 def test_unanswered_connection_is_failed_before_its_client_gives_up() -> None:
     bench = Bench()
-    _, client = bench.arrive(1_000_000)
+    _, client = bench.accept_client(1_000_000)
     bench.wait(1_000_000 - ANSWER_MARGIN_US - 4_000)
     assert client.calls == []
     bench.wait(ANSWER_MARGIN_US)
@@ -137,16 +137,16 @@
 
 def test_timed_out_attempt_is_cancelled_and_its_late_response_does_not_count() -> None:
     bench = Bench()
-    connection, client = bench.arrive()
-    bench.order(StartAttempt(connection.number, "box-1", 300_000))
+    connection, client = bench.accept_client()
+    bench.run_actions(StartAttempt(connection.number, "box-1", 300_000))
     first = bench.attempts[0]
     first.advance(AttemptPhase.WRITING)
     first.advance(AttemptPhase.SENT)
     bench.wait(320_000)
-    assert [o.result for o in bench.outcomes(connection)] == [AttemptResult.TIMEOUT] and len(
+    assert [o.result for o in bench.attempt_ends(connection)] == [AttemptResult.TIMEOUT] and len(
         bench.upstreams[0].closed
     ) == 1
-    bench.order(StartAttempt(connection.number, "box-2", 300_000))
+    bench.run_actions(StartAttempt(connection.number, "box-2", 300_000))
     first.succeed("late")
     assert client.calls == [] and connection.state is ConnectionState.CONNECTING
     bench.attempts[1].succeed("response line")
@@ -155,17 +155,17 @@
 
 def test_connect_has_its_own_timeout() -> None:
     bench = Bench()
-    connection, _ = bench.arrive()
-    bench.order(StartAttempt(connection.number, "box-1", 900_000))
+    connection, _ = bench.accept_client()
+    bench.run_actions(StartAttempt(connection.number, "box-1", 900_000))
     bench.wait(160_000)
-    assert [o.result for o in bench.outcomes(connection)] == [AttemptResult.CONNECT_FAILED]
+    assert [o.result for o in bench.attempt_ends(connection)] == [AttemptResult.CONNECT_FAILED]
 
 
 def test_late_connect_sends_nothing_to_a_backend_that_drains_meanwhile() -> None:
     # Guards rule 3: a connect may take long, and the first byte is what counts.
     bench = Bench()
-    connection, _ = bench.arrive()
-    bench.order(StartAttempt(connection.number, "box-1", 900_000))
+    connection, _ = bench.accept_client()
+    bench.run_actions(StartAttempt(connection.number, "box-1", 900_000))
     assert bench.attempts[0].send_veto() is None
     bench.core.on_endpoint_list(EndpointListUpdate((Endpoint("box-1", BackendState.DRAINING),), is_complete=False))
     assert bench.attempts[0].send_veto() is Cause.BROKEN
@@ -197,14 +197,14 @@
 
 def test_silent_backend_is_left_soon_and_an_idle_one_is_not() -> None:
     bench = Bench()
-    idle, idle_client, _ = bench.standing("box-2")
-    silent, client, attempt = bench.standing("box-1")
+    idle, idle_client, _ = bench.establish("box-2")
+    silent, client, attempt = bench.establish("box-1")
     attempt.on_message_sent()
     bench.wait(1_400_000)
     assert client.calls == ["establish"]
     bench.wait(500_000)
     assert client.calls == ["establish", "migrate"] and idle_client.calls == ["establish"]
-    assert bench.outcomes(silent)[-1].result is AttemptResult.RESET and idle.state is ConnectionState.ESTABLISHED
+    assert bench.attempt_ends(silent)[-1].result is AttemptResult.RESET and idle.state is ConnectionState.ESTABLISHED
 
 
 def test_a_vanished_machine_is_found_by_a_connect_check_and_all_its_connections_migrate_at_once() -> None:
@@ -213,7 +213,7 @@
     bench.core.on_endpoint_list(
         EndpointListUpdate(tuple(Endpoint(f"box-{n}", zone=zone) for n, zone in enumerate((1, 1, 1, 1, 1, 1, 2))))
     )
-    clients = [bench.standing(f"box-{n % 7}")[1:] for n in range(14)]
+    clients = [bench.establish(f"box-{n % 7}")[1:] for n in range(14)]
     clients[0][1].on_message_sent()
     bench.wait(150_000)
     assert not bench.connect_checks, "a pause of a sound machine is no sign"
@@ -235,7 +235,7 @@
 
 def test_a_backend_that_replies_or_opens_is_not_checked_again_and_again() -> None:
     bench = Bench()
-    _, client, attempt = bench.standing()
+    _, client, attempt = bench.establish()
     for _ in range(20):  # answers within its aims
         attempt.on_message_sent()
         bench.wait(90_000)
@@ -252,7 +252,7 @@
 def test_a_backend_that_opens_owes_nothing_more_once_its_client_has_left() -> None:
     """Guards against a connect check a second for ever: a client that leaves with a message out is owed no reply."""
     bench = Bench()
-    connection, _, attempt = bench.standing()
+    connection, _, attempt = bench.establish()
     attempt.on_message_sent()
     bench.core.on_client_closed(connection, ConnectionEnd.ORDERLY)
     for _ in range(50):
@@ -265,20 +265,20 @@
 
 def test_one_connection_that_falls_silent_alone_is_no_fault_of_its_backend() -> None:
     bench = Bench()
-    _, other, sound = bench.standing()
-    silent, client, attempt = bench.standing()
+    _, other, sound = bench.establish()
+    silent, client, attempt = bench.establish()
     attempt.on_message_sent()
     for _ in range(4):
         bench.wait(500_000)
         sound.on_message_sent()
         sound.on_message_received()
     assert client.calls == ["establish", "migrate"] and other.calls == ["establish"]
-    assert bench.outcomes(silent)[-1].result is AttemptResult.CANCELLED
+    assert bench.attempt_ends(silent)[-1].result is AttemptResult.CANCELLED
 
 
 def test_a_relay_that_was_asleep_itself_takes_no_backend_for_silent() -> None:
     bench = Bench()
-    _, client, attempt = bench.standing()
+    _, client, attempt = bench.establish()
     attempt.on_message_sent()
     bench.now += 3_000_000  # no turn for so long; the reply has come meanwhile, and is read after the look
     bench.core.run_once()
@@ -290,8 +290,8 @@
 def test_only_a_connection_with_nothing_passing_either_way_is_ended_as_its_device_is_gone() -> None:
     # Guards QUIC connections, whose messages nobody here can tell apart: they were all moved after two minutes.
     bench = Bench()
-    _, gone, _ = bench.standing()
-    _, used, attempt = bench.standing("box-2")
+    _, gone, _ = bench.establish()
+    _, used, attempt = bench.establish("box-2")
     for _ in range(70):
         attempt.on_activity()
         bench.wait(2_000_000)
@@ -300,9 +300,9 @@
 
 def test_an_exception_of_the_module_stops_at_its_connection() -> None:
     bench = Bench()
-    connection, client = bench.arrive()
-    other, other_client, _ = bench.standing()
-    bench.broken = True
+    connection, client = bench.accept_client()
+    other, other_client, _ = bench.establish()
+    bench.handle_raises = True
     bench.core.enqueue(AttemptEnded(connection.number, 0, "box-1", AttemptResult.OVERLOADED))
     bench.core.run_once()
     assert (
@@ -315,14 +315,14 @@
 
 def test_a_leaving_relay_answers_on_and_spreads_its_migrations() -> None:
     bench = Bench()
-    standing = [bench.standing()[1] for _ in range(40)]
+    standing = [bench.establish()[1] for _ in range(40)]
     done = list[int]()
     began = bench.now
     bench.core.lifecycle.leave(lambda: done.append(bench.now))
-    late, late_client = bench.arrive()
-    bench.order(StartAttempt(late.number, "box-1", 900_000))
+    late, late_client = bench.accept_client()
+    bench.run_actions(StartAttempt(late.number, "box-1", 900_000))
     bench.attempts[-1].succeed("response line")
-    _, waiting = bench.arrive(4_000_000)
+    _, waiting = bench.accept_client(4_000_000)
     bench.wait(1_150_000)  # SIGKILL may come 2.7 s after SIGTERM where the longest deadline is 2 s
     assert all(c.calls == ["establish"] for c in standing), "served as long as may be: another relay may be down"
     bench.wait(500_000)
@@ -336,11 +336,11 @@
 
 def test_a_leaving_relay_migrates_off_a_ready_backend_at_the_end_only_and_off_a_draining_one_at_once() -> None:
     bench = Bench()
-    ready, ready_client, _ = bench.standing("box-1")
-    draining, draining_client, _ = bench.standing("box-2")
+    ready, ready_client, _ = bench.establish("box-1")
+    draining, draining_client, _ = bench.establish("box-2")
     bench.core.lifecycle.leave(lambda: None)
     bench.core.on_endpoint_list(EndpointListUpdate((Endpoint("box-2", BackendState.DRAINING),), False))
-    bench.order(Migrate(ready.number), Migrate(draining.number))
+    bench.run_actions(Migrate(ready.number), Migrate(draining.number))
     assert ready_client.calls == ["establish"] and draining_client.calls == ["establish", "migrate"]
     bench.wait(2_200_000)
     assert ready_client.calls == ["establish", "migrate"]
@@ -348,7 +348,7 @@
 
 def test_a_backend_that_ends_a_connection_ends_its_client_the_same_way() -> None:
     bench = Bench()
-    connection, client, attempt = bench.standing()
+    connection, client, attempt = bench.establish()
     attempt.end(Cause.BROKEN, ConnectionEnd.BROKEN)
     bench.core.run_once()
-    assert client.calls == ["establish", "close"] and bench.outcomes(connection)[-1].is_final
+    assert client.calls == ["establish", "close"] and bench.attempt_ends(connection)[-1].is_final
--- a/tests/test_lifecycle_state.py
+++ b/tests/test_lifecycle_state.py
@@ -45,8 +45,8 @@
 
 def test_a_drain_is_spread_over_its_time_and_answers_whoever_waits() -> None:
     bench = Bench()
-    clients = [bench.standing()[1] for _ in range(30)]
-    _, waiting = bench.arrive(4_800_000)
+    clients = [bench.establish()[1] for _ in range(30)]
+    _, waiting = bench.accept_client(4_800_000)
     assert bench.core.lifecycle.lame_duck() and not bench.core.lifecycle.accepts_clients
     migrated = []
     for _ in range(40):
@@ -55,14 +55,14 @@
     assert migrated[3] == 0, "the load balancer still sends clients for a moment"
     assert all(b - a <= 3 for a, b in zip(migrated, migrated[1:], strict=False)), "no herd"
     assert migrated[-1] == 30 and waiting.calls == ["reject"]
-    _, late, _ = bench.standing()
+    _, late, _ = bench.establish()
     bench.wait(100_000)
     assert late.calls == ["establish", "migrate"], "who comes all the same is served, then migrated"
 
 
 def test_after_the_end_of_a_drain_nobody_is_moved_on_its_account() -> None:
     bench = Bench()
-    clients = [bench.standing()[1] for _ in range(10)]
+    clients = [bench.establish()[1] for _ in range(10)]
     bench.core.lifecycle.lame_duck()
     bench.wait(1_000_000)
     assert bench.core.lifecycle.rejoin() and bench.core.lifecycle.accepts_clients
@@ -108,7 +108,7 @@
     @rule()
     def a_connection_is_established(self) -> None:
         if not self.gone:
-            self.stood.append((self.bench.now, self.bench.standing()[1]))
+            self.stood.append((self.bench.now, self.bench.establish()[1]))
 
     @rule(us=st.integers(4_000, 1_500_000))
     def time_passes(self, us: int) -> None:
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -218,7 +218,7 @@
     loop.until(lambda: loop.wait(4_000) or backend.called)
     (connection,) = loop.core.connections.values()
 
-    def breaks(how: object) -> None:
+    def breaks(ending: object) -> None:
         raise OSError(errno.ENOMEM, "epoll_ctl")
 
     assert connection.attempt and connection.attempt.upstream
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -82,8 +82,8 @@
 def backend(parts: list[bytes]) -> object:
     """A backend's response, and all that follows."""
     bench = Bench()
-    connection, client_side = bench.arrive()
-    bench.order(StartAttempt(connection.number, "box-1", 1_000_000))
+    connection, client_side = bench.accept_client()
+    bench.run_actions(StartAttempt(connection.number, "box-1", 1_000_000))
     attempt = bench.attempts[-1]
     upstream = LineBackendConnection(attempt, FirstLine(FIRST[:-2], b"", False), ConnectionCloser(bench.core, 8))
     line, wire, forwarded = cast(Any, upstream.buildProtocol(None)), Piped(), list[bytes]()
@@ -95,7 +95,13 @@
     line.connectionLost(DONE)
     bench.core.run_once()
     loads = [e.load for e in bench.events if isinstance(e, ConnectionLoadReport)]
-    return wire.written, client_side.calls, b"".join(forwarded), loads, [o.result for o in bench.outcomes(connection)]
+    return (
+        wire.written,
+        client_side.calls,
+        b"".join(forwarded),
+        loads,
+        [o.result for o in bench.attempt_ends(connection)],
+    )
 
 
 def health_check(parts: list[bytes]) -> object:
@@ -178,7 +184,7 @@
     line.makeConnection(wire)
     line.dataReceived(FIRST)
     line.connection.client.establish = lambda *_: None
-    bench.order(StartAttempt(line.connection.number, "box-1", 1_000_000))
+    bench.run_actions(StartAttempt(line.connection.number, "box-1", 1_000_000))
     bench.attempts[-1].succeed(b"UP r-1")
     line.dataReceived(b"half a li")
     bench.core.lifecycle.lame_duck()
--- a/tests/test_pre_request.py
+++ b/tests/test_pre_request.py
@@ -117,7 +117,7 @@
     assert early.wire.written == b"ERR\r\n" and early.wire.ended
     reaching = listener.connect()
     reaching.send(listener.request_line())
-    listener.bench.order(StartAttempt(2, "box-1", 1_000_000))
+    listener.bench.run_actions(StartAttempt(2, "box-1", 1_000_000))
     (upstream,) = listener.bench.upstreams
     reaching.send(b"hello\r\n")
     assert reaching.wire.written == b"ERR\r\n" and upstream.closed and not listener.bench.core.connections
@@ -149,7 +149,7 @@
             usual.append(listener.connect())
             usual[-1].send(listener.request_line())
             connection = listener.bench.core.connections[max(listener.bench.core.connections)]
-            listener.bench.order(StartAttempt(connection.number, "box-1", 1_000_000))
+            listener.bench.run_actions(StartAttempt(connection.number, "box-1", 1_000_000))
         for client in [m for m in silent if m.wire.ended]:
             silent.remove(client)
             client.leave()
--- a/tests/test_request_log.py
+++ b/tests/test_request_log.py
@@ -5,7 +5,7 @@
 import pytest
 
 from balancer.actions import NotSentReason, Reject, SlowStartAllowance, StartAttempt
-from gradefront.core.attempt_error import Cause
+from gradefront.core.attempt_outcome import Cause
 
 from .helper import Bench
 
@@ -17,10 +17,10 @@
 ) -> None:
     caplog.set_level("INFO")
     bench = Bench()
-    connection, _ = bench.arrive()
-    bench.order(StartAttempt(connection.number, "box-1", 900_000, ALLOWANCE))
-    bench.attempts[0].end(Cause.FULL)
-    bench.order(StartAttempt(connection.number, "box-2", 900_000))
+    connection, _ = bench.accept_client()
+    bench.run_actions(StartAttempt(connection.number, "box-1", 900_000, ALLOWANCE))
+    bench.attempts[0].end(Cause.REJECTED)
+    bench.run_actions(StartAttempt(connection.number, "box-2", 900_000))
     lines = [record.getMessage() for record in caplog.records if record.name == "gradefront.request"]
     assert len(lines) == 2, "none for a warm backend"
     assert (
@@ -36,11 +36,11 @@
     caplog.set_level("INFO")
     bench = Bench()
     for _ in range(5):
-        connection, _ = bench.arrive()
-        bench.order(Reject(connection.number, 0, NotSentReason.SLOW_START))
+        connection, _ = bench.accept_client()
+        bench.run_actions(Reject(connection.number, 0, NotSentReason.SLOW_START))
     bench.wait(1_100_000)
-    connection, _ = bench.arrive()
-    bench.order(Reject(connection.number, 0, NotSentReason.SLOW_START))
+    connection, _ = bench.accept_client()
+    bench.run_actions(Reject(connection.number, 0, NotSentReason.SLOW_START))
     lines = [record.getMessage() for record in caplog.records if record.name == "gradefront.request"]
     assert len(lines) == 2 and lines[1].endswith("(and 4 more)")
     assert bench.core.counters.counts["refused: only servers in slow start were left, which could take no more"] == 6
--- a/tests/test_send_slot_end.py
+++ b/tests/test_send_slot_end.py
@@ -10,7 +10,7 @@
 from balancer.actions import SetTimer, SlowStartAllowance, StartAttempt
 from balancer.events import AttemptEnded, AttemptResult, Endpoint, EndpointListUpdate, Request, TimerFired
 from balancer.settings import Settings
-from gradefront.core.attempt_error import AttemptPhase, Cause
+from gradefront.core.attempt_outcome import AttemptPhase, Cause
 from lab.stand_ins import settings
 
 from .helper import Bench
@@ -23,9 +23,9 @@
 
 def test_a_request_is_written_until_the_end_of_its_slot_and_not_after_it() -> None:
     bench = Bench()
-    connection, _ = bench.arrive()
+    connection, _ = bench.accept_client()
     end_us = bench.now + SLOT_US
-    bench.order(StartAttempt(connection.number, "box-1", 900_000, ALLOWANCE, end_us))
+    bench.run_actions(StartAttempt(connection.number, "box-1", 900_000, ALLOWANCE, end_us))
     (attempt,) = bench.attempts
     bench.now = end_us - 1
     assert attempt.send_veto() is None
@@ -37,12 +37,12 @@
 
 def test_the_end_of_a_slot_is_reported_as_a_request_that_was_never_executed() -> None:
     bench = Bench()
-    connection, client = bench.arrive()
-    bench.order(StartAttempt(connection.number, "box-1", 900_000, ALLOWANCE, bench.now + SLOT_US))
+    connection, client = bench.accept_client()
+    bench.run_actions(StartAttempt(connection.number, "box-1", 900_000, ALLOWANCE, bench.now + SLOT_US))
     bench.attempts[0].end(Cause.SLOT_ENDED)
     bench.core.run_once()
-    assert [outcome.result for outcome in bench.outcomes(connection)] == [AttemptResult.SLOT_ENDED]
-    bench.order(StartAttempt(connection.number, "box-2", 900_000))
+    assert [outcome.result for outcome in bench.attempt_ends(connection)] == [AttemptResult.SLOT_ENDED]
+    bench.run_actions(StartAttempt(connection.number, "box-2", 900_000))
     assert len(bench.attempts) == 2 and not client.calls
 
 
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -27,7 +27,7 @@
 from balancer.settings import Idempotency
 from gradefront.config import SettingError, missing_key, parse
 from gradefront.core import request_classes
-from gradefront.core.attempt_error import Cause
+from gradefront.core.attempt_outcome import Cause
 from gradefront.core.request_classes import RequestClassTable, TooManyClassesError
 from lab.stand_ins import Discovery, settings, soon
 
@@ -95,27 +95,29 @@
 def test_a_class_keeps_its_number_while_a_connection_holds_it(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(request_classes, "MAX_CLASSES", 3)
     slow = replace(CLASS, deadline_us=9)
-    book = RequestClassTable().extended(("a", "b"), (CLASS, CLASS), ())
-    book = book.extended(("b", "a"), (CLASS, slow), {0, 1})
-    assert book.numbers() == {"b": 1, "a": 2} and book.rules == (CLASS, CLASS, slow)
-    assert book.extended(("a", "b"), (CLASS, CLASS), ()).numbers() == {"a": 0, "b": 1}, "told again: as before"
-    assert book.extended(("c", "b"), (CLASS, CLASS), {1, 2}).names == ("c", "b", "a"), "nobody holds the old a"
+    book = RequestClassTable().with_classes(("a", "b"), (CLASS, CLASS), ())
+    book = book.with_classes(("b", "a"), (CLASS, slow), {0, 1})
+    assert book.active_numbers_by_name() == {"b": 1, "a": 2} and book.rules == (CLASS, CLASS, slow)
+    assert book.with_classes(("a", "b"), (CLASS, CLASS), ()).active_numbers_by_name() == {"a": 0, "b": 1}, (
+        "told again: as before"
+    )
+    assert book.with_classes(("c", "b"), (CLASS, CLASS), {1, 2}).names == ("c", "b", "a"), "nobody holds the old a"
     with pytest.raises(TooManyClassesError):
-        book.extended(("c", "d"), (CLASS, CLASS), {0, 1, 2})
+        book.with_classes(("c", "d"), (CLASS, CLASS), {0, 1, 2})
 
 
 def test_open_connections_keep_the_rules_in_force_at_their_start() -> None:
     bench = Bench()
-    old, _ = bench.arrive()
+    old, _ = bench.accept_client()
     changed = replace(SETTINGS, classes=(replace(CLASS, idempotency=Idempotency.NOT_IDEMPOTENT),), max_attempts=1)
     book, merged = bench.core.prepare_settings(changed, ("visit-checkin",))
-    assert book.numbers() == {"visit-checkin": 1} and merged.classes[0] == CLASS
+    assert book.active_numbers_by_name() == {"visit-checkin": 1} and merged.classes[0] == CLASS
     bench.core.apply_settings(book, merged, True)
-    new, client = bench.arrive()
+    new, client = bench.accept_client()
     assert isinstance(bench.events[-2], SettingsChanged), "told before the first request under them"
     for connection, most in ((old, 4), (new, 1)):
         for _ in range(6):
-            bench.order(StartAttempt(connection.number, "box-1", 500_000))
+            bench.run_actions(StartAttempt(connection.number, "box-1", 500_000))
             if not bench.attempts[-1].is_over:
                 bench.attempts[-1].end(Cause.BROKEN)
         assert connection.attempts == most
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -59,7 +59,7 @@
 
 def test_a_replaced_process_migrates_its_clients_from_the_start() -> None:
     bench = Bench()
-    clients = [bench.standing()[1] for _ in range(30)]
+    clients = [bench.establish()[1] for _ in range(30)]
     bench.core.lifecycle.leave(lambda: None, at_once=True)
     migrated = []
     for _ in range(22):
