--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -220,7 +220,7 @@
     loop.until(lambda: loop.wait(4_000) or backend.has_pending)
     (connection,) = loop.core.connections.values()
 
-    def breaks(how: object) -> None:
+    def breaks(ending: object) -> None:
         raise OSError(errno.ENOMEM, "epoll_ctl")
 
     assert connection.attempt and connection.attempt.upstream
