--- a/gradefront/cli/check.py
+++ b/gradefront/cli/check.py
@@ -8,8 +8,8 @@
 import click
 
 from gradefront.config import Config, ConfigError, load
-from gradefront.fleet.switch import FILE as FLEET_FILE
-from gradefront.fleet.switch import FORBIDDEN, allowed
+from gradefront.fleet.switch import DEFAULT_FILE as FLEET_FILE
+from gradefront.fleet.switch import PEERS_NOT_PERMITTED, peers_permitted
 from gradefront.quic import FILE
 from gradefront.settings.files import read_object
 
@@ -100,6 +100,6 @@
         from gradefront.fleet.settings import parse
 
         peers = parse(document, relay.name, path).peers
-        if document.get("on") and not allowed(relay):
-            raise ConfigError(f"{path.name}: {FORBIDDEN}")
+        if document.get("on") and not peers_permitted(relay):
+            raise ConfigError(f"{path.name}: {PEERS_NOT_PERMITTED}")
         click.echo(f"{path.name}: good; {'on' if document.get('on') else 'off'}, {len(peers)} peers")
--- a/gradefront/fleet/settings.py
+++ b/gradefront/fleet/settings.py
@@ -46,7 +46,7 @@
     listen: tuple[str, int]
     peers: dict[str, tuple[str, int]]
     keys: dict[int, bytes]
-    newest: int
+    sealing_key_id: int
     period_us: int
 
 
--- a/gradefront/fleet/swim.py
+++ b/gradefront/fleet/swim.py
@@ -119,7 +119,7 @@
         return [self._gossip_message(TABLE, m.record.name, now_us) for m in self.table.present()]
 
     @property
-    def doubts(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether this relay hears from fewer than half of the members that it should hear from.
 
         The expected number follows from two contacts a period, with its target and with whoever probes it, at random.
@@ -250,7 +250,7 @@
 
     def _expire_suspicions(self, now_us: int) -> None:
         """Declares dead whoever did not refute a suspicion in time."""
-        timeout_us = SUSPICION_TIMEOUT_PERIODS * self.period_us * (SELF_DOUBT_FACTOR if self.doubts else 1.0)
+        timeout_us = SUSPICION_TIMEOUT_PERIODS * self.period_us * (SELF_DOUBT_FACTOR if self.is_isolated else 1.0)
         for member in list(self.table.members.values()):
             if member.record.state is State.SUSPECT and now_us - member.state_changed_us > timeout_us:
                 self._declare(member, State.DEAD, now_us)
--- a/gradefront/fleet/switch.py
+++ b/gradefront/fleet/switch.py
@@ -12,16 +12,16 @@
 if TYPE_CHECKING:
     from .settings import FleetConfig
 
-FORBIDDEN = "on: true: the settings don't let relays talk to each other (permissions.peers)"
-FILE = Path(__file__).resolve().parent.parent.parent / "deploy" / "fleet.json"
+PEERS_NOT_PERMITTED = "on: true: the settings don't let relays talk to each other (permissions.peers)"
+DEFAULT_FILE = Path(__file__).resolve().parent.parent.parent / "deploy" / "fleet.json"
 
 
 def fleet_file() -> Path:
     """The path of the fleet's file: GRADEFRONT_FLEET, or the one in deploy/."""
-    return Path(os.environ.get("GRADEFRONT_FLEET", FILE))
+    return Path(os.environ.get("GRADEFRONT_FLEET", DEFAULT_FILE))
 
 
-def allowed(config: Config) -> bool:
+def peers_permitted(config: Config) -> bool:
     """Whether the platform lets relays talk to each other."""
     permissions = config.document["settings"].get("permissions") or {}
     return bool(permissions.get("peers"))
@@ -35,8 +35,8 @@
     content = read_object(path)
     if not content or not content.get("on"):
         return None
-    if not allowed(config):
-        raise ConfigError(f"{path.name}: {FORBIDDEN}")
+    if not peers_permitted(config):
+        raise ConfigError(f"{path.name}: {PEERS_NOT_PERMITTED}")
     from .settings import parse
 
     return parse(content, config.name, path)
--- a/gradefront/fleet/wire.py
+++ b/gradefront/fleet/wire.py
@@ -116,12 +116,15 @@
 
 
 class Sealer:
-    """Seals and opens datagrams of the relay `own_name`. `keys` by id open them; the one of id `newest` seals."""
+    """Seals and opens the datagrams of the relay `own_name`.
 
-    def __init__(self, own_name: str, keys: dict[int, bytes], newest: int) -> None:
+    `keys` maps ids to keys: each of them opens datagrams, the one with the id `sealing_key_id` seals them.
+    """
+
+    def __init__(self, own_name: str, keys: dict[int, bytes], sealing_key_id: int) -> None:
         self.own_name = own_name
         self.keys = keys
-        self.newest = newest
+        self.sealing_key_id = sealing_key_id
         self.encode = msgspec.msgpack.Encoder().encode
         self.decode = msgspec.msgpack.Decoder(Message).decode
         # By sender and boot id: the highest number, and a bit for each number of the window.
@@ -129,8 +132,8 @@
 
     def seal(self, message: Message) -> bytes:
         """The datagram of a message."""
-        header, body = MAGIC + bytes((VERSION, self.newest)), self.encode(message)
-        return header + self._mac(self.newest, header + body) + body
+        header, body = MAGIC + bytes((VERSION, self.sealing_key_id)), self.encode(message)
+        return header + self._mac(self.sealing_key_id, header + body) + body
 
     def open(self, datagram: bytes) -> Message:
         """The message in a datagram. Raises DatagramRejectedError."""
--- a/gradefront/net/fleet_port.py
+++ b/gradefront/net/fleet_port.py
@@ -30,7 +30,7 @@
     def __init__(self, config: FleetConfig, core: RelayCore) -> None:
         self.config = config
         self.core = core
-        self.sealer = Sealer(config.name, config.keys, config.newest)
+        self.sealer = Sealer(config.name, config.keys, config.sealing_key_id)
         self.rejection_logged_us = self.state_logs_since_us = self.state_logs = 0
         self.yield_logged = False
         self.swim: Swim | None = None
@@ -86,7 +86,10 @@
         if not self.swim:
             return {}
         states = [m.record.state for m in self.swim.table.members.values()]
-        return {**{f"fleet_{s.name.lower()}": states.count(s) for s in State}, "fleet_doubts": int(self.swim.doubts)}
+        return {
+            **{f"fleet_{s.name.lower()}": states.count(s) for s in State},
+            "fleet_doubts": int(self.swim.is_isolated),
+        }
 
     def _send(self, messages: Iterable[Message]) -> None:
         assert self.swim and self.transport
--- a/gradefront/quic/config.py
+++ b/gradefront/quic/config.py
@@ -170,7 +170,7 @@
 
 
 def _limits(file: Any) -> Any:
-    from gradefront.routing.admission import Limits, Prove
+    from gradefront.routing.admission import Limits, ProofMode
     from gradefront.routing.networks import NetworkSet, Prefixes
 
     given = file.limits
@@ -188,7 +188,7 @@
     except ValueError as error:
         raise ValueError(f"limits.{error}") from None
     return Limits(
-        prove=Prove(file.retry.mode),
+        proof_mode=ProofMode(file.retry.mode),
         pressure=given.pressure,
         address_rate=given.address_rate,
         address_burst=given.address_burst,
--- a/gradefront/quic/front.py
+++ b/gradefront/quic/front.py
@@ -127,15 +127,15 @@
         if proven and shown and shown.number in self.used_tokens:
             self.drop("token_replayed")
             return
-        verdict, pause_us = self.admission.judge(now, client[0], an_id, proven)
-        if verdict is Verdict.TAKE:
+        verdict, pause_us = self.admission.decide(now, client[0], an_id, proven)
+        if verdict is Verdict.ADMIT:
             self._accept(listener, packets, datagram, client, shown if proven else None)
-        elif verdict is Verdict.PROVE and self.mint and self.retries.take(now):
+        elif verdict is Verdict.REQUIRE_PROOF and self.mint and self.retries.take(now):
             self.core.counters.add("quic_retries")
             new_id = bytes([UNROUTABLE << 5]) + os.urandom(LEAST_ID)  # names no backend, whatever it is taken for
             token = self.mint.make(client[:2], an_id, new_id, now)
             listener.reply(make_retry(first.version, an_id, first.from_id, new_id, token), client)
-        elif verdict is Verdict.LATER:
+        elif verdict is Verdict.REJECT:
             self.core.counters.add("quic_refused_at_door")
             answer = close_initial(first.version, an_id, first.from_id, busy(pause_us))
             self.answer(an_id, answer, min(pause_us, ANSWERED_US))
@@ -162,7 +162,7 @@
     def _bad_token(self, listener: Listener, first: Packet, client: Address, standing: Standing, now: int) -> None:
         """RFC 9000 8.1.2: a client whose Retry token isn't good is told, rather than left to time out."""
         self.drop(f"token_{standing.value}")
-        if self.admission.refusals.take(now):
+        if self.admission.rejections.take(now):
             listener.reply(close_initial(first.version, first.to_id, first.from_id, "", INVALID_TOKEN), client)
 
     def _open(self, packet: Packet, first_id: bytes) -> Opened | None:
@@ -187,10 +187,10 @@
         self, listener: Listener, packets: list[Packet], opened: Opened, datagram: bytes, client: Address
     ) -> QuicClientConnection:
         first = packets[0]
-        network = self.quic.limits.prefixes.of(client[0])
+        network = self.quic.limits.prefixes.network_of(client[0])
         owner = QuicClientConnection(self, listener, client, first.to_id, first.from_id, first.version, network)
         owner.waits = True
-        self.admission.enter(network)
+        self.admission.add_pending(network)
         self.connections[owner] = None
         owner.kept.append(datagram)
         if self.quic.class_of_protocol or self.quic.class_of_name:
--- a/gradefront/quic/tables.py
+++ b/gradefront/quic/tables.py
@@ -77,7 +77,7 @@
         self.admission = admission
         for owner in self.connections:
             if owner.waits:
-                self.admission.enter(owner.network)
+                self.admission.add_pending(owner.network)
         self.mint = None
         if quic.token_keys:
             self.mint = TokenMint(quic.token_keys, quic.newest_token_key, quic.token_life_us)
@@ -230,7 +230,7 @@
         """A connection stands, or is over: it waits no more."""
         if owner.waits:
             owner.waits = False
-            self.admission.leave(owner.network)
+            self.admission.remove_pending(owner.network)
         if not owner.confirmed and owner in self.connections:
             self.unconfirmed[owner] = None
 
--- a/gradefront/routing/admission.py
+++ b/gradefront/routing/admission.py
@@ -31,15 +31,15 @@
 class Verdict(Enum):
     """What becomes of a fresh request."""
 
-    TAKE = "take"
-    PROVE = "prove"  # ask for a proof of address
-    AGAIN = "again"  # no answer: a client repeats itself, and is admitted then
-    LATER = "later"  # reject, with a Retry-After
+    ADMIT = "take"
+    REQUIRE_PROOF = "prove"  # ask for a proof of address
+    AWAIT_REPEAT = "again"  # no answer: a client repeats itself, and is admitted then
+    REJECT = "later"  # reject, with a Retry-After
     DENY = "deny"  # no answer: this network is denied
     DROP = "drop"  # no answer: over the rate, even that of rejections
 
 
-class Prove(Enum):
+class ProofMode(Enum):
     """When a proof of address is asked for."""
 
     NEVER = "never"
@@ -51,7 +51,7 @@
 class Limits:
     """What a listener admits. Rates are requests a second."""
 
-    prove: Prove = Prove.NEVER
+    proof_mode: ProofMode = ProofMode.NEVER
     pressure: float = 200.0  # fresh requests a second, from which on the listener is under pressure
     address_rate: float = 100.0
     address_burst: float = 1_000.0
@@ -74,12 +74,12 @@
         self.addresses = BucketTable(limits.address_rate, limits.address_burst)
         self.networks = BucketTable(limits.network_rate, limits.network_burst)
         self.unknown = Bucket(limits.unknown_rate, max(1.0, limits.unknown_rate / 4), now_us)
-        self.refusals = Bucket(limits.refusal_rate, max(1.0, limits.refusal_rate / 2), now_us)
+        self.rejections = Bucket(limits.refusal_rate, max(1.0, limits.refusal_rate / 2), now_us)
         self.cpu = Bucket(limits.cpu_share * 1e6, limits.cpu_share * 250_000, now_us)  # microseconds
         self.proven: OrderedDict[str, int] = OrderedDict()
         self.sights: list[dict[bytes, int]] = [{}, {}]
         self.sights_rotated_us = now_us
-        self.waiting: Counter[bytes] = Counter()  # by network; no more entries than may wait
+        self.pending: Counter[bytes] = Counter()  # by network; no more entries than may wait
         self.window_count = 0
         self.window_start_us = now_us
         self.calm_since_us = now_us
@@ -87,8 +87,8 @@
 
     # ---- what a fresh request gets
 
-    def judge(self, now_us: int, host: str, request: bytes, proven: bool) -> tuple[Verdict, int]:
-        """What becomes of a request from this address, and for `LATER` the Retry-After in microseconds.
+    def decide(self, now_us: int, host: str, request: bytes, proven: bool) -> tuple[Verdict, int]:
+        """What becomes of a request from this address, and for `REJECT` the Retry-After in microseconds.
 
         `request` distinguishes one request of a sender from another; `proven`: it came with a sound proof of address.
         """
@@ -99,30 +99,35 @@
         pressure = self.under_pressure
         trusted = proven or self.is_proven(host)
         has_token = self.addresses.take(host, now_us) if trusted or not pressure else False
-        if not proven and (limits.prove is Prove.ALWAYS or limits.prove is Prove.AUTO and pressure and not has_token):
-            return Verdict.PROVE, 0
+        if not proven and (
+            limits.proof_mode is ProofMode.ALWAYS
+            or limits.proof_mode is ProofMode.AUTO
+            and pressure
+            and not has_token
+        ):
+            return Verdict.REQUIRE_PROOF, 0
         if pressure and not proven and not has_token:
             # An unknown sender, or a known one who floods, or in whose name someone does.
             if not self._seen_before(now_us, host, request):
-                return Verdict.AGAIN, 0
+                return Verdict.AWAIT_REPEAT, 0
             if not self.unknown.take(now_us):
                 return Verdict.DROP, 0
         elif not has_token:
             return self._reject(now_us, trusted, self.addresses.wait_us(host, now_us))
-        network = limits.prefixes.of(host)
+        network = limits.prefixes.network_of(host)
         if not self.has_capacity(network):
             return self._reject(now_us, trusted, NO_CAPACITY_RETRY_AFTER_US)
         if not self.networks.take(network, now_us):
             return self._reject(now_us, trusted, self.networks.wait_us(network, now_us))
         if self.cpu.level(now_us) <= 0:
             return self._reject(now_us, trusted, self.cpu.wait_us(now_us))
-        return Verdict.TAKE, 0
+        return Verdict.ADMIT, 0
 
     def _reject(self, now_us: int, is_known: bool, retry_after_us: int) -> tuple[Verdict, int]:
         """A rejection costs a packet too: unknown senders get none under pressure."""
-        if self.under_pressure and not is_known or not self.refusals.take(now_us):
+        if self.under_pressure and not is_known or not self.rejections.take(now_us):
             return Verdict.DROP, 0
-        return Verdict.LATER, max(MIN_RETRY_AFTER_US, retry_after_us)
+        return Verdict.REJECT, max(MIN_RETRY_AFTER_US, retry_after_us)
 
     # ---- pressure, with hysteresis
 
@@ -172,18 +177,18 @@
 
     def has_capacity(self, network: bytes) -> bool:
         """Whether one more request of this network may wait: while half is free any may, then each its share."""
-        most, waiting = self.limits.most_waiting, sum(self.waiting.values())
+        most, waiting = self.limits.most_waiting, sum(self.pending.values())
         if waiting >= most:
             return False
-        share = most // (len(self.waiting) + (network not in self.waiting) + 1)
-        return waiting < most // 2 or self.waiting[network] < max(1, share)
+        share = most // (len(self.pending) + (network not in self.pending) + 1)
+        return waiting < most // 2 or self.pending[network] < max(1, share)
 
-    def enter(self, network: bytes) -> None:
+    def add_pending(self, network: bytes) -> None:
         """A request of this network begins to wait."""
-        self.waiting[network] += 1
+        self.pending[network] += 1
 
-    def leave(self, network: bytes) -> None:
+    def remove_pending(self, network: bytes) -> None:
         """A request of this network waits no more."""
-        self.waiting[network] -= 1
-        if self.waiting[network] <= 0:
-            del self.waiting[network]
+        self.pending[network] -= 1
+        if self.pending[network] <= 0:
+            del self.pending[network]
--- a/gradefront/routing/networks.py
+++ b/gradefront/routing/networks.py
@@ -52,9 +52,9 @@
             raise ValueError("prefix_v6: must be from 16 to 128")
         self.bits_v4 = bits_v4
         self.bits_v6 = bits_v6
-        self.of = lru_cache(maxsize=8_192)(self._of)  # the network of an address, as bytes
+        self.network_of = lru_cache(maxsize=8_192)(self._network_of)  # the network of an address, as bytes
 
-    def _of(self, host: str) -> bytes:
+    def _network_of(self, host: str) -> bytes:
         if ":" in host:
             number = int.from_bytes(socket.inet_pton(socket.AF_INET6, host.partition("%")[0]))
             return (number >> 128 - self.bits_v6).to_bytes(17)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gradefront.routing.admission import MAX_FIRST_SIGHTS, Admission, Limits, Prove, Verdict
+from gradefront.routing.admission import MAX_FIRST_SIGHTS, Admission, Limits, ProofMode, Verdict
 from gradefront.routing.buckets import Bucket, BucketTable
 from gradefront.routing.networks import NetworkSet, Prefixes
 
@@ -35,23 +35,23 @@
             self.flood.append(self.ask(made_up(self.rng), self.rng.randbytes(8)))
 
     def ask(self, host: str, request: bytes, proven: bool = False) -> Verdict:
-        return self.admission.judge(self.now, host, request, proven)[0]
+        return self.admission.decide(self.now, host, request, proven)[0]
 
 
 def test_a_client_that_repeats_itself_is_admitted_and_a_made_up_flood_is_not() -> None:
     here = Listener()
     here.spend(S, 5_000)
-    assert here.flood.count(Verdict.TAKE) <= 51, "what came before the pressure showed"
-    taken = here.flood.count(Verdict.TAKE)
+    assert here.flood.count(Verdict.ADMIT) <= 51, "what came before the pressure showed"
+    taken = here.flood.count(Verdict.ADMIT)
     for n in range(40):  # honest ones come as nobody known, and repeat themselves after 200 ms
         host, request = f"203.0.113.{n}", b"request%d" % n
-        assert here.ask(host, request) is Verdict.AGAIN
-        assert here.ask(host, request) is Verdict.AGAIN, "the same burst is no repeat"
+        assert here.ask(host, request) is Verdict.AWAIT_REPEAT
+        assert here.ask(host, request) is Verdict.AWAIT_REPEAT, "the same burst is no repeat"
         here.spend(S // 5, 5_000)
-        assert here.ask(host, request) is Verdict.TAKE
+        assert here.ask(host, request) is Verdict.ADMIT
         here.admission.credit(host, responded=True)
-        assert here.ask(host, b"another") is Verdict.TAKE, "who was there needs no second sight"
-    assert here.flood.count(Verdict.TAKE) == taken
+        assert here.ask(host, b"another") is Verdict.ADMIT, "who was there needs no second sight"
+    assert here.flood.count(Verdict.ADMIT) == taken
 
 
 def test_pressure_ends_and_begins_with_hysteresis() -> None:
@@ -67,58 +67,58 @@
 
 
 def test_proofs_are_asked_for_as_set_and_taken() -> None:
-    always, auto = Listener(prove=Prove.ALWAYS), Listener(prove=Prove.AUTO)
-    assert always.ask("198.51.100.1", b"a") is Verdict.PROVE
-    assert always.ask("198.51.100.1", b"a", proven=True) is Verdict.TAKE
-    assert auto.ask("198.51.100.1", b"a") is Verdict.TAKE
+    always, auto = Listener(proof_mode=ProofMode.ALWAYS), Listener(proof_mode=ProofMode.AUTO)
+    assert always.ask("198.51.100.1", b"a") is Verdict.REQUIRE_PROOF
+    assert always.ask("198.51.100.1", b"a", proven=True) is Verdict.ADMIT
+    assert auto.ask("198.51.100.1", b"a") is Verdict.ADMIT
     auto.spend(S, 5_000)
-    assert auto.ask("198.51.100.1", b"b") is Verdict.PROVE
-    assert auto.ask("198.51.100.1", b"b", proven=True) is Verdict.TAKE
-    assert auto.flood.count(Verdict.TAKE) <= 51 and Verdict.AGAIN not in auto.flood
+    assert auto.ask("198.51.100.1", b"b") is Verdict.REQUIRE_PROOF
+    assert auto.ask("198.51.100.1", b"b", proven=True) is Verdict.ADMIT
+    assert auto.flood.count(Verdict.ADMIT) <= 51 and Verdict.AWAIT_REPEAT not in auto.flood
 
 
 def test_an_address_in_whose_name_others_flood_loses_its_credit_and_an_honest_one_keeps_it() -> None:
     here = Listener()
     here.admission.credit("203.0.113.5", responded=True)
     here.spend(S, 5_000)
-    assert here.ask("203.0.113.5", b"a") is Verdict.TAKE
+    assert here.ask("203.0.113.5", b"a") is Verdict.ADMIT
     for _ in range(200):
         here.admission.credit("203.0.113.5", responded=False)
-    assert here.ask("203.0.113.5", b"b") is Verdict.AGAIN
+    assert here.ask("203.0.113.5", b"b") is Verdict.AWAIT_REPEAT
     for _ in range(40):
         here.admission.credit("203.0.113.5", responded=True)
-    assert here.ask("203.0.113.5", b"c") is Verdict.TAKE
+    assert here.ask("203.0.113.5", b"c") is Verdict.ADMIT
 
 
 def test_whoever_floods_from_one_address_pays_alone_and_gets_the_true_wait() -> None:
     here = Listener(pressure=1e6, address_rate=10.0, address_burst=20.0)
     verdicts = [here.ask("203.0.113.5", b"%d" % n) for n in range(60)]
-    assert verdicts.count(Verdict.TAKE) == 20 and Verdict.LATER in verdicts
-    assert here.ask("203.0.113.6", b"x") is Verdict.TAKE
-    verdict, pause_us = here.admission.judge(here.now, "203.0.113.5", b"y", False)
-    assert verdict is Verdict.LATER and pause_us == 100_000
+    assert verdicts.count(Verdict.ADMIT) == 20 and Verdict.REJECT in verdicts
+    assert here.ask("203.0.113.6", b"x") is Verdict.ADMIT
+    verdict, pause_us = here.admission.decide(here.now, "203.0.113.5", b"y", False)
+    assert verdict is Verdict.REJECT and pause_us == 100_000
     here.now += pause_us + 1
-    assert here.ask("203.0.113.5", b"y") is Verdict.TAKE
+    assert here.ask("203.0.113.5", b"y") is Verdict.ADMIT
 
 
 def test_networks_share_the_pending_requests_fairly() -> None:
     here = Listener(pressure=1e6, most_waiting=100)
     greedy, small = (
-        here.admission.limits.prefixes.of("203.0.113.1"),
-        here.admission.limits.prefixes.of("198.51.100.1"),
+        here.admission.limits.prefixes.network_of("203.0.113.1"),
+        here.admission.limits.prefixes.network_of("198.51.100.1"),
     )
     entered = 0
     while here.admission.has_capacity(greedy):
-        here.admission.enter(greedy)
+        here.admission.add_pending(greedy)
         entered += 1
     assert entered == 50, "one alone leaves half"
     for _ in range(20):
         assert here.admission.has_capacity(small)
-        here.admission.enter(small)
-    assert here.ask("203.0.113.1", b"a") in (Verdict.LATER, Verdict.DROP)
+        here.admission.add_pending(small)
+    assert here.ask("203.0.113.1", b"a") in (Verdict.REJECT, Verdict.DROP)
     for _ in range(50):
-        here.admission.leave(greedy)
-    assert here.ask("203.0.113.1", b"b") is Verdict.TAKE and greedy not in here.admission.waiting
+        here.admission.remove_pending(greedy)
+    assert here.ask("203.0.113.1", b"b") is Verdict.ADMIT and greedy not in here.admission.pending
 
 
 def test_networks_are_allowed_and_denied() -> None:
@@ -127,10 +127,10 @@
     )
     for host, verdict in (
         ("10.1.2.3", Verdict.DENY),
-        ("10.2.2.3", Verdict.TAKE),
+        ("10.2.2.3", Verdict.ADMIT),
         ("192.0.2.1", Verdict.DENY),
         ("2001:db8:dead::1", Verdict.DENY),
-        ("2001:db8:beef::1", Verdict.TAKE),
+        ("2001:db8:beef::1", Verdict.ADMIT),
     ):
         assert here.ask(host, b"x") is verdict, host
 
@@ -140,7 +140,7 @@
     size = here.admission.addresses.octets
     here.spend(30 * S, 5_000)
     assert here.admission.addresses.octets == size == 8_192 * 2 * 16
-    assert sum(map(len, here.admission.sights)) <= 2 * MAX_FIRST_SIGHTS and len(here.admission.waiting) == 0
+    assert sum(map(len, here.admission.sights)) <= 2 * MAX_FIRST_SIGHTS and len(here.admission.pending) == 0
     for n in range(20_000):
         here.admission.credit(f"host-{n}", responded=True)
     assert len(here.admission.proven) == 8_192 and sys.getsizeof(here.admission.proven) < 4 << 20
@@ -160,6 +160,6 @@
 
 
 def test_an_address_counts_as_its_network() -> None:
-    of = Prefixes(24, 56).of
+    of = Prefixes(24, 56).network_of
     assert of("203.0.113.1") == of("203.0.113.200") != of("203.0.114.1")
     assert of("2001:db8:0:100::1") == of("2001:db8:0:1ff::9") != of("2001:db8:0:200::1")
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -171,7 +171,7 @@
             found = parse_fleet(good | changes, "n0", path)
         except ConfigError as error:
             return str(error)
-        return f"{sorted(found.peers)} {found.newest}"
+        return f"{sorted(found.peers)} {found.sealing_key_id}"
 
     assert read() == "['n1'] 3", "this relay is no peer of itself"
     for changes, why in (
--- a/tests/test_fleet_world.py
+++ b/tests/test_fleet_world.py
@@ -55,7 +55,7 @@
     world.split(["n0"])
     world.run(world.now + 3 * S)
     lone, others = world.relays["n0"].swim, world.relays["n1"].swim
-    assert lone.doubts and not others.doubts
+    assert lone.is_isolated and not others.is_isolated
     assert not any(m.gone for m in lone.table.members.values()), "three times as long"
     assert others.table.members["n0"].record.state is State.DEAD
     world.heal()
@@ -117,7 +117,7 @@
     for relay in world.running():
         relay.sealer.keys[2] = b"n" * 32
     for relay in world.running():  # one after another: both keys are in use meanwhile
-        relay.sealer.newest = 2
+        relay.sealer.sealing_key_id = 2
         world.run(world.now + S // 2)
     for relay in world.running():
         del relay.sealer.keys[1]
--- a/tests/test_quic_model.py
+++ b/tests/test_quic_model.py
@@ -198,7 +198,7 @@
         front = self.front
         assert len(front.route_ids) <= MOST_PATHS and len(front.pool.ports) <= 4
         waiting = [v for v in front.connections if v.waits]
-        assert sum(front.admission.waiting.values()) == len(waiting) <= MOST_WAITING
+        assert sum(front.admission.pending.values()) == len(waiting) <= MOST_WAITING
         for an_id, path in front.routes.items():
             assert an_id in front.route_ids[path], "a route along a path that is gone"
         for path, ids in front.route_ids.items():
