--- a/gradefront/net/endpoint_watch_call.py
+++ b/gradefront/net/endpoint_watch_call.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger("gradefront.endpoint_watch")
 
-# An empty line comes every 2 s; an update is in force after `start_times.NOTICE_US`, received or not.
+# An empty line comes every 2 s; an update is in force after `start_times.DISCOVERY_DELAY_US`, received or not.
 HEARTBEAT_TIMEOUT_US = 3_000_000
 RECHECK_DELAY_US = 20_000  # for a loop that was held up to read what has come
 
@@ -49,7 +49,7 @@
         self.has_update = False
         self.objects = Objects()
         self.was_rechecked = False  # since the last heartbeat
-        self.line: EndpointWatchProtocol | None = None
+        self.line_protocol: EndpointWatchProtocol | None = None
         self.ended = False
         self.connector: Any = None
         self.timeout_us = timeout_us
@@ -62,8 +62,8 @@
 
     def buildProtocol(self, addr: object) -> EndpointWatchProtocol:  # noqa: ARG002 - Twisted's signature
         """The connection is open."""
-        self.line = EndpointWatchProtocol(self)
-        return self.line
+        self.line_protocol = EndpointWatchProtocol(self)
+        return self.line_protocol
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: ARG002 - Twisted's signature
         """Discovery refused."""
@@ -81,7 +81,7 @@
         self.timeout = self._start_timeout(self.timeout_us)
 
     def _start_timeout(self, delay_us: int) -> Timer:
-        return self.owner.core.after(delay_us, partial(self._on_timeout, self.owner.core.clock() + delay_us))
+        return self.owner.core.call_later(delay_us, partial(self._on_timeout, self.owner.core.clock() + delay_us))
 
     def _on_timeout(self, due_us: int) -> None:
         """Guards against a watch that was cut off silently: updates meanwhile would be missed."""
@@ -132,7 +132,7 @@
         """End this call without a report."""
         self.ended = True
         self.timeout.cancel()
-        if self.line and self.line.transport:
-            self.line.abort()
+        if self.line_protocol and self.line_protocol.transport:
+            self.line_protocol.abort()
         elif self.connector is not None:
             self.connector.disconnect()
