--- a/balancer/endpoints.py
+++ b/balancer/endpoints.py
@@ -27,7 +27,7 @@
     connect_failures: int = 0  # halved by each success
     consecutive_errors: int = 0  # since a connection was last established
     ejected_until_us: int = 0
-    connections: dict[int, None] = field(default_factory=dict)  # this node's, by request id; in their order
+    connections: dict[int, None] = field(default_factory=dict)  # this node's, by request id
     reported_connections: RecentMinimum = field(  # number of this node's connections that reports surely show
         default_factory=lambda: RecentMinimum(REPORT_DELAY_US)
     )
--- a/balancer/selection.py
+++ b/balancer/selection.py
@@ -17,8 +17,8 @@
 CANDIDATES = 2  # more would cost more health checks and cause herding
 DRAWS_PER_CANDIDATE = 4  # ring points; several may fall on one backend, or on a backend that can't be used
 SPARE_CAPACITY_EXPONENT = 4.0  # a candidate's weight is its spare capacity to this power
-# Factor for a backend in another zone, where crossing zones costs: it is preferred at nearly twice the spare
-# capacity of a backend in this zone.
+# Factor for a backend in another zone, where crossing zones costs: it is preferred only if it has nearly
+# twice the spare capacity of a backend in this zone, or more.
 CROSS_ZONE_WEIGHT = 0.1
 # Factor for a backend that has connections of the request's sticky group: it is preferred down to about a
 # third of the spare capacity of the others.
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -137,7 +137,7 @@
     def __post_init__(self) -> None:
         """Raise InvalidSettingError for values that are not valid."""
         if not self.classes:
-            raise InvalidSettingError("classes", "at least one request class is required")
+            raise InvalidSettingError("classes", "at least one is needed")
         for request_class in self.classes:
             _check_above_0(request_class, CLASS_FIELDS_ABOVE_0, "classes.")
             _check_not_negative(request_class, CLASS_FIELDS_NOT_NEGATIVE, "classes.")
