--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -34,12 +34,12 @@
     )
 
 
-def round_of(*messages: object) -> list[object]:
+def batch(*messages: object) -> list[object]:
     return [{"type": "Round", "atTimeUs": 1000}, *messages, {"type": "EofBatch"}]
 
 
 def test_request_is_placed_and_the_host_exits_at_end_of_file() -> None:
-    result = run_host(*round_of(), *round_of(UP, VIEW, ACCEPT))
+    result = run_host(*batch(), *batch(UP, VIEW, ACCEPT))
     assert result.returncode == 0 and result.stderr == ""
     replies = [json.loads(line) for line in result.stdout.splitlines()]
     assert [r["type"] for r in replies] == ["Ready", "Deliver", "Ready"]
@@ -52,13 +52,13 @@
         (["{nonsense"], "not JSON"),
         (["[1]"], "field 'type' is missing"),
         ([{"type": "Round"}], "Round: field 'atTimeUs'"),
-        (round_of({"type": "Accept"}), "Accept: field 'nodeId'"),
-        (round_of({"type": "Accept", "nodeId": 4}), "Accept: field 'nodeId' names an instance that is not up"),
-        (round_of({"type": "Up", "nodeId": 3}), "Up: field 'bootInfo'"),
-        (round_of(UP, {"type": "Huh", "nodeId": 3}), "unknown message type 'Huh'"),
-        (round_of(UP, {"type": "Accept", "nodeId": 3, "corr": 1, "profile": 0}), "Accept: field 'expiresInUs'"),
+        (batch({"type": "Accept"}), "Accept: field 'nodeId'"),
+        (batch({"type": "Accept", "nodeId": 4}), "Accept: field 'nodeId' names an instance that is not up"),
+        (batch({"type": "Up", "nodeId": 3}), "Up: field 'bootInfo'"),
+        (batch(UP, {"type": "Huh", "nodeId": 3}), "unknown message type 'Huh'"),
+        (batch(UP, {"type": "Accept", "nodeId": 3, "corr": 1, "profile": 0}), "Accept: field 'expiresInUs'"),
         (
-            round_of(UP, {"type": "Settled", "nodeId": 3, "corr": 1, "go": 0, "host": "h", "rc": "odd"}),
+            batch(UP, {"type": "Settled", "nodeId": 3, "corr": 1, "go": 0, "host": "h", "rc": "odd"}),
             "Settled: field 'rc' has the unknown value 'odd'",
         ),
     ],
@@ -72,7 +72,7 @@
 
 def test_exception_in_the_decision_module_is_reported_for_its_node() -> None:
     bad = dict(ACCEPT, profile=7)  # a request class that the settings don't have
-    result = run_host(*round_of(UP, VIEW, bad))
+    result = run_host(*batch(UP, VIEW, bad))
     replies = [json.loads(line) for line in result.stdout.splitlines()]
     assert result.returncode == 0
     assert replies[0]["type"] == "Broken" and replies[0]["nodeId"] == 3 and "IndexError" in replies[0]["text"]
