--- a/gradefront/core/__init__.py
+++ b/gradefront/core/__init__.py
@@ -1,1 +1,4 @@
-"""The core: connections, their attempts, deadlines and answers. It knows no wire: fronts and backends plug in."""
+"""The core: connections with their attempts, deadlines and answers.
+
+It is independent of any wire protocol: listeners and backend connections plug in through `ports.py`.
+"""
--- a/gradefront/core/adopted.py
+++ b/gradefront/core/adopted.py
@@ -1,4 +1,4 @@
-"""Established connections that pass from one process of the relay to the next."""
+"""Handover of established connections from one process of the relay to the next."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from .answers import Answers
 from .attempt_outcome import AttemptOutcome, AttemptPhase, Cause
 from .connect_request import ConnectRequest
-from .connection import Attempt, BackendConnector, Connection, ConnectionState, Owner
+from .connection import Attempt, AttemptOwner, BackendConnector, Connection, ConnectionState
 from .ports import ClientConnection
 from .requests import Requests
 
 
-class Core(Owner, Protocol):
-    """What this part uses of the core."""
+class Core(AttemptOwner, Protocol):
+    """The parts of the relay core that this module uses."""
 
     requests: Requests
     answers: Answers
 
     def enqueue(self, event: Event) -> None:
-        """Keep an event for the decision module."""
+        """Queue an event for the decision module."""
 
 
-def adopt_established(  # noqa: PLR0913 - one parameter for each part of the handed-over description
+def adopt_established(  # noqa: PLR0913 - one parameter for each field of the handed-over connection
     core: Core,
     connect_request: ConnectRequest,
     client: ClientConnection,
@@ -33,9 +33,9 @@
     last_received_us: int,
     awaiting_reply_us: tuple[int, ...],
 ) -> tuple[Connection, Attempt]:
-    """Register a connection that was established in the process before this one.
+    """Register a connection that was established by the relay's previous process.
 
-    The caller gives the attempt its upstream connection.
+    The caller must set the attempt's upstream connection.
     """
     connection = core.requests.register(connect_request, client, connector, 0, backend)
     connection.transition(ConnectionState.CONNECTING)
@@ -49,7 +49,7 @@
 
 
 def release_for_handover(core: Core, connection: Connection) -> None:
-    """Release an established connection that goes on in the next process; nothing of it ends."""
+    """Release an established connection to the relay's next process, without closing either side."""
     attempt = connection.attempt
     assert connection.state is ConnectionState.ESTABLISHED and attempt
     core.answers.release(connection)
--- a/gradefront/core/answers.py
+++ b/gradefront/core/answers.py
@@ -1,4 +1,4 @@
-"""How connections end: the one final answer, migration, and a client that disconnects."""
+"""Ends connections: by the one final answer, by migration, or when the client disconnects."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Core(Protocol):
-    """What this part uses of the core."""
+    """The parts of the relay core that this module uses."""
 
     connections: dict[int, Connection]
     clock: Callable[[], int]
@@ -24,11 +24,11 @@
     request_log: RequestLog
 
     def enqueue(self, event: Event) -> None:
-        """Keep an event for the decision module."""
+        """Queue an event for the decision module."""
 
 
 class Answers:
-    """Ends connections. `release` takes each out of the table once, so that none gets a second answer."""
+    """Ends connections. `release` removes each from the table exactly once, so that none gets a second answer."""
 
     def __init__(self, core: Core) -> None:
         self.core = core
@@ -36,13 +36,13 @@
     def answer(self, connection: Connection, answer: Reject | Fail | None) -> None:
         """Give a connection its one final answer; an established one is migrated instead.
 
-        None is the failure that the core itself decides on.
+        `answer` is None where the core fails the connection without an answer of the decision module.
         """
         if connection.state is ConnectionState.CLOSED:
             return
         was_established, attempt = connection.state is ConnectionState.ESTABLISHED, connection.attempt
         self.release(connection)
-        if attempt:  # only where the core itself gave up: the module answers when nothing is in flight
+        if attempt:  # only when the core itself fails the connection: the module answers with no attempt in flight
             self._cancel(attempt)
         if was_established:
             connection.client.migrate()
@@ -54,18 +54,18 @@
             connection.client.fail()
 
     def give_up(self, connection: Connection) -> None:
-        """Fail a connection on the core's own account, and notify the module that it is over."""
+        """Fail a connection without an answer of the decision module, and notify the module of its end."""
         if not connection.adopted_backend:
             self.core.enqueue(ClientDisconnected(connection.number))
         self.answer(connection, None)
 
     def fail_unestablished(self, connection: Connection) -> None:
-        """Fail a connection whose client broke the protocol before it was established."""
+        """Fail a connection whose client violated the protocol before it was established."""
         if connection.is_awaiting_answer:
             self.give_up(connection)
 
     def on_client_closed(self, connection: Connection, ending: ConnectionEnd) -> None:
-        """The client closed its side: it is owed no answer any more."""
+        """Release a connection whose client closed its side; it gets no answer."""
         if connection.state is ConnectionState.CLOSED:
             return
         was_established, attempt = connection.state is ConnectionState.ESTABLISHED, connection.attempt
@@ -79,7 +79,10 @@
                 self.report_attempt_end(attempt, AttemptOutcome(attempt.phase, Cause.CLOSED_LOCALLY), is_final=True)
 
     def migrate(self, connection: Connection) -> None:
-        """Tell the client of an established connection to reconnect, and end both sides."""
+        """Tell the client of an established connection to reconnect, and close both sides.
+
+        Does nothing for a connection that is not established.
+        """
         attempt = connection.attempt
         if connection.state is not ConnectionState.ESTABLISHED or attempt is None:
             return
@@ -89,7 +92,10 @@
         self._cancel(attempt)
 
     def migrate_off_silent(self, connection: Connection, alone: bool) -> None:
-        """Migrate a connection off a backend that does not reply; `alone`: it replies on others."""
+        """Migrate a connection off a backend that does not reply to its messages.
+
+        `alone`: the backend replies on other connections, so the end is not reported as the backend's failure.
+        """
         attempt = connection.attempt
         assert attempt
         self.core.counters.add("moved_from_silent")
@@ -100,7 +106,10 @@
         self.report_attempt_end(attempt, AttemptOutcome(AttemptPhase.UP, cause), is_final=True)
 
     def release(self, connection: Connection) -> None:
-        """Close a connection as far as the core goes. Raises IllegalTransitionError if it was closed already."""
+        """Mark a connection as closed, cancel its deadline and remove it from the table.
+
+        Raises IllegalTransitionError if it is closed already.
+        """
         connection.transition(ConnectionState.CLOSED)
         connection.attempt = None
         if connection.deadline_timer:
@@ -108,7 +117,7 @@
         self.core.connections.pop(connection.number, None)
 
     def report_attempt_end(self, attempt: Attempt, outcome: AttemptOutcome, is_final: bool) -> None:
-        """Report to the module how an attempt, or the connection that it established, ended."""
+        """Report to the decision module how an attempt, or the connection that it established, ended."""
         self.core.request_log.on_attempt_end(attempt, outcome)
         self.core.enqueue(
             AttemptEnded(
--- a/gradefront/core/attempt_outcome.py
+++ b/gradefront/core/attempt_outcome.py
@@ -1,4 +1,4 @@
-"""Attempt errors as values: how far an attempt got, and what ended it."""
+"""The outcome of an attempt as a value: the phase that it had reached, and the cause of its end."""
 
 from __future__ import annotations
 
@@ -9,39 +9,39 @@
 
 
 class AttemptPhase(IntEnum):
-    """How far an attempt has come."""
+    """The progress of an attempt."""
 
-    CONNECTING = 0  # nothing of the request has left
-    WRITING = 1  # a part of the request may have left
+    CONNECTING = 0  # nothing of the request has been sent
+    WRITING = 1  # a part of the request may have been sent
     SENT = 2  # the backend may have the complete request
     UP = 3  # the backend has accepted the connection
 
 
 class Cause(Enum):
-    """What ended an attempt."""
+    """The cause of an attempt's end. The values are part of counter names."""
 
-    BROKEN = "broken"  # refused, reset or closed without a response; also vetoed: the backend drains or is not listed
-    UNREACHABLE = "unreachable"  # nothing listens there: the request was never received
-    TIMED_OUT = "silent"  # timeout ran out
-    REJECTED = "full"  # the backend rejected it, unread
+    BROKEN = "broken"  # refused, reset or closed without a response; also vetoed: backend draining or not listed
+    UNREACHABLE = "unreachable"  # nothing listens at the backend's address: the request was never received
+    TIMED_OUT = "silent"  # the backend did not connect, respond or reply in time
+    REJECTED = "full"  # the backend rejected the request without reading it
     ERROR = "error"  # the backend answered with an error
-    COMPLETED = "served"  # the backend ended it in order
+    COMPLETED = "served"  # the backend closed the established connection in an orderly way
     MIGRATED_BY_BACKEND = "sent away"  # the backend told the client to reconnect
-    CLOSED_LOCALLY = "called off"  # this relay or the client ended it
-    SLOT_ENDED = "slot ended"  # its send slot ended before the complete request had left
-    ABORTED_BEFORE_SEND = "not tried"  # this relay stopped it before the complete request had left
+    CLOSED_LOCALLY = "called off"  # this relay or the client closed it
+    SLOT_ENDED = "slot ended"  # its send slot ended before the complete request was sent
+    ABORTED_BEFORE_SEND = "not tried"  # this relay stopped it before the complete request was sent
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptOutcome:
-    """The end of an attempt, with the phase that it had reached."""
+    """The cause of an attempt's end, and the phase that the attempt had reached."""
 
     phase: AttemptPhase
     cause: Cause
 
     @property
     def result(self) -> AttemptResult:
-        """The decision module's result for it."""
+        """The result to report to the decision module."""
         if self.cause is Cause.BROKEN:
             return AttemptResult.RESET if self.phase >= AttemptPhase.SENT else AttemptResult.CONNECT_FAILED
         if self.cause is Cause.TIMED_OUT:
--- a/gradefront/core/attempts.py
+++ b/gradefront/core/attempts.py
@@ -1,4 +1,7 @@
-"""Attempts at backends, from the decision module's action to their end. One at most is in flight for a connection."""
+"""Attempts at backends, from the decision module's action to their end.
+
+At most one attempt is in flight for a connection.
+"""
 
 from __future__ import annotations
 
@@ -20,20 +23,21 @@
 
 from .answers import Answers
 from .attempt_outcome import AttemptOutcome, AttemptPhase, Cause
-from .connection import Attempt, Connection, ConnectionState, Owner
+from .connection import Attempt, AttemptOwner, Connection, ConnectionState
 from .ports import ConnectionEnd
 from .request_log import RequestLog
 from .timer_wheel import TimerWheel
 
 log = logging.getLogger("gradefront.attempts")
 
-ADOPTED_ATTEMPT_US = 9_000_000  # an attempt for an adopted connection; a lost one leaves time for others
+# Timeout of one attempt for an adopted connection; short enough for further attempts within ADOPTED_TIMEOUT_US.
+ADOPTED_ATTEMPT_US = 9_000_000
 ADOPTED_MAX_ATTEMPTS = 4
-ADOPTED_BACKOFF_US = 500_000  # doubled with each attempt
+ADOPTED_BACKOFF_US = 500_000  # doubled after each attempt, the first one included
 
 
-class Core(Owner, Protocol):
-    """What this part uses of the core."""
+class Core(AttemptOwner, Protocol):
+    """The parts of the relay core that this module uses."""
 
     connections: dict[int, Connection]
     timers: TimerWheel
@@ -42,17 +46,17 @@
     answers: Answers
 
     def enqueue(self, event: Event) -> None:
-        """Keep an event for the decision module."""
+        """Queue an event for the decision module."""
 
 
 class Attempts:
-    """Starts attempts and follows each to its end."""
+    """Starts attempts and handles their progress and their end."""
 
     def __init__(self, core: Core) -> None:
         self.core = core
 
     def start(self, action: StartAttempt) -> None:
-        """Start the attempt that the module asks for, or report that nothing was sent."""
+        """Start the attempt that the decision module requests, or report that nothing was sent."""
         core, connection = self.core, self.core.connections.get(action.request_id)
         if (
             connection is None
@@ -60,7 +64,8 @@
             or connection.attempts >= connection.settings.max_attempts
             or not core.accepts_work
         ):
-            # Guards against a send after the end, a hedged request, and one attempt too many.
+            # Prevents an attempt for a closed connection, a hedged request, an attempt beyond the maximum number, and
+            # an attempt while the relay is stopping.
             core.enqueue(
                 AttemptEnded(
                     request_id=action.request_id,
@@ -71,34 +76,36 @@
                 )
             )
             return
-        until_us = min(connection.deadline_us, core.clock() + action.timeout_us)
-        self._begin(connection, action.backend, until_us, action)
+        expires_us = min(connection.deadline_us, core.clock() + action.timeout_us)
+        self._begin(connection, action.backend, expires_us, action)
 
     def start_adopted(self, connection: Connection) -> None:
-        """Start an attempt of an adopted connection, at its own backend."""
-        until_us = min(connection.deadline_us, self.core.clock() + ADOPTED_ATTEMPT_US)
-        self._begin(connection, connection.adopted_backend, until_us)
-
-    def _begin(self, connection: Connection, backend: str, until_us: int, action: StartAttempt | None = None) -> None:
-        """Begin an attempt, at the module's order or for an adopted connection."""
+        """Start an attempt for an adopted connection, at the backend that served it before."""
+        expires_us = min(connection.deadline_us, self.core.clock() + ADOPTED_ATTEMPT_US)
+        self._begin(connection, connection.adopted_backend, expires_us)
+
+    def _begin(
+        self, connection: Connection, backend: str, expires_us: int, action: StartAttempt | None = None
+    ) -> None:
+        """Start an attempt; `action` is None for an adopted connection."""
         core = self.core
         connection.transition(ConnectionState.CONNECTING)
-        attempt = connection.attempt = Attempt(core, connection, backend, until_us)
+        attempt = connection.attempt = Attempt(core, connection, backend, expires_us)
         if action and action.slow_start:
             attempt.slow_start, attempt.send_by_us = True, action.send_by_us
             core.request_log.on_send(attempt, action.slow_start)
         connection.attempts += 1
         core.counters.add("attempts")
-        connect_by_us = until_us
+        connect_by_us = expires_us
         if not connection.adopted_backend:
-            connect_by_us = min(until_us, attempt.started_us + connection.settings.connect_timeout_us)
+            connect_by_us = min(expires_us, attempt.started_us + connection.settings.connect_timeout_us)
         attempt.timer = core.timers.set(connect_by_us, partial(attempt.end, Cause.TIMED_OUT))
         attempt.upstream = connection.connector.connect(attempt, connection.connect_request.request_line)
-        if attempt.is_over:  # it ended at once, before its upstream connection was known here
+        if attempt.is_over:  # ended during `connect`, when its upstream connection was not set yet
             attempt.upstream.close(ConnectionEnd.ORDERLY)
 
     def on_advanced(self, attempt: Attempt) -> None:
-        """An attempt reached its next phase. Once connected, its own timeout replaces the connect timeout."""
+        """Handle an attempt's next phase. Once it is connected, its own timeout replaces the connect timeout."""
         core = self.core
         attempt.write_started_us = attempt.write_started_us or core.clock()
         if attempt.phase is AttemptPhase.SENT:
@@ -109,7 +116,7 @@
             core.wake()
 
     def on_succeeded(self, attempt: Attempt, response_line: object) -> None:
-        """A backend accepted the connection."""
+        """Establish the connection that a backend accepted."""
         core, connection = self.core, attempt.connection
         connection.transition(ConnectionState.ESTABLISHED)
         attempt.phase = AttemptPhase.UP
@@ -133,11 +140,11 @@
         connection.client.establish(attempt.upstream, response_line)
 
     def on_load_report(self, attempt: Attempt, load: float) -> None:
-        """A backend reported the load of a connection, in microseconds of work a second."""
+        """Report a connection's load, in microseconds of work per second, to the decision module."""
         self.core.enqueue(ConnectionLoadReport(attempt.connection.number, attempt.backend, load))
 
     def on_ended(self, attempt: Attempt, outcome: AttemptOutcome, ending: ConnectionEnd) -> None:
-        """An attempt failed, or an established connection ended at the backend's side."""
+        """Handle a failed attempt, or the end of an established connection at the backend's side."""
         core, connection = self.core, attempt.connection
         was_established = connection.state is ConnectionState.ESTABLISHED
         attempt.close(ending)
@@ -157,12 +164,16 @@
         core.answers.report_attempt_end(attempt, outcome, is_final=False)
 
     def _retry_adopted(self, connection: Connection, outcome: AttemptOutcome) -> None:
-        """Retry an adopted connection after a backoff, or fail it: the module has no part in it yet."""
+        """Retry an adopted connection after a backoff, or fail it after the last attempt.
+
+        The core does this itself because the decision module does not know the connection until it is established.
+        """
         if connection.attempts >= min(ADOPTED_MAX_ATTEMPTS, connection.settings.max_attempts):
             log.warning(
-                "connection %d could not go on at backend %s: %s",
+                "adopted connection %d could not be established again at backend %s after %d attempts: %s",
                 connection.number,
                 connection.adopted_backend,
+                connection.attempts,
                 outcome,
             )
             self.core.answers.answer(connection, None)
--- a/gradefront/core/backends.py
+++ b/gradefront/core/backends.py
@@ -1,4 +1,4 @@
-"""The backends of the endpoint list: their state and zone, by the newest list."""
+"""The state and zone of each backend, according to the newest endpoint list."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Backends:
-    """One entry for each backend in the endpoint list."""
+    """The backends of the endpoint list, by name."""
 
     def __init__(self) -> None:
         self.entries: dict[str, Endpoint] = {}
@@ -23,17 +23,20 @@
         return iter(self.entries)
 
     def state(self, backend: str) -> BackendState | None:
-        """Its state; None where it is not in the list."""
+        """Return a backend's state, or None if it is not in the list."""
         entry = self.entries.get(backend)
         return entry.state if entry else None
 
     def zone(self, backend: str) -> int | None:
-        """Its zone; None where it is not in the list."""
+        """Return a backend's zone, or None if it is not in the list."""
         entry = self.entries.get(backend)
         return entry.zone if entry else None
 
     def apply(self, update: EndpointListUpdate) -> tuple[list[str], list[str]]:
-        """Apply a complete list or changes. Returns the backends that begin to drain, and those that are gone."""
+        """Apply a complete list or changes to it.
+
+        Returns the backends that begin to drain, and those that the update reports as gone.
+        """
         if update.is_complete:
             self.entries = {}
         draining, gone = [], []
--- a/gradefront/core/connect_request.py
+++ b/gradefront/core/connect_request.py
@@ -1,4 +1,4 @@
-"""What a client asks for when it connects."""
+"""A client's request for a connection, independent of the listener that received it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectRequest:
-    """What a client asks for. `request_line` belongs to the listener; the core passes it on unread."""
+    """A client's request for a connection.
+
+    `request_line` is the listener's own data; the core passes it to the backend connector without reading it.
+    """
 
     timeout_us: int
     request_line: object
@@ -17,13 +20,16 @@
     tenant: int = 0
     idempotency_key: str = ""
     sticky_group: str = ""
-    load_hint: float = 0.0  # us of work a second; 0: unknown
+    load_hint: float = 0.0  # expected load in us of work per second; 0: unknown
     is_reconnect: bool = False
     is_retry: bool = False
-    connection_id: str = ""  # for the log: the listener's name for the client's connection
+    connection_id: str = ""  # the listener's name for the client's connection, for the log
 
     def as_event(self, request_id: int, expires_us: int) -> Request:
-        """The decision module's event for it; `expires_us` counts from now, and is at least 1."""
+        """Return the decision module's event for this request.
+
+        `expires_us` is the time until its deadline; a value below 1 becomes 1.
+        """
         return Request(
             request_id=request_id,
             expires_us=max(1, expires_us),
--- a/gradefront/core/connection.py
+++ b/gradefront/core/connection.py
@@ -1,4 +1,4 @@
-"""A connection's life as an explicit state machine, and the attempts that it makes at backends."""
+"""The state machine of a connection, and the attempts made for it at backends."""
 
 from __future__ import annotations
 
@@ -22,36 +22,36 @@
 
 
 class Liveness(Protocol):
-    """What an attempt notifies of messages."""
+    """Notified by an attempt of the messages on its connection."""
 
     def on_message_sent(self, backend: str) -> None:
-        """A message that is owed a reply went to a backend."""
+        """Handle a message that was forwarded to a backend and requires a reply."""
 
     def on_message_received(self, backend: str) -> None:
-        """A backend sent a message."""
+        """Handle a message received from a backend."""
 
     def on_reply_received(self, backend: str, connection: int, took_us: int) -> None:
-        """A backend replied to a message of a connection."""
+        """Handle a backend's reply to a message of a connection, `took_us` after the message was sent."""
 
 
 class AttemptListener(Protocol):
-    """What an attempt notifies of its progress."""
+    """Notified by an attempt of its progress."""
 
     def on_advanced(self, attempt: Attempt) -> None:
-        """It reached its next phase."""
+        """Handle the attempt's next phase."""
 
     def on_succeeded(self, attempt: Attempt, response_line: object) -> None:
-        """The backend accepted the connection."""
+        """Handle the backend's acceptance of the connection."""
 
     def on_ended(self, attempt: Attempt, outcome: AttemptOutcome, ending: ConnectionEnd) -> None:
-        """It ended at the backend's side."""
+        """Handle the attempt's end at the backend's side."""
 
     def on_load_report(self, attempt: Attempt, load: float) -> None:
-        """The backend reported the connection's load, in microseconds of work a second."""
+        """Handle the connection's load as reported by the backend, in microseconds of work per second."""
 
 
-class Owner(Protocol):
-    """What an attempt uses of the core."""
+class AttemptOwner(Protocol):
+    """The parts of the relay core that an attempt uses."""
 
     clock: Callable[[], int]
     counters: Counters
@@ -59,46 +59,46 @@
 
     @property
     def liveness(self) -> Liveness:
-        """What is notified of messages."""
+        """The object to notify of messages."""
 
     @property
     def attempts(self) -> AttemptListener:
-        """What is notified of the attempt's progress."""
+        """The object to notify of the attempt's progress."""
 
     @property
     def accepts_work(self) -> bool:
-        """Whether the relay begins anything new."""
+        """Whether new requests and attempts may start."""
 
     def call_later(self, delay_us: int, callback: Callable[[], None]) -> Timer:
-        """Run `callback` later."""
+        """Run `callback` in `delay_us` microseconds."""
 
     def is_ready(self, backend: str) -> bool:
-        """Whether new work may go to a backend, by the newest endpoint list."""
+        """Whether new requests may be sent to a backend, according to the newest endpoint list."""
 
     def on_client_closed(self, connection: Connection, ending: ConnectionEnd) -> None:
-        """The client closed its side."""
+        """Handle the end of the client's side of a connection."""
 
     def migrate(self, connection: Connection) -> None:
-        """Tell the client to reconnect, if the connection is established."""
+        """Tell the client of an established connection to reconnect."""
 
 
 class BackendConnector(Protocol):
-    """Reaches backends for one listener."""
+    """Opens backend connections for one listener."""
 
     def connect(self, attempt: Attempt, request_line: object) -> BackendConnection:
-        """Begin the attempt; `attempt` is notified of its progress."""
+        """Connect to the attempt's backend and send the request line, calling `attempt` at each step."""
 
 
 class ConnectionState(Enum):
-    """How far a connection has come."""
+    """The state of a connection."""
 
-    QUEUED = "queued"  # the decision module has it, no attempt is in flight
+    QUEUED = "queued"  # waits for an action of the decision module; no attempt is in flight
     CONNECTING = "connecting"  # one attempt is in flight
-    ESTABLISHED = "established"  # a backend serves it
-    CLOSED = "closed"  # answered and over
+    ESTABLISHED = "established"  # a backend has accepted it
+    CLOSED = "closed"  # ended, with its final answer unless the client disconnected first
 
 
-#: The legal transitions. Guards against a second answer or a hedged request: any other one raises.
+#: The legal transitions. Any other transition raises: it would mean a second answer or a hedged request.
 TRANSITIONS: dict[ConnectionState, frozenset[ConnectionState]] = {
     ConnectionState.QUEUED: frozenset({ConnectionState.CONNECTING, ConnectionState.CLOSED}),
     ConnectionState.CONNECTING: frozenset(
@@ -110,12 +110,12 @@
 
 
 class IllegalTransitionError(Exception):
-    """A transition that no connection may take; it stops that connection, not the relay."""
+    """A transition that TRANSITIONS does not allow. The core fails that connection; the relay continues."""
 
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """A client's request for a connection, and the connection made for it. Times are by the relay's clock."""
+    """A client's request for a connection, and the connection made for it. Times are on the relay's clock."""
 
     number: int
     connect_request: ConnectRequest
@@ -123,13 +123,13 @@
     connector: BackendConnector
     arrived_us: int
     deadline_us: int
-    settings: Settings  # those in force when it arrived
-    adopted_backend: str = ""  # the one backend of a connection that was established before the relay's start
+    settings: Settings  # the settings at its arrival; a later reload does not change them
+    adopted_backend: str = ""  # for a connection established before this relay started: its backend; else empty
     state: ConnectionState = ConnectionState.QUEUED
-    attempts: int = 0  # attempts made so far; the next one's number
-    attempt: Attempt | None = None  # the one that is in flight, or that established the connection
+    attempts: int = 0  # number of attempts made so far; also the number of the next attempt
+    attempt: Attempt | None = None  # the attempt in flight, or the one that established the connection
     deadline_timer: Timer | None = None
-    first_sent_us: int = 0  # when the first possibly executed attempt began to be written; 0: none has
+    first_sent_us: int = 0  # when writing of the first possibly executed attempt began; 0: no such attempt
 
     @property
     def is_awaiting_answer(self) -> bool:
@@ -138,9 +138,9 @@
 
     @property
     def may_be_rejected(self) -> bool:
-        """Whether the client may safely come again: nothing was sent, or the request is idempotent.
+        """Whether the client may safely retry: no attempt was made, or the request is idempotent.
 
-        Stricter than the balancer's `may_client_retry`, as an attempt may be in flight here.
+        Stricter than the balancer's `may_client_retry`, because an attempt may still be in flight.
         """
         return (
             not self.attempts
@@ -148,14 +148,14 @@
         )
 
     def as_event(self, now_us: int) -> Request:
-        """The module's event for it."""
+        """Return the decision module's event for this request."""
         return self.connect_request.as_event(self.number, self.deadline_us - now_us)
 
     def may_retry(self, now_us: int) -> bool:
-        """Whether a retry doubles no effect.
+        """Return whether the request may be sent now without the risk of being executed twice.
 
-        Checked as the request is written: the module decides earlier, and a deduplication window may close while a
-        connection comes up.
+        Checked just before the request is written: the decision module decides earlier, and the deduplication window
+        may end while the connection to the backend is being established.
         """
         if not self.first_sent_us:
             return True
@@ -165,14 +165,16 @@
         return rule.idempotency is Idempotency.IDEMPOTENT
 
     def transition(self, to: ConnectionState) -> None:
-        """Enter a state. Raises IllegalTransitionError where TRANSITIONS has no such step."""
+        """Enter a state. Raises IllegalTransitionError if TRANSITIONS does not allow it."""
         if to not in TRANSITIONS[self.state]:
-            raise IllegalTransitionError(f"connection {self.number}: {self.state.value} to {to.value}")
+            raise IllegalTransitionError(
+                f"connection {self.number}: no transition from {self.state.value} to {to.value}"
+            )
         self.state = to
 
 
 class Attempt:
-    """One attempt at a backend, driven by its upstream connection; once over, it ignores further calls."""
+    """One attempt at a backend. Its upstream connection reports progress to it; reports after its end are ignored."""
 
     __slots__ = (
         "core",
@@ -194,74 +196,80 @@
         "send_by_us",
     )
 
-    def __init__(self, core: Owner, connection: Connection, backend: str, until_us: int) -> None:
+    def __init__(self, core: AttemptOwner, connection: Connection, backend: str, expires_us: int) -> None:
         self.core = core
         self.connection = connection
         self.number = connection.attempts
         self.backend = backend
         self.phase = AttemptPhase.CONNECTING
         self.started_us = self.last_received_us = core.clock()
-        self.expires_us = until_us
+        self.expires_us = expires_us
         self.slow_start = False  # the backend is in slow start
-        self.send_by_us: int | None = None  # the end of its send slot there
-        self.write_started_us = 0  # when its first line began to be written
+        self.send_by_us: int | None = None  # end of its send slot at a backend in slow start
+        self.write_started_us = 0  # when writing of the request line began; 0: not yet
         self.timer: Timer | None = None
         self.upstream: BackendConnection | None = None
         self.is_over = False
-        self.connection_load = 0.0  # the connection's load as last reported, in us of work a second; 0: no report
-        self.load_report: LoadReport | None = None  # the backend's own load, in its final response
-        self.awaiting_reply_us: deque[int] = deque(maxlen=16)  # when messages went to the backend that await a reply
+        self.connection_load = 0.0  # the connection's last reported load, in us of work per second; 0: no report
+        self.load_report: LoadReport | None = None  # the backend's own load, from its final response
+        self.awaiting_reply_us: deque[int] = deque(maxlen=16)  # send times of the messages that await a reply
 
     def send_veto(self) -> Cause | None:
-        """Why the request may not be sent any more, checked as a piece of it is about to be written; None: it may."""
+        """Return why the request must not be sent any more, or None if it may be sent.
+
+        Called just before each piece of the request is written.
+        """
         connection, core = self.connection, self.core
         if self.is_over or not core.accepts_work or not connection.may_retry(core.clock()):
             return Cause.ABORTED_BEFORE_SEND
         if not connection.adopted_backend:
-            # Guards against a late connect that delivers new work to a backend that began to drain meanwhile.
+            # The backend may have begun to drain while the connection was being established.
             if core.endpoint_watcher:
                 core.endpoint_watcher.read_pending()
             if not core.is_ready(self.backend):
                 return Cause.BROKEN
         if self._is_slot_over():
             return Cause.SLOT_ENDED
-        # Last, as the check nearest to the write: the end of the client's side may lie unread yet.
+        # The last check before the write, as the end of the client's side may have arrived but not been read yet.
         if connection.client.has_disconnected() and not self.is_over:
             core.on_client_closed(connection, ConnectionEnd.ORDERLY)
         return Cause.ABORTED_BEFORE_SEND if self.is_over else None
 
     def _is_slot_over(self) -> bool:
-        """Guards against a late connect that delivers a request in a window whose sends are other slots'."""
-        has_left = self.phase >= AttemptPhase.SENT
-        return self.send_by_us is not None and not has_left and self.core.clock() >= self.send_by_us
+        """Return whether the send slot ended before the request was sent.
+
+        Otherwise a slow connect would deliver the request in a time span whose sends belong to other slots.
+        """
+        is_sent = self.phase >= AttemptPhase.SENT
+        return self.send_by_us is not None and not is_sent and self.core.clock() >= self.send_by_us
 
     def remaining_us(self) -> int:
-        """How long this relay will still wait for the backend's answer."""
+        """Return how much longer this relay will wait for the backend's answer, in microseconds."""
         return max(0, self.expires_us - self.core.clock())
 
     def advance(self, phase: AttemptPhase) -> None:
-        """The upstream connection has reached this phase."""
+        """Record that the upstream connection has reached `phase`."""
         if not self.is_over and phase > self.phase:
             self.phase = phase
             self.core.attempts.on_advanced(self)
 
     def succeed(self, response_line: object) -> None:
-        """The backend accepted the connection; `response_line` goes to the client unchanged."""
+        """Establish the connection that the backend accepted; `response_line` is passed to the client unchanged."""
         if not self.is_over:
             self.core.attempts.on_succeeded(self, response_line)
 
     def end(self, cause: Cause, ending: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
-        """The attempt, or the connection that it established, ended at the backend's side."""
+        """Handle the end of the attempt, or of the connection that it established, at the backend's side."""
         if not self.is_over:
             self.core.attempts.on_ended(self, AttemptOutcome(self.phase, cause), ending)
 
     def on_message_sent(self) -> None:
-        """The client sent a message that the backend owes a reply to."""
+        """Record a message from the client that requires a reply from the backend."""
         self.awaiting_reply_us.append(self.core.clock())
         self.core.liveness.on_message_sent(self.backend)
 
     def on_message_received(self) -> None:
-        """The backend sent a message."""
+        """Record a message from the backend, which counts as the reply to the oldest unanswered message."""
         self.last_received_us = now = self.core.clock()
         self.core.liveness.on_message_received(self.backend)
         if self.awaiting_reply_us:
@@ -270,23 +278,28 @@
             )
 
     def on_activity(self) -> None:
-        """Data passed, either way, on a connection whose messages the listener can't tell apart."""
+        """Record data in either direction, on a connection whose messages the listener can't tell apart."""
         self.last_received_us = self.core.clock()
 
     def on_load_report(self, load: float) -> None:
-        """The backend reported the load of this connection, in microseconds of work a second."""
+        """Record the load of this connection as reported by the backend, in microseconds of work per second."""
         if not self.is_over:
             self.connection_load = load
             self.core.attempts.on_load_report(self, load)
 
     def close(self, ending: ConnectionEnd) -> None:
-        """End it from this side."""
+        """Close the attempt and its upstream connection from this side."""
         self.is_over = True
         if self.timer:
             self.timer.cancel()
         if self.upstream:
             try:
                 self.upstream.close(ending)
-            except Exception:  # noqa: BLE001 - guards the client's answer against an error on the backend's side
-                log.exception("an attempt at backend %s could not be ended", self.backend)
+            except Exception:  # noqa: BLE001 - an error on the backend's side must not prevent the client's answer
+                log.exception(
+                    "connection %d: attempt %d at backend %s could not be closed",
+                    self.connection.number,
+                    self.number,
+                    self.backend,
+                )
                 self.core.counters.add("exceptions")
--- a/gradefront/core/counters.py
+++ b/gradefront/core/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what the relay accepts, sends and answers."""
+"""Counters of the relay's requests, answers, connections and faults."""
 
 from __future__ import annotations
 
@@ -8,38 +8,39 @@
 
 log = logging.getLogger("gradefront.invalid_input")
 
-LOG_INTERVAL_US = 1_000_000  # between two log lines of one kind: a line each would cost more than its cause
+# Between two log lines of one counter: a line for each fault would cost more than handling the fault itself.
+LOG_INTERVAL_US = 1_000_000
 
 
 class Counters:
-    """Named counts and present levels, printed as one line of JSON."""
+    """Named counters, formatted as one line of JSON together with the current levels."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self.by_class: Counter[tuple[str, str]] = Counter()
-        self.logged_us: dict[str, int] = {}  # by kind, when the last log line of it was written
-        self.logged: Counter[str] = Counter()  # by kind, the count at that line
+        self.logged_us: dict[str, int] = {}  # by counter: when its last log line was written
+        self.logged: Counter[str] = Counter()  # by counter: its value at that log line
 
     def add(self, name: str, amount: int = 1) -> None:
-        """Count."""
+        """Increment a counter by `amount`."""
         self.counts[name] += amount
 
-    def count_fault(self, name: str, what: str, now_us: int, amount: int = 1) -> None:
-        """Count a fault of a peer; a log line of each kind once a second at most."""
+    def count_fault(self, name: str, message: str, now_us: int, amount: int = 1) -> None:
+        """Count a peer's fault, and log `message` at most once per second for each counter."""
         self.add(name, amount)
         if now_us - self.logged_us.get(name, -LOG_INTERVAL_US) >= LOG_INTERVAL_US:
-            more = self.counts[name] - self.logged[name] - 1
-            log.warning("%s (and %d more since the last such line)", what, more)
+            unlogged = self.counts[name] - self.logged[name] - 1
+            log.warning("%s (and %d more since the last such line)", message, unlogged)
             self.logged_us[name], self.logged[name] = now_us, self.counts[name]
 
     def add_for_class(self, name: str, request_class: str) -> None:
-        """Count for one request class."""
+        """Increment a counter of one request class."""
         self.by_class[name, request_class] += 1
 
     def get_for_class(self, name: str, request_class: str) -> int:
-        """The count for one request class."""
+        """Return a counter of one request class."""
         return self.by_class[name, request_class]
 
     def as_json(self, **levels: int) -> str:
-        """All counts and the given levels as JSON, names in order."""
+        """Return the counters, sorted by name, and the given levels as one line of JSON."""
         return json.dumps({**dict(sorted(self.counts.items())), **levels})
--- a/gradefront/core/lifecycle_state.py
+++ b/gradefront/core/lifecycle_state.py
@@ -1,4 +1,4 @@
-"""The relay's lifecycle states and transitions, in one table for listeners, attempts and the admin interface."""
+"""The relay's lifecycle states and their transitions, shared by listeners, attempts and the admin interface."""
 
 from __future__ import annotations
 
@@ -6,37 +6,37 @@
 
 
 class LifecycleState(Enum):
-    """What the relay does with clients and requests."""
+    """A state of the relay, which determines how it treats clients and requests."""
 
-    STARTING = "starting"  # no backend is known yet
+    STARTING = "starting"  # not ready: no backends, or a fresh endpoint list is awaited
     SERVING = "serving"
-    LAME_DUCK = "lame duck"  # drained by operators; it still serves requests, and goes on running
-    LEAVING = "leaving"  # it drains itself; requests are still served
-    STOPPING = "stopping"  # every request has its answer; new ones get one at once, and nothing begins
-    STOPPED = "stopped"  # the process ends
+    LAME_DUCK = "lame duck"  # being drained by operators; requests are still served, and the relay keeps running
+    LEAVING = "leaving"  # shutting down gracefully; requests are still served
+    STOPPING = "stopping"  # all requests have been answered; new ones are rejected at once, and no work starts
+    STOPPED = "stopped"  # the process exits
 
 
 class LifecycleEvent(Enum):
-    """What may change the state."""
-
-    READY = "ready"  # there are backends
-    UNREADY = "unready"  # the endpoint list is empty
-    LAMEDUCK = "lameduck"
-    REJOIN = "rejoin"
-    LEAVE = "leave"
-    STOP = "stop"
+    """An event that may change the state."""
+
+    READY = "ready"  # there are backends, and no fresh endpoint list is awaited
+    UNREADY = "unready"  # there are no backends, or a fresh endpoint list is awaited
+    LAMEDUCK = "lameduck"  # operators begin to drain the relay
+    REJOIN = "rejoin"  # operators end the drain
+    LEAVE = "leave"  # graceful shutdown begins
+    STOP = "stop"  # the time for graceful shutdown is over
     STOPPED = "stopped"
 
 
-#: An event without a line changes nothing, and its sender is notified.
-TABLE: dict[tuple[LifecycleState, LifecycleEvent], LifecycleState] = {
+#: An event that has no entry for the current state changes nothing; `Lifecycle.transition` returns False for it.
+TRANSITIONS: dict[tuple[LifecycleState, LifecycleEvent], LifecycleState] = {
     (LifecycleState.STARTING, LifecycleEvent.READY): LifecycleState.SERVING,
     (LifecycleState.STARTING, LifecycleEvent.LAMEDUCK): LifecycleState.LAME_DUCK,
     (LifecycleState.SERVING, LifecycleEvent.UNREADY): LifecycleState.STARTING,
     (LifecycleState.SERVING, LifecycleEvent.LAMEDUCK): LifecycleState.LAME_DUCK,
-    # READY follows at once where there are backends.
+    # If there are backends, READY follows at once.
     (LifecycleState.LAME_DUCK, LifecycleEvent.REJOIN): LifecycleState.STARTING,
-    # A repeated call is granted again, and begins nothing anew.
+    # A repeated request succeeds and changes nothing.
     (LifecycleState.SERVING, LifecycleEvent.REJOIN): LifecycleState.SERVING,
     (LifecycleState.STARTING, LifecycleEvent.REJOIN): LifecycleState.STARTING,
     (LifecycleState.LAME_DUCK, LifecycleEvent.LAMEDUCK): LifecycleState.LAME_DUCK,
@@ -55,6 +55,6 @@
 }
 
 
-def step(state: LifecycleState, event: LifecycleEvent) -> LifecycleState | None:
-    """The state that an event leads to; None where the table has no line for it."""
-    return TABLE.get((state, event))
+def next_state(state: LifecycleState, event: LifecycleEvent) -> LifecycleState | None:
+    """Return the state after an event, or None if there is no such transition."""
+    return TRANSITIONS.get((state, event))
--- a/gradefront/core/liveness.py
+++ b/gradefront/core/liveness.py
@@ -1,4 +1,4 @@
-"""Whether established connections are alive: late messages, silent backends, clients that vanished."""
+"""Liveness of established connections: late messages, silent backends and vanished clients."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 log = logging.getLogger("gradefront.liveness")
 
-REPLY_TIMEOUT_US = 1_500_000  # a connection that is owed a reply for so long is silent
+REPLY_TIMEOUT_US = 1_500_000  # a connection whose message gets no reply for longer is silent
 CHECK_INTERVAL_US = 250_000  # between two checks for silent connections
-IDLE_TIMEOUT_US = 120_000_000  # with nothing either way for so long, the client is gone
+IDLE_TIMEOUT_US = 120_000_000  # with no data in either direction for longer, the client has vanished
 
 
 class Core(Protocol):
-    """What this part uses of the core."""
+    """The parts of the relay core that this module uses."""
 
     settings: Settings
     counters: Counters
@@ -38,29 +38,29 @@
     clock: Callable[[], int]
 
     def call_later(self, delay_us: int, callback: Callable[[], None]) -> Timer:
-        """Run `callback` later."""
+        """Run `callback` in `delay_us` microseconds."""
 
     def enqueue(self, event: Event) -> None:
-        """Keep an event for the decision module."""
+        """Queue an event for the decision module."""
 
     def migrate(self, connection: Connection) -> None:
-        """Tell a client to reconnect."""
+        """Tell the client of an established connection to reconnect."""
 
 
 class Liveness:
-    """Watches one core's established connections."""
+    """Monitors the established connections of one relay."""
 
     def __init__(self, core: Core, classes: tuple[RequestClass, ...], reports_message_latency: bool) -> None:
         self.core = core
         self.apply_classes(classes, reports_message_latency)
-        self.last_reply_us: dict[str, int] = {}  # by backend, when it last replied to a message
+        self.last_reply_us: dict[str, int] = {}  # by backend: when it last replied to a message
         self.last_check_us = core.clock()
-        self.silence_check_us = 0  # when the next check for silent backends is due; 0: none is set
+        self.silence_check_us = 0  # when the next check for silent backends is due; 0: none is scheduled
         core.call_later(MESSAGE_LATENCY_INTERVAL_US, self._report_latencies)
         core.call_later(CHECK_INTERVAL_US, self._check_connections)
 
     def apply_classes(self, classes: tuple[RequestClass, ...], reports_message_latency: bool) -> None:
-        """Go by the message latency objectives of these classes from now on."""
+        """Apply the message latency objectives of these classes from now on."""
         objectives_us = [c.message_latency_objective_us for c in classes if c.message_latency_objective_us]
         self.message_latency = (
             MessageLatency(min(objectives_us)) if objectives_us and reports_message_latency else None
@@ -70,17 +70,17 @@
     # ---- messages
 
     def on_message_received(self, backend: str) -> None:
-        """A backend sent a message."""
+        """Record a message received from a backend."""
         self.silence.on_received(backend)
 
     def on_reply_received(self, backend: str, connection: int, took_us: int) -> None:
-        """A backend replied to a message of a connection."""
+        """Record a backend's reply to a message of a connection, `took_us` after the message was sent."""
         self.last_reply_us[backend] = self.core.clock()
         if self.message_latency:
             self.message_latency.add(backend, connection, took_us)
 
     def on_message_sent(self, backend: str) -> None:
-        """A message that is owed a reply went to a backend."""
+        """Record a message that was forwarded to a backend and requires a reply."""
         now = self.core.clock()
         self.silence.on_sent(backend, now)
         if not self.silence_check_us:
@@ -89,7 +89,7 @@
     def _report_latencies(self) -> None:
         self.core.call_later(MESSAGE_LATENCY_INTERVAL_US, self._report_latencies)
         for number, backend, latency_us in self.message_latency.pop_reports() if self.message_latency else ():
-            log.info("messages at backend %s take %.0f ms", backend, latency_us / 1000)
+            log.info("median message latency at backend %s is %.0f ms", backend, latency_us / 1000)
             self.core.counters.add("delays_told")
             self.core.enqueue(MessageLatencyReport(number, backend, latency_us))
 
@@ -100,17 +100,17 @@
         self.core.call_later(SILENCE_CHECK_INTERVAL_US, self._check_silence)
 
     def _check_silence(self) -> None:
-        """Check by a connection those backends that owe replies and have sent nothing since."""
+        """Start connect checks of the backends that owe a reply and have sent nothing since the message."""
         now = self.core.clock()
-        late, self.silence_check_us = now - self.silence_check_us > SILENCE_CHECK_INTERVAL_US, 0
+        is_late, self.silence_check_us = now - self.silence_check_us > SILENCE_CHECK_INTERVAL_US, 0
         if self.silence.owed:
             self._schedule_silence_check(now)
-        if late:  # guards against a hiccup of this relay: replies may have come that it has not read yet
+        if is_late:  # this relay was held up itself: replies may have arrived that it has not read yet
             return
         for backend in self.silence.pop_due(now):
             if backend in self.core.backends:
                 self._check_connect(backend)
-            else:  # a new list is without it: there is no address to check
+            else:  # no longer in the endpoint list, so there is no address to connect to
                 self.silence.forget(backend)
 
     def _check_connect(self, backend: str) -> None:
@@ -119,9 +119,10 @@
             self.core.health_checker.check_connect(backend, self.core.settings.connect_timeout_us)
 
     def on_connect_checked(self, backend: str, opened: bool) -> None:
-        """A silent backend accepted a connection in time, or did not: then its machine has vanished.
+        """Handle the result of a connect check; `opened`: the backend accepted the connection in time.
 
-        All its connections are migrated at once, before each is found silent by a message of its own.
+        Otherwise, if the backend still owes a reply, its machine has vanished, and all its connections are migrated
+        at once. The check of each connection would find it silent only after a message of its own.
         """
         if opened:
             self.silence.on_received(backend)
@@ -133,27 +134,28 @@
                 by_backend.setdefault(connection.attempt.backend, []).append(connection)
         stranded = by_backend.pop(backend, [])
         log.warning(
-            "backend %s owes replies and accepts no connection; its %d connections are migrated",
+            "backend %s has not replied and accepts no connection; migrating its %d connections",
             backend,
             len(stranded),
         )
         self.core.counters.add("boxes_vanished")
         for connection in stranded:
             self.core.answers.migrate_off_silent(connection, alone=False)
-        # Guards against finding out about a lost zone backend by backend, each when a client's message is due.
+        # The whole zone may be lost. Without these checks each of its backends would be found only when a message of
+        # its own clients goes unanswered.
         backends = self.core.backends
-        near = [other for other in by_backend if backends.zone(other) == backends.zone(backend)]
-        for other in self.silence.pop_neighbours(near, self.core.clock()):
+        same_zone = [other for other in by_backend if backends.zone(other) == backends.zone(backend)]
+        for other in self.silence.pop_neighbours(same_zone, self.core.clock()):
             self._check_connect(other)
 
     # ---- silent connections
 
     def _check_connections(self) -> None:
-        """Find connections whose backend or client has vanished."""
+        """Migrate the connections whose backend or client has vanished."""
         now = self.core.clock()
         self.core.call_later(CHECK_INTERVAL_US, self._check_connections)
-        late, self.last_check_us = now - self.last_check_us > 2 * CHECK_INTERVAL_US, now
-        if late:  # guards against a hiccup of this relay: replies may have come that it has not read yet
+        is_late, self.last_check_us = now - self.last_check_us > 2 * CHECK_INTERVAL_US, now
+        if is_late:  # this relay was held up itself: replies may have arrived that it has not read yet
             return
         for connection in list(self.core.connections.values()):
             if connection.state is ConnectionState.ESTABLISHED and connection.attempt:
@@ -163,14 +165,14 @@
         awaiting_us = attempt.awaiting_reply_us
         owed_since_us = max(attempt.last_received_us, awaiting_us[0]) if awaiting_us else now
         last_activity_us = max(attempt.last_received_us, awaiting_us[-1] if awaiting_us else 0)
-        if now - owed_since_us > REPLY_TIMEOUT_US:  # guards against a vanished machine, which resets nothing
-            # Where the backend has replied to others since, only this connection is lost: no fault of the backend.
+        if now - owed_since_us > REPLY_TIMEOUT_US:  # a machine that has vanished sends no reset
+            # If the backend has replied on other connections since, it is not at fault: only this connection is lost.
             alone = self.last_reply_us.get(attempt.backend, 0) > awaiting_us[0]
             log.warning(
-                "connection %d at backend %s has gone silent%s; it is migrated",
+                "connection %d: no reply from backend %s%s; migrating it",
                 connection.number,
                 attempt.backend,
-                ", alone" if alone else "",
+                ", which replies on other connections" if alone else "",
             )
             self.core.answers.migrate_off_silent(connection, alone)
         elif now - last_activity_us > IDLE_TIMEOUT_US:
--- a/gradefront/core/relay.py
+++ b/gradefront/core/relay.py
@@ -1,7 +1,7 @@
-"""The relay core: gathers what is ready, hands it to the decision module at once, and carries out its actions.
+"""The relay core: collects events, passes them to the decision module in batches, and executes its actions.
 
-A request's way: `requests.py` accepts it, `attempts.py` tries backends, `answers.py` gives the one final answer.
-Nothing is decided here.
+`requests.py` accepts a request, `attempts.py` tries backends, and `answers.py` gives the one final answer. The core
+makes no routing decisions of its own.
 """
 
 from __future__ import annotations
@@ -55,9 +55,9 @@
 
 
 class RelayCore:
-    """One relay's connections, round one decision module."""
+    """Connects one relay's listeners, backends and timers with its decision module."""
 
-    def __init__(  # noqa: PLR0913 - where the process is put together, each part is handed in
+    def __init__(  # noqa: PLR0913 - startup passes in each component
         self,
         balancer: DecisionModule,
         settings: Settings,
@@ -67,7 +67,7 @@
         class_names: tuple[str, ...] = (),
     ) -> None:
         self.balancer = balancer
-        # Classes without a name are named by their place.
+        # Classes without names are named by their index.
         self.request_classes = RequestClassTable().with_classes(
             class_names or tuple(str(n) for n in range(len(settings.classes))), settings.classes, ()
         )
@@ -93,73 +93,73 @@
     def prepare_settings(
         self, settings: Settings, class_names: tuple[str, ...]
     ) -> tuple[RequestClassTable, Settings]:
-        """What `apply_settings` would apply: the table of classes, and the settings with all classes in use.
+        """Return the arguments for `apply_settings`: the class table, and the settings with all classes of the table.
 
-        Changes nothing. Raises TooManyClassesError.
+        Changes nothing in the core. Raises TooManyClassesError.
         """
         in_use = {connection.connect_request.request_class for connection in self.connections.values()}
         table = self.request_classes.with_classes(class_names, settings.classes, in_use)
         return table, replace(settings, classes=table.rules)
 
     def apply_settings(self, table: RequestClassTable, settings: Settings, reports_message_latency: bool) -> None:
-        """Apply settings to connections that arrive from now on."""
+        """Apply new settings to the connections that arrive from now on."""
         self.request_classes, self.settings = table, settings
         classes = tuple(table.rules[n] for n in table.active_numbers)
         self.liveness.apply_classes(classes, reports_message_latency)
         self.lifecycle.apply_classes(classes)
         self.enqueue(SettingsChanged(settings))
 
-    # ---- the turn of the loop
+    # ---- timers, and one iteration of the event loop
 
     def call_later(self, delay_us: int, callback: Callable[[], None]) -> Timer:
-        """Run `callback` at the first tick after the delay."""
+        """Run `callback` at the first timer tick at or after the delay."""
         return self.call_at(self.clock() + delay_us, callback)
 
     def call_at(self, at_us: int, callback: Callable[[], None]) -> Timer:
-        """Run `callback` at the first tick at or after a time on the clock."""
+        """Run `callback` at the first timer tick at or after `at_us` on the relay's clock."""
         timer = self.timers.set(at_us, callback)
         self.wake()
         return timer
 
     def enqueue(self, event: Event) -> None:
-        """Keep an event for the next turn."""
+        """Queue an event for the next call of `run_once`."""
         if not self.pending_events:
             self.wake()
         self.pending_events.append(event)
 
     def run_once(self) -> None:
-        """One turn: due timers, then all gathered events to the module, then all its actions."""
+        """Run due timers, pass all queued events to the decision module, then execute all its actions."""
         for callback in self.timers.pop_due(self.clock()):
             try:
                 callback()
-            except Exception:  # noqa: BLE001 - a broken timer must not stop the others
-                log.exception("a timer failed")
+            except Exception:  # noqa: BLE001 - one failing callback must not stop the other timers
+                log.exception("a timer callback raised an exception")
         events, self.pending_events = self.pending_events, []
         now, actions = self.clock(), list[Action]()
         for event in events:
             try:
                 actions += self.balancer.handle(now, event)
-            except Exception:  # noqa: BLE001 - it stops at one connection
+            except Exception:  # noqa: BLE001 - an exception fails only the connection that it concerns
                 self._contain_exception(event)
         for action in actions:
             try:
-                self._carry_out(action)
-            except Exception:  # noqa: BLE001 - it stops at one connection
+                self._execute(action)
+            except Exception:  # noqa: BLE001 - an exception fails only the connection that it concerns
                 self._contain_exception(action)
 
     def _contain_exception(self, cause: Event | Action) -> None:
-        """Stop an exception at the connection that it came from; that connection still gets its one answer."""
-        log.exception("failed on %s", type(cause).__name__)
+        """Log and count an exception, and fail the connection that it concerns, which still gets its one answer."""
+        log.exception("exception while handling %s", type(cause).__name__)
         self.counters.add("exceptions")
         connection = self.connections.get(getattr(cause, "request_id", 0))
         if connection:
             self.enqueue(ClientDisconnected(connection.number))
             try:
                 self.answers.answer(connection, None)
-            except Exception:  # noqa: BLE001 - guards the rest of the batch
-                log.exception("a client could not be answered")
+            except Exception:  # noqa: BLE001 - must not stop the rest of the batch
+                log.exception("connection %d: its client could not be answered", connection.number)
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case StartAttempt():
                 self.attempts.start(action)
@@ -175,13 +175,13 @@
             case WatchEndpointList():
                 self._watch_endpoint_list()
             case WriteLog():
-                log.info("module: %s", action.text)
+                log.info("decision module: %s", action.text)
 
     def _migrate_unless_leaving(self, request_id: int) -> None:
-        """Migrate a connection at the module's order.
+        """Migrate a connection as the decision module requests, unless the relay is leaving and the backend is ready.
 
-        While the relay leaves, a connection whose backend stays ready is migrated last: perhaps no other relay would
-        take it now.
+        Such a connection is left to the drain, which migrates it later: now, perhaps no other relay is up to accept
+        the client.
         """
         connection = self.connections.get(request_id)
         backend = connection.attempt.backend if connection and connection.attempt else ""
@@ -201,7 +201,7 @@
     # ---- the endpoint list and health checks
 
     def on_endpoint_list(self, update: EndpointListUpdate) -> None:
-        """The endpoint list, or changes of it, arrived."""
+        """Apply a new endpoint list, or changes to it."""
         draining, gone = self.backends.apply(update)
         for backend in draining:
             log.info("backend %s is draining", backend)
@@ -210,25 +210,25 @@
         self.enqueue(update)
         self.lifecycle.update_readiness()
 
-    def on_endpoint_list_lost(self, why: str) -> None:
-        """A poll of the list failed, or the watch on it ended."""
-        log.warning("endpoint list lost: %s", why)
+    def on_endpoint_list_lost(self, reason: str) -> None:
+        """Handle a failed poll of the endpoint list, or the end of the watch on it."""
+        log.warning("endpoint list lost: %s", reason)
         self.counters.add("list_errors")
         self.enqueue(EndpointListError())
 
     @property
     def accepts_work(self) -> bool:
-        """Whether anything new is begun."""
+        """Whether new requests and attempts may start."""
         return self.lifecycle.accepts_work
 
     def is_ready(self, backend: str) -> bool:
-        """Whether new work may go to a backend, by the newest endpoint list."""
+        """Whether new requests may be sent to a backend, according to the newest endpoint list."""
         return self.backends.state(backend) is BackendState.READY
 
     def on_health_check_result(
         self, backend: str, result: AttemptResult, took_us: int, report: LoadReport | None
     ) -> None:
-        """The result of one health check."""
+        """Handle the result of one health check, which took `took_us`."""
         if result is not AttemptResult.OK:
             self.counters.add("probes_failed")
         self.enqueue(HealthCheckResult(backend, result, took_us, report))
@@ -238,21 +238,21 @@
     def accept(
         self, connect_request: ConnectRequest, client: ClientConnection, connector: BackendConnector
     ) -> Connection:
-        """A client requests a connection."""
+        """Accept a client's request for a connection."""
         return self.requests.accept(connect_request, client, connector)
 
     def adopt_connection(
         self, connect_request: ConnectRequest, client: ClientConnection, connector: BackendConnector, backend: str
     ) -> Connection:
-        """A connection arrives that was established at `backend` before this relay started."""
+        """Accept a connection that was established at `backend` before this relay started."""
         return self.requests.adopt(connect_request, client, connector, backend)
 
     def on_client_closed(self, connection: Connection, ending: ConnectionEnd) -> None:
-        """The client closed its side."""
+        """Handle the end of the client's side of a connection."""
         self.answers.on_client_closed(connection, ending)
 
     def fail_unestablished(self, connection: Connection) -> None:
-        """The client broke the protocol before the connection was established."""
+        """Fail a connection whose client violated the protocol before it was established."""
         self.answers.fail_unestablished(connection)
 
     def migrate(self, connection: Connection) -> None:
@@ -260,5 +260,5 @@
         self.answers.migrate(connection)
 
     def count_answer(self, name: str, request_class: int) -> None:
-        """Count an answer for its class, where it is given."""
+        """Count one answer in the counter `name` for its request class."""
         self.counters.add_for_class(name, self.request_classes.names[request_class])
--- a/gradefront/core/request_classes.py
+++ b/gradefront/core/request_classes.py
@@ -1,4 +1,7 @@
-"""All request classes that were ever configured, by number. A number keeps its rules while a connection uses it."""
+"""The numbers of all request classes configured since the start.
+
+A number keeps the same class settings as long as a connection uses it.
+"""
 
 from __future__ import annotations
 
@@ -7,27 +10,28 @@
 
 from balancer.settings import RequestClass
 
-MAX_CLASSES = 128  # numbers; beyond it those that no connection uses are assigned anew
+MAX_CLASSES = 128  # once all numbers are assigned, those that no connection uses are reused
 
 
 class TooManyClassesError(Exception):
-    """More classes are in use than there are numbers."""
+    """All numbers are in use by connections, and none is left for a new class."""
 
 
 @dataclass(frozen=True)
 class RequestClassTable:
-    """An immutable value: `with_classes` makes a new table."""
+    """An immutable table of request classes by number; `with_classes` returns a new table."""
 
     names: tuple[str, ...] = ()
     rules: tuple[RequestClass, ...] = ()
-    active_numbers: tuple[int, ...] = ()  # the numbers in force
+    active_numbers: tuple[int, ...] = ()  # the numbers of the classes in the current settings
 
     def with_classes(
         self, names: tuple[str, ...], rules: tuple[RequestClass, ...], in_use: Collection[int]
     ) -> RequestClassTable:
-        """The table after these classes were configured; `in_use` are the numbers that connections use.
+        """Return the table with these classes as the active ones; `in_use` are the numbers that connections use.
 
-        A class that is configured again with the same rules keeps its number. Raises TooManyClassesError.
+        A class that is in the table already, with the same name and rules, keeps its number. Raises
+        TooManyClassesError.
         """
         table = list(zip(self.names, self.rules, strict=True))
         configured = list(zip(names, rules, strict=True))
@@ -43,10 +47,12 @@
                 number = free.pop(0)
                 table[number] = entry
             else:
-                raise TooManyClassesError(f"connections use classes under all of {MAX_CLASSES} numbers")
+                raise TooManyClassesError(
+                    f"no number left for request class {entry[0]!r}: all {MAX_CLASSES} are configured or in use"
+                )
             active_numbers.append(number)
         return RequestClassTable(tuple(n for n, _ in table), tuple(r for _, r in table), tuple(active_numbers))
 
     def active_numbers_by_name(self) -> dict[str, int]:
-        """The classes in force, by name."""
+        """Return the numbers of the active classes by class name."""
         return {self.names[n]: n for n in self.active_numbers}
--- a/gradefront/core/request_log.py
+++ b/gradefront/core/request_log.py
@@ -1,7 +1,7 @@
-"""Counters and log lines of single requests: how each was answered and why, and attempts at backends in slow start.
+"""Counters and log lines for the answers to requests, and for attempts at backends in slow start.
 
-A line for each request would cost too much. So there is one for each attempt at a backend in slow start, which are
-few, and one a second for each reason of a rejection or failure; all of them are counted.
+All answers are counted, but a log line for each request would cost too much. Logged are the attempts at backends in
+slow start, of which there are few, and at most one rejection or failure per second for each reason.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Core(Protocol):
-    """What this part uses of the core."""
+    """The parts of the relay core that this module uses."""
 
     counters: Counters
     clock: Callable[[], int]
@@ -32,32 +32,32 @@
 
 
 class RequestLog:
-    """Counts and logs what became of requests."""
+    """Counts and logs the outcomes of requests."""
 
     def __init__(self, core: Core) -> None:
         self.core = core
-        self.logged_us: dict[NotSentReason | None, int] = {}  # by reason: when its last line was written
-        self.unlogged: dict[NotSentReason | None, int] = {}  # by reason: answers since that line
+        self.logged_us: dict[NotSentReason | None, int] = {}  # by reason: when its last log line was written
+        self.unlogged: dict[NotSentReason | None, int] = {}  # by reason: number of answers since that line
 
     def on_established(self, connection: Connection) -> None:
-        """A backend accepted the connection."""
+        """Count a connection that a backend accepted."""
         self.core.counters.add("stood")
         self.core.count_answer("answered_total", connection.connect_request.request_class)
 
     def on_rejected(self, connection: Connection, answer: Reject) -> None:
-        """The client is rejected: it may safely come again."""
+        """Count and log a rejection; the client may safely retry."""
         self.core.counters.add("refused")
         self.core.count_answer("deferred_total", connection.connect_request.request_class)
         self._count_and_log("refused", "rejected", connection, answer.reason)
 
     def on_failed(self, connection: Connection, answer: Fail | None) -> None:
-        """The client gets an error; without an answer of the module, the core itself gave up."""
+        """Count and log a failure; `answer` is None where the core failed the request without the decision module."""
         self.core.counters.add("failed")
         self.core.count_answer("errored_total", connection.connect_request.request_class)
         self._count_and_log("failed", "failed", connection, answer.reason if answer else None)
 
-    def _count_and_log(self, counter: str, how: str, connection: Connection, reason: NotSentReason | None) -> None:
-        """Count the reason; log it once a second, with the request's id."""
+    def _count_and_log(self, counter: str, result: str, connection: Connection, reason: NotSentReason | None) -> None:
+        """Count the reason, and log it with the request's id at most once per second."""
         now = self.core.clock()
         if reason:
             self.core.counters.add(f"{counter}: {reason.value}")
@@ -65,20 +65,20 @@
             self.unlogged[reason] = self.unlogged.get(reason, 0) + 1
             return
         self.logged_us[reason] = now
-        why = reason.value if reason else "given up by the relay itself"
+        reason_text = reason.value if reason else "failed by the relay without an answer of the decision module"
         waited_ms = (now - connection.arrived_us) // 1000
         log.info(
             "request %s %s after %d ms and %d attempts: %s (and %d more)",
             connection.connect_request.connection_id,
-            how,
+            result,
             waited_ms,
             connection.attempts,
-            why,
+            reason_text,
             self.unlogged.pop(reason, 0),
         )
 
     def on_send(self, attempt: Attempt, allowance: SlowStartAllowance) -> None:
-        """An attempt begins at a backend in slow start."""
+        """Count and log the start of an attempt at a backend in slow start."""
         self.core.counters.add("slow_start_sends")
         log.info(
             "request %s goes to %s in slow start: %s",
@@ -88,7 +88,7 @@
         )
 
     def on_attempt_end(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """An attempt, or the connection that it made, has ended."""
+        """Log the end of an attempt at a backend in slow start, or of the connection that it established."""
         if not attempt.slow_start:
             return
         took_ms = (self.core.clock() - attempt.started_us) // 1000
--- a/gradefront/core/requests.py
+++ b/gradefront/core/requests.py
@@ -1,4 +1,4 @@
-"""Requests for connections: each is accepted, numbered and held to its deadline."""
+"""Accepts requests for connections, numbers them and enforces their deadlines."""
 
 from __future__ import annotations
 
@@ -22,13 +22,16 @@
 
 log = logging.getLogger("gradefront.requests")
 
-ANSWER_MARGIN_US = 40_000  # a busy relay must send the answer, and it must arrive, before the client gives up
-DEADLINE_GRACE_US = 12_000  # the core fails a connection so long after the module's deadline; within the margin
-ADOPTED_TIMEOUT_US = 38_000_000  # to establish an adopted connection again; 40 s are allowed
+# Subtracted from the client's deadline: the answer must be sent, by a busy relay too, and arrive before the client
+# gives up.
+ANSWER_MARGIN_US = 40_000
+# The core itself fails a connection this long after the decision module's deadline. Must be below ANSWER_MARGIN_US.
+DEADLINE_GRACE_US = 12_000
+ADOPTED_TIMEOUT_US = 38_000_000  # for establishing an adopted connection again; the limit is 40 s
 
 
 class Core(Protocol):
-    """What this part uses of the core."""
+    """The parts of the relay core that this module uses."""
 
     settings: Settings
     clock: Callable[[], int]
@@ -39,17 +42,17 @@
 
     @property
     def accepts_work(self) -> bool:
-        """Whether anything new is begun."""
+        """Whether new requests and attempts may start."""
 
     def call_later(self, delay_us: int, callback: Callable[[], None]) -> Timer:
-        """Run `callback` later."""
+        """Run `callback` in `delay_us` microseconds."""
 
     def enqueue(self, event: Event) -> None:
-        """Keep an event for the decision module."""
+        """Queue an event for the decision module."""
 
 
 class Requests:
-    """Accepts requests, and owns the table of connections that are not closed."""
+    """Accepts requests and owns the table of connections that are not closed."""
 
     def __init__(self, core: Core) -> None:
         self.core = core
@@ -59,12 +62,15 @@
     def accept(
         self, connect_request: ConnectRequest, client: ClientConnection, connector: BackendConnector
     ) -> Connection:
-        """Accept a client's request for a connection, and hand it to the module."""
+        """Accept a client's request for a connection and pass it to the decision module.
+
+        A stopping relay rejects it at once instead.
+        """
         core = self.core
         timeout_us = max(1, connect_request.timeout_us - ANSWER_MARGIN_US)
         connection = self.register(connect_request, client, connector, timeout_us)
         core.counters.add("visits")
-        if not core.accepts_work:  # read after the last answers: answered at once, and never forwarded
+        if not core.accepts_work:  # the request was read after shutdown had answered all others; never forward it
             core.answers.answer(connection, Reject(connection.number))
             return connection
         if connect_request.is_reconnect:
@@ -78,7 +84,10 @@
     def adopt(
         self, connect_request: ConnectRequest, client: ClientConnection, connector: BackendConnector, backend: str
     ) -> Connection:
-        """Accept a connection that was established at `backend` before this relay started; it goes nowhere else."""
+        """Accept a connection that was established at `backend` before this relay started.
+
+        It is established again at that backend or fails; no other backend is tried.
+        """
         core = self.core
         connection = self.register(connect_request, client, connector, ADOPTED_TIMEOUT_US, backend)
         core.counters.add("visits_brought")
@@ -97,7 +106,7 @@
         timeout_us: int,
         adopted_backend: str = "",
     ) -> Connection:
-        """Put a connection into the table, under the next number."""
+        """Create a connection and add it to the table under the next number."""
         now = self.core.clock()
         connection = Connection(
             number=next(self.numbers),
@@ -113,9 +122,9 @@
         return connection
 
     def _on_deadline(self, connection: Connection) -> None:
-        """Answer in time, whatever the module did."""
+        """Fail a connection that the decision module has not answered by its deadline."""
         if connection.is_awaiting_answer:
             if connection.state is ConnectionState.QUEUED or connection.adopted_backend:
-                log.warning("connection %d was not answered in time; failed", connection.number)
+                log.warning("connection %d was not answered before its deadline; failing it", connection.number)
                 self.core.counters.add("overdue")
             self.core.answers.give_up(connection)
--- a/gradefront/core/silence.py
+++ b/gradefront/core/silence.py
@@ -1,39 +1,46 @@
-"""Which backends owe replies and have sent nothing since: the first sign of a machine that vanished."""
+"""Silence detection: finds backends that owe a reply and have sent nothing since, so that they may have vanished."""
 
 from __future__ import annotations
 
 from balancer.settings import RequestClass
 
-CHECK_INTERVAL_US = 100_000  # while any backend owes a reply
-OBJECTIVES_UNTIL_SILENT = 2  # longest message latency objectives after which an owed reply is of no use
-MIN_TIMEOUT_US = 200_000  # so that a pause of a sound machine is no sign; also where there is no objective
-RECHECK_INTERVAL_US = 1_000_000  # between two connect checks of a backend that opens but still owes
-MAX_NEIGHBOURS = 3  # backends checked for each that vanished; each that has vanished too leads on to others
+CHECK_INTERVAL_US = 100_000  # between two checks while any backend owes a reply
+# A backend is silent after this many times the longest message latency objective: a later reply is of no use.
+OBJECTIVES_UNTIL_SILENT = 2
+# Lower limit, so that a short pause of a healthy machine is not taken for silence. Also applies without an objective.
+MIN_TIMEOUT_US = 200_000
+RECHECK_INTERVAL_US = 1_000_000  # between two connect checks of a backend that accepts connections but owes replies
+# Backends of the same zone to check for each one that vanished. If one of them has vanished too, more are checked.
+MAX_NEIGHBOURS = 3
 
 
 class SilenceDetector:
-    """By backend, since when a reply is owed with nothing received on any connection. Times are in microseconds."""
+    """Tracks, for each backend, how long it has owed a reply without sending anything on any connection."""
 
     def __init__(self, classes: tuple[RequestClass, ...]) -> None:
         self.timeout_us = max(
             MIN_TIMEOUT_US, OBJECTIVES_UNTIL_SILENT * max(c.message_latency_objective_us for c in classes)
         )
-        self.owed: dict[str, int] = {}  # at most one entry a backend: when its first unanswered message was sent
-        self.last_checked_us: dict[str, int] = {}
+        self.owed: dict[str, int] = {}  # by backend: when its first unanswered message was sent, in microseconds
+        self.last_checked_us: dict[str, int] = {}  # by backend: when its last connect check began
 
     def on_sent(self, backend: str, now_us: int) -> None:
-        """A message went to the backend; the first one since it last sent anything counts."""
+        """Record a message forwarded to the backend; only the first one since the backend last sent data counts."""
         self.owed.setdefault(backend, now_us)
 
     def on_received(self, backend: str) -> None:
-        """The backend sent something, on any connection, or opened one: it owes from the next message on.
+        """Record data from the backend on any connection, or an accepted connect check: it owes no reply now.
 
-        Guards against connect checks for ever of a backend whose client left with a message unanswered.
+        An accepted connect check counts because the client may have disconnected with a message unanswered; the
+        backend would be checked again for ever.
         """
         self.owed.pop(backend, None)
 
     def pop_due(self, now_us: int) -> list[str]:
-        """Backends to check now by a new connection, which a machine that vanished never accepts."""
+        """Return the backends that need a connect check now, and record the checks.
+
+        A machine that has vanished does not accept the new connection.
+        """
         due = [
             backend
             for backend, since_us in self.owed.items()
@@ -43,7 +50,10 @@
         return due
 
     def pop_neighbours(self, backends: list[str], now_us: int) -> list[str]:
-        """A few more backends to check, near one that vanished: they owe a reply from now on."""
+        """Return a few of `backends` to check, as one of the same zone has vanished, and record the checks.
+
+        From now on they count as owing a reply.
+        """
         neighbours = [backend for backend in backends if self._may_check(backend, now_us)][:MAX_NEIGHBOURS]
         for backend in neighbours:
             self.owed.setdefault(backend, now_us)
@@ -54,10 +64,13 @@
         return now_us - self.last_checked_us.get(backend, -RECHECK_INTERVAL_US) >= RECHECK_INTERVAL_US
 
     def pop_vanished(self, backend: str) -> bool:
-        """After a failed connect check: whether the backend still owes. Anything received meanwhile clears it."""
+        """Return whether a backend that failed its connect check still owes a reply, and clear the debt.
+
+        False if the backend has sent data meanwhile: then it has not vanished.
+        """
         return self.owed.pop(backend, None) is not None
 
     def forget(self, backend: str) -> None:
-        """The backend is gone from the endpoint list."""
+        """Drop the state of a backend that has left the endpoint list."""
         self.owed.pop(backend, None)
         self.last_checked_us.pop(backend, None)
--- a/tests/test_lifecycle_state.py
+++ b/tests/test_lifecycle_state.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from balancer.events import EndpointListUpdate
-from gradefront.core.lifecycle_state import LifecycleEvent, LifecycleState, step
+from gradefront.core.lifecycle_state import LifecycleEvent, LifecycleState, next_state
 
 from .helper import Bench, Client
 
@@ -16,7 +16,7 @@
 
 def test_a_running_relay_may_leave_or_drain_and_leaving_has_no_way_back() -> None:
     granted = {
-        (state, event) for state in LifecycleState for event in LifecycleEvent if step(state, event) is not None
+        (state, event) for state in LifecycleState for event in LifecycleEvent if next_state(state, event) is not None
     }
     assert all(
         (state, LifecycleEvent.LEAVE) in granted
@@ -25,22 +25,22 @@
     assert all(
         (state, LifecycleEvent.LAMEDUCK) in granted for state in LifecycleState if state is not LifecycleState.STOPPED
     )
-    assert {step(LifecycleState.LEAVING, event) for event in LifecycleEvent} == {
+    assert {next_state(LifecycleState.LEAVING, event) for event in LifecycleEvent} == {
         LifecycleState.LEAVING,
         LifecycleState.STOPPING,
         None,
     }
-    assert {step(LifecycleState.STOPPING, event) for event in LifecycleEvent} == {
+    assert {next_state(LifecycleState.STOPPING, event) for event in LifecycleEvent} == {
         LifecycleState.STOPPING,
         LifecycleState.STOPPED,
         None,
     }
-    assert {step(LifecycleState.STOPPED, event) for event in LifecycleEvent} == {None}
+    assert {next_state(LifecycleState.STOPPED, event) for event in LifecycleEvent} == {None}
     assert (
-        step(LifecycleState.LEAVING, LifecycleEvent.REJOIN) is None
-        and step(LifecycleState.LAME_DUCK, LifecycleEvent.READY) is None
+        next_state(LifecycleState.LEAVING, LifecycleEvent.REJOIN) is None
+        and next_state(LifecycleState.LAME_DUCK, LifecycleEvent.READY) is None
     )
-    assert step(LifecycleState.LEAVING, LifecycleEvent.LEAVE) is None, "a second signal begins nothing anew"
+    assert next_state(LifecycleState.LEAVING, LifecycleEvent.LEAVE) is None, "a second signal begins nothing anew"
 
 
 def test_a_drain_is_spread_over_its_time_and_answers_whoever_waits() -> None:
