--- a/tests/helper.py
+++ b/tests/helper.py
@@ -1,4 +1,4 @@
-"""A relay core on a clock that the test moves, with ports that only record."""
+"""A relay core on a clock that the test advances, with clients and upstream connections that only record calls."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Upstream:
-    """A connection to a backend that records how it was closed."""
+    """An upstream connection that records how it was closed."""
 
     def __init__(self) -> None:
         self.closed: list[ConnectionEnd] = []
@@ -25,7 +25,7 @@
 
 
 class Client:
-    """A client's side that records all calls, in order."""
+    """A client connection that records the calls of the core, in order."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
@@ -52,13 +52,16 @@
 
 
 class Bench:
-    """A relay core, its clock, its connector, and a decision module that returns the actions of the test."""
+    """A relay core with a clock, a connector and a decision module under the test's control.
+
+    The decision module records all events and returns the actions that the test sets.
+    """
 
     def __init__(self, settings: Settings = SETTINGS) -> None:
         self.now = 1_000_000
         self.events: list[Event] = []
         self.actions: list[Action] = []
-        self.handle_raises = False  # the module raises
+        self.handle_raises = False  # the decision module raises an exception on each event
         self.attempts: list[Attempt] = []
         self.upstreams: list[Upstream] = []
         self.connect_checks: list[str] = []
@@ -67,7 +70,7 @@
         self.core.on_endpoint_list(EndpointListUpdate((Endpoint("box-1"), Endpoint("box-2"))))
 
     def check(self, backend: str) -> None:
-        """Part of the health checker; the module here asks for none."""
+        """Do nothing: the health checker's interface requires it, but this decision module requests no checks."""
 
     def check_connect(self, backend: str, timeout_us: int) -> None:
         self.connect_checks.append(backend)
@@ -75,7 +78,7 @@
     def handle(self, now_us: int, event: Event) -> list[Action]:
         self.events.append(event)
         if self.handle_raises:
-            raise IndexError("the module broke")
+            raise IndexError("a fault of the decision module")
         actions, self.actions = self.actions, []
         return actions
 
@@ -88,28 +91,28 @@
         return self.upstreams[-1]
 
     def run_actions(self, *actions: Action) -> None:
-        """Have the module return these actions now."""
+        """Let the decision module return these actions, and let the core execute them."""
         self.core.run_once()
         self.actions += actions
         self.core.enqueue(TimerFired(0))
         self.core.run_once()
 
     def wait(self, us: int) -> None:
-        """Let time pass, with a turn whenever the wheel is due."""
+        """Advance the clock, running the core whenever the timer wheel is due."""
         end = self.now + us
         while self.now < end:
             self.now = min(end, max(self.now + 1, self.core.timers.next_due() or end))
             self.core.run_once()
 
     def accept_client(self, timeout_us: int = 2_000_000) -> tuple[Connection, Client]:
-        """A client requests a connection."""
+        """Let a new client request a connection, and run the core."""
         client = Client()
         connection = self.core.accept(ConnectRequest(timeout_us, "request line"), client, self)
         self.core.run_once()
         return connection, client
 
     def establish(self, backend: str = "box-1") -> tuple[Connection, Client, Attempt]:
-        """A client whose connection is established."""
+        """Establish a connection of a new client at a backend."""
         connection, client = self.accept_client()
         self.run_actions(StartAttempt(connection.number, backend, 1_000_000))
         self.attempts[-1].succeed("response line")
@@ -117,5 +120,5 @@
         return connection, client, self.attempts[-1]
 
     def attempt_ends(self, connection: Connection) -> list[AttemptEnded]:
-        """The ends of attempts that were reported to the module."""
+        """Return the ends of a connection's attempts that were reported to the decision module."""
         return [e for e in self.events if isinstance(e, AttemptEnded) and e.request_id == connection.number]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core's parts and its promises to clients, without any wire."""
+"""The core's components and its guarantees to clients, without any wire protocol."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from .helper import Bench, Client
 
 
-def test_core_knows_no_wire() -> None:
+def test_core_imports_no_wire_code() -> None:
     allowed = {
         "__future__",
         "collections",
@@ -53,7 +53,7 @@
             elif isinstance(node, ast.ImportFrom) and node.level == 0:
                 assert str(node.module).split(".")[0] in allowed, path
             elif isinstance(node, ast.ImportFrom):
-                assert node.level == 1, f"{path}: reaches out of the core"
+                assert node.level == 1, f"{path}: imports from outside the core"
 
 
 @given(st.lists(st.integers(0, 3 * SLOTS * TICK_US), min_size=1, max_size=20), st.integers(50_000, 5_000_000))
@@ -69,7 +69,7 @@
     assert all(at >= d and at - d <= TICK_US for d, at in done)
 
 
-def test_wheel_turned_late_runs_what_is_due_in_order() -> None:
+def test_wheel_called_late_runs_all_due_timers_in_order() -> None:
     timers, done = TimerWheel(0), list[int]()
     for delay in (9_000_000, 50_000, 5_000_000):
         timers.set(delay, lambda delay=delay: done.append(delay))  # type: ignore[misc]
@@ -96,13 +96,13 @@
         (AttemptPhase.UP, Cause.TIMED_OUT, AttemptResult.RESET),
     ],
 )
-def test_attempt_error_gives_the_result_for_the_module(
+def test_attempt_outcome_maps_to_a_result_for_the_decision_module(
     phase: AttemptPhase, cause: Cause, result: AttemptResult
 ) -> None:
     assert AttemptOutcome(phase, cause).result is result
 
 
-def test_late_backends_are_reported_each_second_and_once_more_when_back() -> None:
+def test_late_backend_is_reported_each_interval_and_once_more_after_recovery() -> None:
     message_latency = MessageLatency(60_000)
     for took in (5_000, 30_000, 31_000):
         message_latency.add("box-1", 7, took)
@@ -114,7 +114,7 @@
     assert message_latency.pop_reports() == []
 
 
-def test_late_messages_and_load_are_reported_to_the_module() -> None:
+def test_late_messages_and_load_are_reported_to_the_decision_module() -> None:
     bench = Bench()
     connection, _, attempt = bench.establish()
     attempt.on_message_sent()
@@ -153,7 +153,7 @@
     assert client.calls == ["establish"]
 
 
-def test_connect_has_its_own_timeout() -> None:
+def test_attempt_fails_after_the_connect_timeout() -> None:
     bench = Bench()
     connection, _ = bench.accept_client()
     bench.run_actions(StartAttempt(connection.number, "box-1", 900_000))
@@ -161,8 +161,8 @@
     assert [o.result for o in bench.attempt_ends(connection)] == [AttemptResult.CONNECT_FAILED]
 
 
-def test_late_connect_sends_nothing_to_a_backend_that_drains_meanwhile() -> None:
-    # Guards rule 3: a connect may take long, and the first byte is what counts.
+def test_late_connect_sends_nothing_to_a_backend_that_began_to_drain() -> None:
+    # A draining backend must get no new requests, even if it began to drain while the connection was being opened.
     bench = Bench()
     connection, _ = bench.accept_client()
     bench.run_actions(StartAttempt(connection.number, "box-1", 900_000))
@@ -171,7 +171,7 @@
     assert bench.attempts[0].send_veto() is Cause.BROKEN
 
 
-def test_adopted_connection_goes_to_its_own_backend_only_and_at_most_four_times() -> None:
+def test_adopted_connection_is_tried_at_its_own_backend_only_and_at_most_four_times() -> None:
     bench = Bench()
     client = Client()
     connection = bench.core.adopt_connection(ConnectRequest(1, "request line"), client, bench, "box-2")
@@ -188,14 +188,14 @@
     assert connection.state is ConnectionState.ESTABLISHED
 
 
-def test_an_adopted_connection_whose_backend_is_silent_is_retried_in_time() -> None:
+def test_adopted_connection_is_retried_after_an_attempt_that_timed_out() -> None:
     bench = Bench()
     connection = bench.core.adopt_connection(ConnectRequest(1, "request line"), Client(), bench, "box-2")
     bench.wait(11_000_000)
     assert len(bench.attempts) == 2 and bench.attempts[0].is_over and connection.state is ConnectionState.CONNECTING
 
 
-def test_silent_backend_is_left_soon_and_an_idle_one_is_not() -> None:
+def test_connection_with_an_overdue_reply_is_migrated_and_an_idle_one_is_not() -> None:
     bench = Bench()
     idle, idle_client, _ = bench.establish("box-2")
     silent, client, attempt = bench.establish("box-1")
@@ -207,8 +207,8 @@
     assert bench.attempt_ends(silent)[-1].result is AttemptResult.RESET and idle.state is ConnectionState.ESTABLISHED
 
 
-def test_a_vanished_machine_is_found_by_a_connect_check_and_all_its_connections_migrate_at_once() -> None:
-    """Guards against a lost zone that each connection finds out by itself, 1.5 s after a message of its own."""
+def test_failed_connect_check_migrates_all_connections_of_a_vanished_machine_at_once() -> None:
+    """Without connect checks, each connection of a lost zone notices only 1.5 s after a message of its own."""
     bench = Bench()
     bench.core.on_endpoint_list(
         EndpointListUpdate(tuple(Endpoint(f"box-{n}", zone=zone) for n, zone in enumerate((1, 1, 1, 1, 1, 1, 2))))
@@ -216,32 +216,32 @@
     clients = [bench.establish(f"box-{n % 7}")[1:] for n in range(14)]
     clients[0][1].on_message_sent()
     bench.wait(150_000)
-    assert not bench.connect_checks, "a pause of a sound machine is no sign"
+    assert not bench.connect_checks, "checked after a short pause of a healthy machine"
     bench.wait(200_000)
-    assert bench.connect_checks == ["box-0"], "one new connection, whatever stands there"
+    assert bench.connect_checks == ["box-0"], "not exactly one check, however many connections the backend has"
     bench.core.liveness.on_connect_checked("box-0", opened=False)
     assert [c.calls for c, _ in clients[::7]] == [["establish", "migrate"]] * 2
-    assert bench.connect_checks[1:] == ["box-1", "box-2", "box-3"], "a few more in that zone, and none elsewhere"
+    assert bench.connect_checks[1:] == ["box-1", "box-2", "box-3"], "not three more backends, all of the same zone"
     bench.core.liveness.on_connect_checked("box-1", opened=True)
     clients[2][1].on_message_received()
-    bench.core.liveness.on_connect_checked("box-2", opened=False)  # it has sent something meanwhile, so it is there
+    bench.core.liveness.on_connect_checked("box-2", opened=False)  # it has sent data meanwhile, so it is alive
     bench.core.liveness.on_connect_checked("box-3", opened=False)
     bench.core.run_once()
     assert [n for n, (c, _) in enumerate(clients) if "migrate" in c.calls] == [0, 3, 7, 10]
-    assert bench.connect_checks[4:] == ["box-4", "box-5"], "each that has vanished leads on, none is asked twice"
+    assert bench.connect_checks[4:] == ["box-4", "box-5"], "not the rest of the zone, each backend once"
     silent = [e.backend for e in bench.events if isinstance(e, AttemptEnded) and e.result is AttemptResult.RESET]
     assert silent == ["box-0", "box-0", "box-3", "box-3"] and bench.core.counters.counts["boxes_vanished"] == 2
 
 
-def test_a_backend_that_replies_or_opens_is_not_checked_again_and_again() -> None:
+def test_replying_backend_is_not_checked_and_one_that_only_accepts_is_checked_once_a_second() -> None:
     bench = Bench()
     _, client, attempt = bench.establish()
-    for _ in range(20):  # answers within its aims
+    for _ in range(20):  # it replies before the silence timeout
         attempt.on_message_sent()
         bench.wait(90_000)
         attempt.on_message_received()
     assert not bench.connect_checks
-    for _ in range(9):  # it takes connections, so it is slow: one connect check a second
+    for _ in range(9):  # it accepts connections, so it is slow but alive: at most one connect check per second
         attempt.on_message_sent()
         bench.wait(100_000)
         if bench.connect_checks:
@@ -249,8 +249,8 @@
     assert bench.connect_checks == ["box-1"] and client.calls == ["establish"]
 
 
-def test_a_backend_that_opens_owes_nothing_more_once_its_client_has_left() -> None:
-    """Guards against a connect check a second for ever: a client that leaves with a message out is owed no reply."""
+def test_accepted_connect_check_ends_the_checks_for_a_client_that_disconnected() -> None:
+    """The reply to a message whose client has disconnected never arrives: checks once a second would never end."""
     bench = Bench()
     connection, _, attempt = bench.establish()
     attempt.on_message_sent()
@@ -263,42 +263,45 @@
     assert bench.connect_checks == ["box-1"] and not liveness.silence.owed and not liveness.silence_check_us
 
 
-def test_one_connection_that_falls_silent_alone_is_no_fault_of_its_backend() -> None:
+def test_silent_connection_is_not_reported_as_a_failure_if_its_backend_replies_on_another() -> None:
     bench = Bench()
-    _, other, sound = bench.establish()
+    _, other, other_attempt = bench.establish()
     silent, client, attempt = bench.establish()
     attempt.on_message_sent()
     for _ in range(4):
         bench.wait(500_000)
-        sound.on_message_sent()
-        sound.on_message_received()
+        other_attempt.on_message_sent()
+        other_attempt.on_message_received()
     assert client.calls == ["establish", "migrate"] and other.calls == ["establish"]
     assert bench.attempt_ends(silent)[-1].result is AttemptResult.CANCELLED
 
 
-def test_a_relay_that_was_asleep_itself_takes_no_backend_for_silent() -> None:
+def test_relay_that_was_held_up_itself_does_not_consider_a_backend_silent() -> None:
     bench = Bench()
     _, client, attempt = bench.establish()
     attempt.on_message_sent()
-    bench.now += 3_000_000  # no turn for so long; the reply has come meanwhile, and is read after the look
+    bench.now += (
+        3_000_000  # the core did not run for 3 s; the reply has arrived meanwhile, and is read after the check
+    )
     bench.core.run_once()
     attempt.on_message_received()
     bench.wait(1_000_000)
     assert client.calls == ["establish"]
 
 
-def test_only_a_connection_with_nothing_passing_either_way_is_ended_as_its_device_is_gone() -> None:
-    # Guards QUIC connections, whose messages nobody here can tell apart: they were all moved after two minutes.
+def test_connection_is_migrated_as_idle_only_without_data_in_either_direction() -> None:
+    # The listener can't tell the messages of a QUIC connection apart. Any data must count as activity, or all QUIC
+    # connections are migrated after two minutes.
     bench = Bench()
-    _, gone, _ = bench.establish()
-    _, used, attempt = bench.establish("box-2")
+    _, idle, _ = bench.establish()
+    _, active, attempt = bench.establish("box-2")
     for _ in range(70):
         attempt.on_activity()
         bench.wait(2_000_000)
-    assert gone.calls == ["establish", "migrate"] and used.calls == ["establish"]
+    assert idle.calls == ["establish", "migrate"] and active.calls == ["establish"]
 
 
-def test_an_exception_of_the_module_stops_at_its_connection() -> None:
+def test_exception_of_the_decision_module_fails_only_the_connection_concerned() -> None:
     bench = Bench()
     connection, client = bench.accept_client()
     other, other_client, _ = bench.establish()
@@ -313,9 +316,9 @@
     assert bench.core.counters.counts["exceptions"] >= 1
 
 
-def test_a_leaving_relay_answers_on_and_spreads_its_migrations() -> None:
+def test_leaving_relay_still_serves_requests_and_spreads_its_migrations() -> None:
     bench = Bench()
-    standing = [bench.establish()[1] for _ in range(40)]
+    clients = [bench.establish()[1] for _ in range(40)]
     done = list[int]()
     began = bench.now
     bench.core.lifecycle.leave(lambda: done.append(bench.now))
@@ -324,17 +327,17 @@
     bench.attempts[-1].succeed("response line")
     _, waiting = bench.accept_client(4_000_000)
     bench.wait(1_150_000)  # SIGKILL may come 2.7 s after SIGTERM where the longest deadline is 2 s
-    assert all(c.calls == ["establish"] for c in standing), "served as long as may be: another relay may be down"
+    assert all(c.calls == ["establish"] for c in clients), "migrated too early: another relay may still be down"
     bench.wait(500_000)
-    moved = sum("migrate" in c.calls for c in standing)
-    assert 10 < moved < 30, "spread, not all at once"
+    migrated = sum("migrate" in c.calls for c in clients)
+    assert 10 < migrated < 30, "migrations not spread over time"
     bench.wait(1_000_000)
-    assert all(c.calls == ["establish", "migrate"] for c in [*standing, late_client])
+    assert all(c.calls == ["establish", "migrate"] for c in [*clients, late_client])
     assert waiting.calls == ["reject"] and not bench.core.connections
     assert len(done) == 1 and done[0] - began <= 2_300_000
 
 
-def test_a_leaving_relay_migrates_off_a_ready_backend_at_the_end_only_and_off_a_draining_one_at_once() -> None:
+def test_leaving_relay_migrates_off_a_draining_backend_at_once_and_off_a_ready_one_only_at_the_end() -> None:
     bench = Bench()
     ready, ready_client, _ = bench.establish("box-1")
     draining, draining_client, _ = bench.establish("box-2")
@@ -346,7 +349,7 @@
     assert ready_client.calls == ["establish", "migrate"]
 
 
-def test_a_backend_that_ends_a_connection_ends_its_client_the_same_way() -> None:
+def test_connection_ended_by_its_backend_is_closed_at_the_client() -> None:
     bench = Bench()
     connection, client, attempt = bench.establish()
     attempt.end(Cause.BROKEN, ConnectionEnd.BROKEN)
--- a/tests/test_lifecycle_state.py
+++ b/tests/test_lifecycle_state.py
@@ -1,4 +1,4 @@
-"""Whether the relay accepts clients, and how it drains, against random steps."""
+"""The relay's lifecycle: its transitions, how it drains, and random sequences of lifecycle calls."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 from .helper import Bench, Client
 
-FOUR_S = 4_000_000
+DRAIN_LIMIT_US = 4_000_000
 
 
-def test_a_running_relay_may_leave_or_drain_and_leaving_has_no_way_back() -> None:
-    granted = {
+def test_running_relay_may_leave_or_drain_and_leaving_cannot_be_undone() -> None:
+    allowed = {
         (state, event) for state in LifecycleState for event in LifecycleEvent if next_state(state, event) is not None
     }
     assert all(
-        (state, LifecycleEvent.LEAVE) in granted
+        (state, LifecycleEvent.LEAVE) in allowed
         for state in (LifecycleState.STARTING, LifecycleState.SERVING, LifecycleState.LAME_DUCK)
     )
     assert all(
-        (state, LifecycleEvent.LAMEDUCK) in granted for state in LifecycleState if state is not LifecycleState.STOPPED
+        (state, LifecycleEvent.LAMEDUCK) in allowed for state in LifecycleState if state is not LifecycleState.STOPPED
     )
     assert {next_state(LifecycleState.LEAVING, event) for event in LifecycleEvent} == {
         LifecycleState.LEAVING,
@@ -40,10 +40,10 @@
         next_state(LifecycleState.LEAVING, LifecycleEvent.REJOIN) is None
         and next_state(LifecycleState.LAME_DUCK, LifecycleEvent.READY) is None
     )
-    assert next_state(LifecycleState.LEAVING, LifecycleEvent.LEAVE) is None, "a second signal begins nothing anew"
+    assert next_state(LifecycleState.LEAVING, LifecycleEvent.LEAVE) is None, "a second signal must change nothing"
 
 
-def test_a_drain_is_spread_over_its_time_and_answers_whoever_waits() -> None:
+def test_drain_spreads_migrations_over_its_time_and_answers_waiting_requests() -> None:
     bench = Bench()
     clients = [bench.establish()[1] for _ in range(30)]
     _, waiting = bench.accept_client(4_800_000)
@@ -52,77 +52,77 @@
     for _ in range(40):
         bench.wait(100_000)
         migrated.append(sum("migrate" in c.calls for c in clients))
-    assert migrated[3] == 0, "the load balancer still sends clients for a moment"
-    assert all(b - a <= 3 for a, b in zip(migrated, migrated[1:], strict=False)), "no herd"
+    assert migrated[3] == 0, "migrated while the load balancer may still send clients to this relay"
+    assert all(b - a <= 3 for a, b in zip(migrated, migrated[1:], strict=False)), "too many migrations at once"
     assert migrated[-1] == 30 and waiting.calls == ["reject"]
     _, late, _ = bench.establish()
     bench.wait(100_000)
-    assert late.calls == ["establish", "migrate"], "who comes all the same is served, then migrated"
+    assert late.calls == ["establish", "migrate"], "a client that connects after the drain is not served and migrated"
 
 
-def test_after_the_end_of_a_drain_nobody_is_moved_on_its_account() -> None:
+def test_rejoin_stops_the_migrations_of_a_drain() -> None:
     bench = Bench()
     clients = [bench.establish()[1] for _ in range(10)]
     bench.core.lifecycle.lame_duck()
     bench.wait(1_000_000)
     assert bench.core.lifecycle.rejoin() and bench.core.lifecycle.accepts_clients
-    moved = sum("migrate" in c.calls for c in clients)
-    assert 0 < moved < 10
+    migrated = sum("migrate" in c.calls for c in clients)
+    assert 0 < migrated < 10
     bench.wait(6_000_000)
-    assert sum("migrate" in c.calls for c in clients) == moved
+    assert sum("migrate" in c.calls for c in clients) == migrated
     bench.core.on_endpoint_list(EndpointListUpdate(()))
-    assert not bench.core.lifecycle.accepts_clients, "no backend, no clients"
+    assert not bench.core.lifecycle.accepts_clients, "accepts clients without any backend"
 
 
 class Lifecycles(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
         self.bench = Bench()
-        self.stood: list[tuple[int, Client]] = []
-        self.lame_us = 0  # when the drain that is on began
-        self.left_us = 0
-        self.gone = False
+        self.established: list[tuple[int, Client]] = []  # each with the time at which it was established
+        self.drain_started_us = 0  # start of the drain in progress; 0: none
+        self.leave_started_us = 0  # start of the graceful shutdown; 0: not yet
+        self.stopped = False
 
     @rule()
     def lame_duck(self) -> None:
         assert self.bench.core.lifecycle.lame_duck()
-        if not self.left_us:
-            self.lame_us = self.lame_us or self.bench.now
+        if not self.leave_started_us:
+            self.drain_started_us = self.drain_started_us or self.bench.now
 
     @rule()
     def rejoin(self) -> None:
-        assert self.bench.core.lifecycle.rejoin() == (not self.left_us)
-        if not self.left_us:
-            self.lame_us = 0
+        assert self.bench.core.lifecycle.rejoin() == (not self.leave_started_us)
+        if not self.leave_started_us:
+            self.drain_started_us = 0
 
     @rule()
     def leave(self) -> None:
-        self.left_us = self.left_us or self.bench.now
+        self.leave_started_us = self.leave_started_us or self.bench.now
 
         def done() -> None:
-            assert not self.gone, "ended once"
-            self.gone = True
+            assert not self.stopped, "stopped twice"
+            self.stopped = True
 
         self.bench.core.lifecycle.leave(done)
 
     @rule()
     def a_connection_is_established(self) -> None:
-        if not self.gone:
-            self.stood.append((self.bench.now, self.bench.establish()[1]))
+        if not self.stopped:
+            self.established.append((self.bench.now, self.bench.establish()[1]))
 
     @rule(us=st.integers(4_000, 1_500_000))
     def time_passes(self, us: int) -> None:
         self.bench.wait(us)
 
     @invariant()
-    def yes_only_in_service_and_nobody_is_held_beyond_the_drain(self) -> None:
+    def accepts_clients_only_while_serving_and_migrates_all_in_time(self) -> None:
         core = self.bench.core
-        assert core.lifecycle.accepts_clients == (not self.lame_us and not self.left_us)
-        held = [arrived_us for arrived_us, client in self.stood if "migrate" not in client.calls]
-        if self.lame_us and not self.gone and self.bench.now - self.lame_us >= FOUR_S:
-            assert all(self.bench.now - arrived_us < 200_000 for arrived_us in held)
-        if self.left_us and self.bench.now - self.left_us >= core.lifecycle.kill_us:
-            assert self.gone and not held
+        assert core.lifecycle.accepts_clients == (not self.drain_started_us and not self.leave_started_us)
+        remaining = [arrived_us for arrived_us, client in self.established if "migrate" not in client.calls]
+        if self.drain_started_us and not self.stopped and self.bench.now - self.drain_started_us >= DRAIN_LIMIT_US:
+            assert all(self.bench.now - arrived_us < 200_000 for arrived_us in remaining)
+        if self.leave_started_us and self.bench.now - self.leave_started_us >= core.lifecycle.kill_us:
+            assert self.stopped and not remaining
 
 
 Lifecycles.TestCase.settings = settings(max_examples=80, stateful_step_count=25)
--- a/tests/test_request_log.py
+++ b/tests/test_request_log.py
@@ -1,4 +1,4 @@
-"""The log lines on single requests: attempts at backends in slow start, their ends, reasons of rejections."""
+"""Log lines on requests: attempts at backends in slow start and their ends, and the reasons of rejections."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 ALLOWANCE = SlowStartAllowance(7_800_000, 0.45, 50.0, 2.0, 4.5, 3.5, 1_000_000, True)
 
 
-def test_an_attempt_at_a_backend_in_slow_start_and_its_end_are_logged_with_the_reason(
+def test_attempt_at_a_backend_in_slow_start_and_its_end_are_logged_with_the_reason(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level("INFO")
@@ -22,7 +22,7 @@
     bench.attempts[0].end(Cause.REJECTED)
     bench.run_actions(StartAttempt(connection.number, "box-2", 900_000))
     lines = [record.getMessage() for record in caplog.records if record.name == "gradefront.request"]
-    assert len(lines) == 2, "none for a warm backend"
+    assert len(lines) == 2, "the attempt at a backend that is not in slow start must not be logged"
     assert (
         "goes to box-1" in lines[0]
         and "7.80 s old" in lines[0]
--- a/tests/test_send_slot_end.py
+++ b/tests/test_send_slot_end.py
@@ -1,4 +1,7 @@
-"""Requests whose connection comes up after the end of their send slot: they are not written, and go elsewhere."""
+"""Requests whose backend connection is established after the end of their send slot.
+
+They must not be written, and go to another backend.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 ALLOWANCE = SlowStartAllowance(7_800_000, 0.45, 50.0, 2.0, 4.5, 3.5, 1_000_000, False)
 
 
-def test_a_request_is_written_until_the_end_of_its_slot_and_not_after_it() -> None:
+def test_request_may_be_written_only_before_the_end_of_its_send_slot() -> None:
     bench = Bench()
     connection, _ = bench.accept_client()
     end_us = bench.now + SLOT_US
@@ -31,11 +34,11 @@
     assert attempt.send_veto() is None
     bench.now = end_us
     assert attempt.send_veto() is Cause.SLOT_ENDED
-    attempt.advance(AttemptPhase.SENT)  # what a listener sends on once the backend has the request
+    attempt.advance(AttemptPhase.SENT)  # from here on the slot no longer applies: a listener may send further data
     assert attempt.send_veto() is None
 
 
-def test_the_end_of_a_slot_is_reported_as_a_request_that_was_never_executed() -> None:
+def test_attempt_whose_send_slot_ended_is_reported_and_may_be_retried() -> None:
     bench = Bench()
     connection, client = bench.accept_client()
     bench.run_actions(StartAttempt(connection.number, "box-1", 900_000, ALLOWANCE, bench.now + SLOT_US))
@@ -46,21 +49,21 @@
     assert len(bench.attempts) == 2 and not client.calls
 
 
-def test_a_slot_that_has_ended_is_no_fault_of_its_backend_and_the_request_goes_elsewhere() -> None:
-    """Guards against an ejection, and against a final answer while other backends are there."""
+def test_end_of_a_send_slot_does_not_eject_the_backend_and_the_request_is_retried_elsewhere() -> None:
+    """The end of a slot is not the backend's failure, nor a reason for a final answer if other backends exist."""
     b = Balancer(Settings(classes=(CLASS,)), 1)
     b.handle(0, EndpointListUpdate((Endpoint("s0"), Endpoint("s1"))))
     (start,) = of(b.handle(1_000, Request(7, 2_000_000)), StartAttempt)
     actions = b.handle(2_000, AttemptEnded(7, 0, start.backend, AttemptResult.SLOT_ENDED))
     assert not b.endpoints.backends[start.backend].ejected_until_us
     (timer,) = of(actions, SetTimer)
-    (again,) = of(b.handle(2_000 + timer.delay_us, TimerFired(timer.timer_id)), StartAttempt)
-    assert again.backend != start.backend
+    (retry,) = of(b.handle(2_000 + timer.delay_us, TimerFired(timer.timer_id)), StartAttempt)
+    assert retry.backend != start.backend
 
 
 @pytest.mark.parametrize("keeps_send_by", [True, False])
-def test_a_send_to_a_backend_in_slow_start_names_the_end_of_its_slot(keeps_send_by: bool) -> None:
-    """Guards against slots that count a late connection where the host refuses it, or the reverse."""
+def test_attempt_at_a_backend_in_slow_start_carries_the_end_of_its_send_slot(keeps_send_by: bool) -> None:
+    """The schedule must allow for late sends exactly if the host does not enforce the end of a slot."""
     rules = {"initial_capacity": 0.12, "warm_up_us": 20_000_000, "position": 0, "keeps_send_by": keeps_send_by}
     b = Balancer(Settings(**{**PROBED, **rules}), 1)
     b.handle(0, EndpointListUpdate((Endpoint("warm"), Endpoint("cold", started_us=1))))
@@ -74,16 +77,16 @@
 
 
 @pytest.mark.parametrize("late_us", [0, 520_000])
-def test_a_connection_that_comes_up_late_delivers_nothing_to_a_backend_in_slow_start(
+def test_connection_established_after_the_end_of_its_send_slot_delivers_no_request(
     tmp_path: Path, late_us: int
 ) -> None:
-    """Guards against the fall of a backend by requests of slots that have ended."""
+    """Late requests of earlier slots would overload a backend in slow start."""
     backend = Backend()
     document = settings(objective_ms=300, deadline_ms=4000, connectTimeoutUs=1_000_000)
     document["rules"] |= {"startCapacity": 0.12, "coldUs": 20_000_000, "fallUs": 500_000}
     document["position"] = 0
     loop = Loop(tmp_path, [backend], document)
-    loop.wait(2_000_000)  # what the process before sent counts until then
+    loop.wait(2_000_000)  # until then, requests that an earlier process may have sent count
     loop.known["members"][0]["up_since_ms"] = loop.now_us // 1000 - 5_000
     loop.relay.endpoint_list.apply(loop.known, complete=True)
     attempts = hold_connects(loop)
