--- a/tests/test_lost_model.py
+++ b/tests/test_lost_model.py
@@ -1,9 +1,9 @@
-"""Random orders of requests, ends, short writes, failing calls, clock steps and signals, against one oracle.
+"""Random sequences of requests, disconnects, short writes, failing calls, clock steps and signals, with one oracle.
 
-It looks from outside: each request has exactly one whole final answer in its time, and none is forwarded after its
-end.
+The oracle checks from outside that each request gets exactly one complete final answer before its deadline, and that
+no request is forwarded after its end.
 
-The relay is the real one on real sockets; what reaches a backend is judged at the system call that sends it.
+The relay under test uses real sockets; a request to a backend is checked at the system call that completes it.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 from .loop import Backend, Loop, Peer, wait_ready
 from .lost_model_records import AttemptSocket, ClientRecord
 
-PASSING = [errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN]
-ACCEPT = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ECONNABORTED, errno.EPROTO]
+TRANSIENT_ERRORS = [errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN]
+ACCEPT_ERRORS = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ECONNABORTED, errno.EPROTO]
 ANSWERS = [
     b"UP r-1\r\n",
     b"UP r-1\r\na line\r\n",
@@ -49,41 +49,41 @@
     b"BUSY\r\nUP r-2\r\n",
     b"",
 ]
-MORE = [b"a line\r\n", b"LOAD 3\r\n", b"z" * 3000 + b"\r\n", b"BYE\r\n"]
-FINAL = re.compile(rb"UP r-1|BUSY( [0-9]+)?|ERR")
-MOST_ATTEMPTS = 4
+LATER_LINES = [b"a line\r\n", b"LOAD 3\r\n", b"z" * 3000 + b"\r\n", b"BYE\r\n"]
+FINAL_ANSWER = re.compile(rb"UP r-1|BUSY( [0-9]+)?|ERR")
+MAX_ATTEMPTS = 4
 NUMBERS = st.integers(0, 1_000)
 
 
 class Oracle(RuleBasedStateMachine):
-    """Drives one relay, and judges it."""
+    """Drives one relay through random steps, and checks its behaviour."""
 
     def __init__(self) -> None:
         super().__init__()
         self.numbers = count(0x1000)
         self.clients: list[ClientRecord] = []
-        self.backend_ends: dict[int, Peer] = {}  # by the relay's port on that connection
+        self.backend_ends: dict[int, Peer] = {}  # by the relay's local port of the connection
         self.attempts: list[AttemptSocket] = []
-        self.draining: set[int] = set()  # ports of backends that the relay was told of
-        self.piece: int | None = None
-        self.wrong: list[str] = []
+        self.draining: set[int] = set()  # ports of the backends that the endpoint list reports as draining
+        self.first_write_limit: int | None = None  # bytes that a new backend connection can send; None: all
+        self.violations: list[str] = []
         self.stopping = False
         self.folder = tempfile.TemporaryDirectory()
 
     @initialize(safe=st.booleans())
     def begin(self, safe: bool) -> None:
-        values = settings(objective_ms=200, deadline_ms=1200, maxAttempts=MOST_ATTEMPTS)
+        values = settings(objective_ms=200, deadline_ms=1200, maxAttempts=MAX_ATTEMPTS)
         for grade in values["grades"]:
             grade["semantics"] = "safe" if safe else "unsafe"
         self.safe = safe
         self.backends = [Backend(), Backend()]
-        made, oracle = BackendProtocol.connectionMade, self
+        original, oracle = BackendProtocol.connectionMade, self
 
         def recorded(line: BackendProtocol) -> None:
-            sent = line.tcp.socket = AttemptSocket(line.tcp.socket, oracle.request_left)
-            sent.send_capacity = oracle.piece
-            oracle.attempts.append(sent)
-            made(line)
+            attempt = line.tcp.socket = AttemptSocket(line.tcp.socket, oracle.on_request_sent)
+            attempt.send_capacity = oracle.first_write_limit
+            oracle.attempts.append(attempt)
+            original(line)
 
         self.patch = patch.object(BackendProtocol, "connectionMade", recorded)
         self.patch.start()
@@ -93,39 +93,39 @@
 
     # ---- the oracle
 
-    def request_left(self, sent: AttemptSocket) -> None:
-        """A request has left whole, at this very system call."""
-        client = next(c for c in self.clients if c.id == sent.written[5:21])
+    def on_request_sent(self, attempt: AttemptSocket) -> None:
+        """Check a request at the system call that has sent the end of its line."""
+        client = next(c for c in self.clients if c.id == attempt.written[5:21])
         if client.half_closed:
-            self.wrong.append("sent on after its client had ended")
+            self.violations.append("forwarded after its client had shut its sending side")
         if client.broke_protocol:
-            self.wrong.append("sent on for one that has its error")
-        if sent.port in self.draining:
-            self.wrong.append("sent to a backend that drains")
+            self.violations.append("forwarded for a client that has received an error")
+        if attempt.port in self.draining:
+            self.violations.append("sent to a draining backend")
         if any(other.in_flight for other in client.attempts):
-            self.wrong.append("two attempts out at once")
+            self.violations.append("two attempts in flight at once")
         if not self.safe and any(not other.rejected for other in client.attempts):
-            self.wrong.append("an effect doubled")
-        client.attempts.append(sent)
-        if len(client.attempts) > MOST_ATTEMPTS:
-            self.wrong.append("one attempt too many")
+            self.violations.append("an unsafe request was possibly executed twice")
+        client.attempts.append(attempt)
+        if len(client.attempts) > MAX_ATTEMPTS:
+            self.violations.append("more attempts than maxAttempts")
 
     def check(self) -> None:
-        """What clients have got so far."""
-        assert not self.wrong, self.wrong
+        """Check what the clients have received so far."""
+        assert not self.violations, self.violations
         for client in self.clients:
             lines = client.lines()
             answer = lines[0] if len(lines) > 1 else b""
-            assert not answer or FINAL.fullmatch(answer), f"a wrong answer: {answer!r}"
+            assert not answer or FINAL_ANSWER.fullmatch(answer), f"not a valid final answer: {answer!r}"
             if answer and not answer.startswith(b"UP"):
                 assert lines[1:] == [b""], f"more than one answer: {lines!r}"
             if lines.count(b"MOVE"):
                 assert lines[-2:] == [b"MOVE", b""], "something after MOVE"
             if client.requested and not client.closed and self.loop.now_us > client.due_us and client.peer.sock:
-                assert answer, "no answer in its time"
+                assert answer, "no answer before the deadline"
 
     def settle(self) -> None:
-        """Some turns of the loop, and the backends' new connections."""
+        """Run some iterations of the loop, accept the backends' new connections, and check the clients."""
         self.loop.step(3)
         for backend in self.backends:
             while backend.has_pending:
@@ -135,34 +135,34 @@
         self.check()
 
     def pick(self, n: int) -> ClientRecord | None:
-        able = [c for c in self.clients if not c.closed]
-        return able[n % len(able)] if able else None
+        candidates = [c for c in self.clients if not c.closed]
+        return candidates[n % len(candidates)] if candidates else None
 
     # ---- clients
 
     @precondition(lambda self: len(self.clients) < 12)
     @rule(asks=st.booleans(), d=st.sampled_from([300, 900]))
-    def client_comes(self, asks: bool, d: int) -> None:
+    def client_connects(self, asks: bool, d: int) -> None:
         if self.stopping:
             return
         port = self.loop.relay.port.getHost().port
         client = ClientRecord(next(self.numbers), Peer(socket.create_connection(("127.0.0.1", port))))
         self.clients.append(client)
         if asks:
-            self.ask(client, d)
+            self.send_request(client, d)
         self.settle()
 
-    def ask(self, client: ClientRecord, d: int) -> None:
+    def send_request(self, client: ClientRecord, d: int) -> None:
         client.peer.send_line(f"OPEN {client.id.decode()} 7f3a9c21e0b4d655 c=visit-checkin,d={d},g=5c0f6e1a2b3d4c59")
         client.requested = True
-        client.due_us = self.loop.now_us + d * 1000 + 60_000  # an accept that failed may take some ms
+        client.due_us = self.loop.now_us + d * 1000 + 60_000  # allows for the delay of a failed accept
 
     @rule(n=NUMBERS)
     def client_is_served(self, n: int) -> None:
-        """The usual course, so that there is something to disturb."""
-        self.client_comes(True, 900)
+        """Establish a connection, so that other rules have one to disturb."""
+        self.client_connects(True, 900)
         self.time_passes(40_000)
-        self.backend_takes(n)
+        self.backend_serves_client(n)
 
     @rule(n=NUMBERS, d=st.sampled_from([300, 900]))
     def client_asks(self, n: int, d: int) -> None:
@@ -176,39 +176,39 @@
             and not client.peer.received
             and not client.peer.ended
         ):
-            self.ask(client, d)
+            self.send_request(client, d)
             self.settle()
 
-    @rule(n=NUMBERS, what=st.sampled_from([b"a message\r\n", b"half", b"x" * 5000]))
-    def client_says_more(self, n: int, what: bytes) -> None:
+    @rule(n=NUMBERS, payload=st.sampled_from([b"a message\r\n", b"half", b"x" * 5000]))
+    def client_sends_more(self, n: int, payload: bytes) -> None:
         client = self.pick(n)
         if client and client.requested and not client.half_closed and not client.peer.ended:
-            waits = not client.peer.read()
-            if waits and what != b"half":
+            is_waiting = not client.peer.read()
+            if is_waiting and payload != b"half":
                 self.settle()
-                waits = not client.peer.read()
+                is_waiting = not client.peer.read()
             try:
-                client.peer.send(what)
+                client.peer.send(payload)
             except ConnectionError:
                 return
             self.settle()
             client.broke_protocol = client.broke_protocol or (
-                waits and what != b"half" and client.lines()[0] == b"ERR"
+                is_waiting and payload != b"half" and client.lines()[0] == b"ERR"
             )
 
-    @rule(n=NUMBERS, how=st.sampled_from(["close", "reset", "half"]), seen=st.booleans())
-    def client_ends(self, n: int, how: str, seen: bool) -> None:
+    @rule(n=NUMBERS, ending=st.sampled_from(["close", "reset", "half"]), seen=st.booleans())
+    def client_disconnects(self, n: int, ending: str, seen: bool) -> None:
         client = self.pick(n)
         if client is None or client.half_closed:
             return
-        self.settle()  # what was under way before is judged as before
+        self.settle()  # a request that is sent before the client ends is no violation
         client.half_closed = True
         try:
-            if how == "half":
+            if ending == "half":
                 client.peer.sock.shutdown(socket.SHUT_WR)
             else:
                 client.closed = True
-                client.peer.close(reset=how == "reset")
+                client.peer.close(reset=ending == "reset")
         except OSError:
             client.closed = True
         if seen:
@@ -218,40 +218,42 @@
 
     @rule(n=NUMBERS, answer=st.sampled_from(ANSWERS), end=st.sampled_from(["", "close", "reset"]))
     def backend_answers(self, n: int, answer: bytes, end: str) -> None:
-        able = [
-            s for s in self.attempts if s.in_flight and not s.begun and s.real.getsockname()[1] in self.backend_ends
+        candidates = [
+            a
+            for a in self.attempts
+            if a.in_flight and not a.answer_started and a.real.getsockname()[1] in self.backend_ends
         ]
-        if not able:
+        if not candidates:
             return
-        sent = able[n % len(able)]
-        peer = self.backend_ends[sent.real.getsockname()[1]]
-        sent.begun = bool(answer)
-        if b"\r\n" in sent.written:
-            sent.answered = bool(answer.count(b"\r\n") or end)
-            sent.rejected = answer.startswith(b"BUSY")
+        attempt = candidates[n % len(candidates)]
+        peer = self.backend_ends[attempt.real.getsockname()[1]]
+        attempt.answer_started = bool(answer)
+        if b"\r\n" in attempt.written:
+            attempt.answered = bool(answer.count(b"\r\n") or end)
+            attempt.rejected = answer.startswith(b"BUSY")
         try:
             peer.send(answer)
             if end:
                 peer.close(reset=end == "reset")
-                del self.backend_ends[sent.real.getsockname()[1]]
+                del self.backend_ends[attempt.real.getsockname()[1]]
         except ConnectionError:
             pass
         self.settle()
 
     @rule(n=NUMBERS)
-    def backend_takes(self, n: int) -> None:
+    def backend_serves_client(self, n: int) -> None:
         self.backend_answers(n, b"UP r-1\r\n", "")
 
-    @rule(n=NUMBERS, line=st.sampled_from(MORE))
-    def backend_says_more(self, n: int, line: bytes) -> None:
-        able = [
-            s
-            for s in self.attempts
-            if s.real.fileno() >= 0 and s.real.getsockname()[1] in self.backend_ends and s.answered and not s.rejected
+    @rule(n=NUMBERS, line=st.sampled_from(LATER_LINES))
+    def backend_sends_more(self, n: int, line: bytes) -> None:
+        candidates = [
+            a
+            for a in self.attempts
+            if a.real.fileno() >= 0 and a.real.getsockname()[1] in self.backend_ends and a.answered and not a.rejected
         ]
-        if able:
+        if candidates:
             with suppress(ConnectionError):
-                self.backend_ends[able[n % len(able)].real.getsockname()[1]].send(line)
+                self.backend_ends[candidates[n % len(candidates)].real.getsockname()[1]].send(line)
             self.settle()
 
     @rule(n=NUMBERS, drains=st.booleans())
@@ -263,106 +265,111 @@
         (self.draining.add if drains else self.draining.discard)(self.backends[number].port)
         self.settle()
 
-    # ---- what goes wrong
+    # ---- faults, and calls by operators
 
-    @rule(piece=st.sampled_from([None, 0, 7, 40]))
-    def first_lines_leave_in_pieces(self, piece: int | None) -> None:
-        self.piece = piece
-        for sent in self.attempts if piece is None else ():
-            sent.send_capacity = None
+    @rule(limit=st.sampled_from([None, 0, 7, 40]))
+    def first_lines_are_sent_in_pieces(self, limit: int | None) -> None:
+        self.first_write_limit = limit
+        for attempt in self.attempts if limit is None else ():
+            attempt.send_capacity = None
         self.settle()
 
     def transports(self) -> set[Any]:
-        """All that the relay's loop reads or writes."""
+        """Return all transports that the relay's loop reads or writes."""
         return {*self.loop.reactor.getReaders(), *self.loop.reactor.getWriters()}
 
     def client_socket(self, n: int) -> FaultySocket | None:
-        sides = [end for end in self.transports() if isinstance(getattr(end, "protocol", None), ClientProtocol)]
-        sides = [side for side in sides if side.connected]
-        if not sides:
+        clients = [t for t in self.transports() if isinstance(getattr(t, "protocol", None), ClientProtocol)]
+        clients = [transport for transport in clients if transport.connected]
+        if not clients:
             return None
-        side = sorted(sides, key=lambda s: s.fileno())[n % len(sides)]
-        return side.socket if isinstance(side.socket, FaultySocket) else faulty(side)
+        transport = sorted(clients, key=lambda s: s.fileno())[n % len(clients)]
+        return transport.socket if isinstance(transport.socket, FaultySocket) else faulty(transport)
 
     @rule(n=NUMBERS, send_capacity=st.sampled_from([0, 3, 1_000]))
-    def client_takes_little(self, n: int, send_capacity: int) -> None:
+    def client_takes_few_bytes(self, n: int, send_capacity: int) -> None:
         if sock := self.client_socket(n):
             sock.send_capacity = send_capacity
 
     @rule()
-    def clients_take_all(self) -> None:
+    def clients_take_all_bytes(self) -> None:
         self.lift_send_limits()
         self.settle()
 
     def lift_send_limits(self) -> None:
-        for end in self.transports():
-            if isinstance(getattr(end, "socket", None), FaultySocket):
-                end.socket.send_capacity = None
-
-    @rule(n=NUMBERS, call=st.sampled_from(["recv", "send"]), number=st.sampled_from(PASSING), times=st.integers(1, 3))
+        for transport in self.transports():
+            if isinstance(getattr(transport, "socket", None), FaultySocket):
+                transport.socket.send_capacity = None
+
+    @rule(
+        n=NUMBERS,
+        call=st.sampled_from(["recv", "send"]),
+        number=st.sampled_from(TRANSIENT_ERRORS),
+        times=st.integers(1, 3),
+    )
     def a_call_fails(self, n: int, call: str, number: int, times: int) -> None:
         if sock := self.client_socket(n):
             sock.errors[call] = [number] * times
 
-    @rule(number=st.sampled_from(ACCEPT), times=st.integers(1, 3))
+    @rule(number=st.sampled_from(ACCEPT_ERRORS), times=st.integers(1, 3))
     def accept_fails(self, number: int, times: int) -> None:
         port = self.loop.relay.port
         if not self.stopping and isinstance(port.socket, FaultySocket):
             port.socket.errors["accept"] = [number] * times
 
     @rule()
-    def the_wall_clock_steps(self) -> None:
+    def the_wall_clock_is_stepped(self) -> None:
         self.loop.relay.endpoint_list.stepped = lambda: True
 
     @rule(us=st.sampled_from([4_000, 40_000, 160_000, 400_000]))
     def time_passes(self, us: int) -> None:
         self.settle()
-        self.lift_send_limits()  # whoever takes nothing for so long has itself to blame
+        self.lift_send_limits()  # a client that reads nothing for so long gets no answer by its own fault
         self.loop.wait(us)
         self.settle()
 
     @rule()
-    def a_new_configuration_comes(self) -> None:
+    def a_new_configuration_is_loaded(self) -> None:
         with patch.dict(os.environ, {"LB_CONFIG": str(Path(self.folder.name) / "config.json")}):
             self.loop.relay.reload()
         self.settle()
 
-    @rule(empties=st.booleans())
-    def operators_call(self, empties: bool) -> None:
+    @rule(drains=st.booleans())
+    def operators_drain_or_rejoin(self, drains: bool) -> None:
         lifecycle = self.loop.core.lifecycle
-        (lifecycle.lame_duck if empties else lifecycle.rejoin)()
+        (lifecycle.lame_duck if drains else lifecycle.rejoin)()
         self.settle()
 
     @precondition(lambda self: len(self.clients) > 4)
     @rule()
     def the_relay_is_stopped(self) -> None:
-        """SIGTERM: time runs on, as far as the last answers."""
+        """Start a graceful shutdown, as SIGTERM does; later rules let time pass until the last answers."""
         self.stopping = True
         self.loop.leave()
         self.settle()
 
     def teardown(self) -> None:
-        """The relay is told to end, and all that was taken on is settled."""
+        """Shut the relay down, and check that it has answered every request that it accepted."""
         if not hasattr(self, "loop"):
             return
         try:
             self.settle()
             self.lift_send_limits()
-            self.piece = None
-            for sent in self.attempts:
-                sent.send_capacity = None
+            self.first_write_limit = None
+            for attempt in self.attempts:
+                attempt.send_capacity = None
             self.stopping = True
             self.loop.leave()
             self.loop.wait(self.loop.core.lifecycle.kill_us, 10_000)
-            assert self.loop.stopped, "it did not end"
-            assert not self.wrong, self.wrong
+            assert self.loop.stopped, "the relay did not stop before SIGKILL"
+            assert not self.violations, self.violations
             for client in self.clients:
                 if client.closed:
                     continue
                 if not client.peer.ended:
                     wait_ready(client.peer.sock, select.POLLIN | select.POLLRDHUP)
                 lines = client.lines()
-                assert not client.requested or FINAL.fullmatch(lines[0]), f"never answered: {lines!r}"
+                assert not client.requested or FINAL_ANSWER.fullmatch(lines[0]), f"no final answer: {lines!r}"
         finally:
             self.patch.stop()
             for client in self.clients:
--- a/tests/test_lost_requests.py
+++ b/tests/test_lost_requests.py
@@ -1,4 +1,4 @@
-"""Requests whose client, backend or connection fails in the middle: what is still answered, and what is forwarded."""
+"""Requests whose client, backend or connection fails midway: whether they are still answered or forwarded."""
 
 from __future__ import annotations
 
@@ -18,35 +18,35 @@
 from .faults import FaultySocket, failure, faulty
 from .loop import Backend, Loop, Peer, hold_connects, wait_ready
 
-BROKEN = [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ECONNRESET, errno.EPIPE]
-PASSING = [errno.ENOBUFS, errno.ENOMEM, errno.EINTR]
+FATAL_ERRORS = [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ECONNRESET, errno.EPIPE]
+TRANSIENT_ERRORS = [errno.ENOBUFS, errno.ENOMEM, errno.EINTR]
 
 
-def accepted(loop: Loop, backend: Backend) -> Peer:
-    """The backend's end of a connection that has brought a request whole."""
+def receive_request(loop: Loop, backend: Backend) -> Peer:
+    """Wait until the backend has received a complete request. Returns the backend's end of the connection."""
     loop.until(lambda: loop.wait(4_000) or backend.has_pending)
     peer = backend.accept()
     loop.until(lambda: peer.read().endswith(b"\r\n"))
     return peer
 
 
-def broke_off(monkeypatch: pytest.MonkeyPatch, piece: int) -> list[FaultySocket]:
-    """From now on a first line leaves in pieces: one piece, then nothing until its socket is given room."""
+def limit_first_write(monkeypatch: pytest.MonkeyPatch, size: int) -> list[FaultySocket]:
+    """Let new backend connections send only `size` bytes at first. Returns the growing list of their sockets."""
     sockets = list[FaultySocket]()
-    made = BackendProtocol.connectionMade
+    original = BackendProtocol.connectionMade
 
-    def first_piece(line: BackendProtocol) -> None:
+    def limited(line: BackendProtocol) -> None:
         sock = faulty(line.tcp)
-        sock.send_capacity = piece
+        sock.send_capacity = size
         sockets.append(sock)
-        made(line)
+        original(line)
 
-    monkeypatch.setattr(BackendProtocol, "connectionMade", first_piece)
+    monkeypatch.setattr(BackendProtocol, "connectionMade", limited)
     return sockets
 
 
-def fails_at_the_look(loop: Loop, number: int) -> tuple[Peer, list[Attempt]]:
-    """A client whose connection fails so as its relay looks at it, when a connection to a backend has come up."""
+def client_failing_at_the_last_check(loop: Loop, number: int) -> tuple[Peer, list[Attempt]]:
+    """Open a client whose socket fails when the relay checks, just before it sends, that the client is connected."""
     client = loop.client()
     side = loop.protocol_of(client)
     attempts = hold_connects(loop)
@@ -60,14 +60,14 @@
 # ---- the client's side
 
 
-@pytest.mark.parametrize("number", PASSING)
-def test_a_read_that_fails_for_a_moment_ends_no_client(tmp_path: Path, number: int) -> None:
+@pytest.mark.parametrize("number", TRANSIENT_ERRORS)
+def test_transient_error_reading_from_a_client_does_not_end_it(tmp_path: Path, number: int) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client = loop.client()
     faulty(loop.protocol_of(client).tcp).errors["recv"] = [number] * 2
     loop.open(client)
-    served = accepted(loop, backend)
+    served = receive_request(loop, backend)
     served.send_line("UP r-1")
     loop.until(lambda: client.read() == b"UP r-1\r\n")
     loop.protocol_of(client).tcp.socket.errors["recv"] = [number] * 2
@@ -75,35 +75,35 @@
     loop.until(lambda: served.read().endswith(b"a message\r\n"))
 
 
-@pytest.mark.parametrize("number", PASSING)
-def test_a_read_of_a_backend_that_fails_for_a_moment_ends_no_request(tmp_path: Path, number: int) -> None:
+@pytest.mark.parametrize("number", TRANSIENT_ERRORS)
+def test_transient_error_reading_from_a_backend_does_not_end_the_request(tmp_path: Path, number: int) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client = loop.client()
     loop.open(client)
-    served = accepted(loop, backend)
+    served = receive_request(loop, backend)
     (connection,) = loop.core.connections.values()
     faulty(connection.attempt.upstream.line_protocol.tcp).errors["recv"] = [number] * 2  # type: ignore[union-attr]
     served.send_line("UP r-1")
     loop.until(lambda: client.read() == b"UP r-1\r\n")
 
 
-@pytest.mark.parametrize("number", PASSING)
-def test_a_look_that_fails_for_a_moment_takes_no_client_for_gone(tmp_path: Path, number: int) -> None:
+@pytest.mark.parametrize("number", TRANSIENT_ERRORS)
+def test_transient_error_of_the_last_check_does_not_end_the_client(tmp_path: Path, number: int) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
-    client, _ = fails_at_the_look(loop, number)
-    served = accepted(loop, backend)
+    client, _ = client_failing_at_the_last_check(loop, number)
+    served = receive_request(loop, backend)
     loop.order.held.clear()
     served.send_line("UP r-1")
     loop.until(lambda: client.read() == b"UP r-1\r\n")
 
 
-@pytest.mark.parametrize("number", BROKEN)
-def test_a_client_whose_connection_shows_as_broken_at_the_look_is_not_sent_on(tmp_path: Path, number: int) -> None:
+@pytest.mark.parametrize("number", FATAL_ERRORS)
+def test_request_of_a_client_found_broken_at_the_last_check_is_not_forwarded(tmp_path: Path, number: int) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
-    client, attempts = fails_at_the_look(loop, number)
+    client, attempts = client_failing_at_the_last_check(loop, number)
     loop.until(lambda: attempts[0].is_over)
     loop.order.held.clear()
     client.close()
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("when", ["in the queue", "connecting", "sent", "in a backoff"])
-def test_a_client_that_shuts_its_sending_side_hears_an_error_and_is_not_sent_on(tmp_path: Path, when: str) -> None:
+def test_waiting_client_that_shuts_its_sending_side_is_answered_and_not_forwarded(tmp_path: Path, when: str) -> None:
     backends = [] if when == "in a backoff" else [Backend()]
     loop = Loop(tmp_path, backends)
     client = loop.client()
@@ -127,7 +127,7 @@
     else:
         loop.open(client)
         if when == "sent":
-            accepted(loop, backends[0])
+            receive_request(loop, backends[0])
         elif when == "connecting":
             loop.until(lambda: attempts)
         client.sock.shutdown(socket.SHUT_WR)
@@ -139,10 +139,10 @@
     assert not loop.core.connections and not loop.relay.client_factory.open_connections
     for backend in backends if when in ("connecting", "in the queue") else ():
         while backend.has_pending:
-            assert b"OPEN" not in backend.accept().read(), "sent on after its client had ended"
+            assert b"OPEN" not in backend.accept().read(), "forwarded after its client had shut its sending side"
 
 
-def test_a_client_that_is_served_and_shuts_its_sending_side_ends_both_in_order(tmp_path: Path) -> None:
+def test_established_client_that_shuts_its_sending_side_ends_both_sides_in_order(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client, served = loop.establish(backend)
@@ -160,7 +160,7 @@
     assert not loop.core.connections
 
 
-def test_a_client_that_shuts_its_sending_side_before_it_has_asked_is_ended_in_order(tmp_path: Path) -> None:
+def test_client_that_shuts_its_sending_side_before_its_request_is_complete_is_ended_in_order(tmp_path: Path) -> None:
     loop = Loop(tmp_path, [])
     client = loop.client()
     client.send(b"OPEN 9b1f")
@@ -170,11 +170,11 @@
     loop.until(lambda: not loop.relay.client_factory.open_connections)
 
 
-# ---- the first line in pieces
+# ---- the request line sent in several pieces
 
 
 @pytest.mark.parametrize(
-    "what",
+    "event",
     [
         "the client leaves",
         "the client shuts its side",
@@ -184,18 +184,18 @@
         "the time is over",
     ],
 )
-def test_a_request_that_has_left_in_part_leaves_no_further(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, what: str
+def test_rest_of_a_partly_sent_request_is_not_sent_after_the_event(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, event: str
 ) -> None:
     backend, other = Backend(), Backend()
-    drains = what == "the backend drains"
+    drains = event == "the backend drains"
     loop = Loop(tmp_path, [backend, other] if drains else [backend])
     if drains:
         loop.relay.endpoint_list.apply(
             {"revision": 2, "complete": False, "members": [{**loop.known["members"][1], "phase": "DRAINING"}]}
         )
         loop.step(2)
-    sockets = broke_off(monkeypatch, 10)
+    sockets = limit_first_write(monkeypatch, 10)
     client = loop.client()
     side = loop.protocol_of(client)
     loop.open(client)
@@ -206,12 +206,12 @@
     (connection,) = loop.core.connections.values()
     attempt = connection.attempt
     assert attempt and connection.state is ConnectionState.CONNECTING
-    loop.order.held.add(side.tcp.fileno())  # the loop is busy, and does not read what the client does
-    if what == "the client leaves":
+    loop.order.held.add(side.tcp.fileno())  # the loop is busy and does not read the client's socket
+    if event == "the client leaves":
         client.close()
-    elif what == "the client shuts its side":
+    elif event == "the client shuts its side":
         client.sock.shutdown(socket.SHUT_WR)
-    elif what == "the client is reset":
+    elif event == "the client is reset":
         client.close(reset=True)
     elif drains:
         loop.relay.endpoint_list.apply(
@@ -224,29 +224,29 @@
                 ],
             }
         )
-    elif what == "the relay stops":
+    elif event == "the relay stops":
         loop.core.lifecycle.stop(lambda: None)
     else:
         loop.now_us = connection.deadline_us + 1_000
-    if what.startswith("the client"):
+    if event.startswith("the client"):
         wait_ready(side.tcp.socket, select.POLLRDHUP)
     sockets[0].send_capacity = None
     loop.until(lambda: attempt.is_over)
     loop.order.held.clear()
     loop.until(lambda: served.read() and served.ended)
-    assert served.received == b"OPEN 00000", "the rest has left"
-    if drains:  # it never ran there, and goes where it may
+    assert served.received == b"OPEN 00000", "the rest of the request was sent"
+    if drains:  # the request was not executed there, and is sent to the other backend
         monkeypatch.undo()
-        assert accepted(loop, other).received.startswith(b"OPEN ")
-    elif not what.startswith("the client"):
+        assert receive_request(loop, other).received.startswith(b"OPEN ")
+    elif not event.startswith("the client"):
         loop.until(lambda: client.read() and client.ended)
         assert client.received.split()[0] in (b"BUSY", b"ERR") and not client.reset
 
 
-def test_a_request_that_leaves_in_pieces_arrives_whole(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_sent_in_several_pieces_arrives_complete(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
-    sockets = broke_off(monkeypatch, 10)
+    sockets = limit_first_write(monkeypatch, 10)
     client = loop.client()
     loop.open(client)
     loop.until(lambda: loop.wait(4_000) or sockets)
@@ -263,26 +263,26 @@
 
 
 @pytest.mark.parametrize("answer", [b"UP r-0\r\n", b"ERR\r\n", b"BYE\r\n", b"MOVE\r\n"])
-def test_an_answer_before_the_request_has_left_whole_is_none(
+def test_response_before_the_request_was_sent_completely_is_ignored(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, answer: bytes
 ) -> None:
     backends = [Backend(), Backend()]
     loop = Loop(tmp_path, backends)
-    sockets = broke_off(monkeypatch, 10)
+    sockets = limit_first_write(monkeypatch, 10)
     client = loop.client()
     loop.open(client)
     loop.until(lambda: loop.wait(4_000) or sockets)
     early = next(b for b in backends if b.has_pending)
     early.accept().send(answer)
     monkeypatch.undo()
-    other = accepted(loop, next(b for b in backends if b is not early))
+    other = receive_request(loop, next(b for b in backends if b is not early))
     assert client.read() == b""
     other.send_line("UP r-1")
     loop.until(lambda: client.read() == b"UP r-1\r\n")
 
 
-def test_the_look_at_the_client_is_the_last_thing_before_the_request_leaves(tmp_path: Path) -> None:
-    """Whatever holds the relay up meanwhile: from the look on, only one system call is between."""
+def test_client_is_checked_last_before_the_request_is_sent(tmp_path: Path) -> None:
+    """However long the relay was held up before, only one system call separates the check from the send."""
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client = loop.client()
@@ -291,15 +291,15 @@
     loop.until(lambda: attempts)
     side = loop.protocol_of(client)
     watcher: Any = loop.core.endpoint_watcher
-    catch_up = watcher.read_pending
+    original = watcher.read_pending
 
-    def held_up() -> None:
-        catch_up()
+    def read_pending_slowly() -> None:
+        original()
         loop.now_us += 150_000
         client.close()
         wait_ready(side.tcp.socket, select.POLLRDHUP)
 
-    watcher.read_pending = held_up
+    watcher.read_pending = read_pending_slowly
     loop.order.held = {side.tcp.fileno()}
     loop.until(lambda: attempts[0].is_over)
     loop.order.held.clear()
@@ -323,7 +323,7 @@
     ],
 )
 @pytest.mark.parametrize("call", ["connect", "socket"])
-def test_a_connection_that_cannot_be_made_for_a_moment_is_made_elsewhere(
+def test_attempt_that_fails_to_connect_is_retried_at_another_backend(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, number: int, call: str
 ) -> None:
     from twisted.internet import tcp
@@ -353,9 +353,9 @@
     assert failed
 
 
-@pytest.mark.parametrize("number", BROKEN)
+@pytest.mark.parametrize("number", FATAL_ERRORS)
 @pytest.mark.parametrize("call", ["recv", "send"])
-def test_a_backend_whose_connection_shows_as_broken_may_have_run_what_was_sent(
+def test_unsafe_request_whose_backend_connection_breaks_after_the_send_fails_without_a_retry(
     tmp_path: Path, number: int, call: str
 ) -> None:
     values = settings(objective_ms=300, deadline_ms=1500)
@@ -372,12 +372,12 @@
     results = list[AttemptResult]()
     enqueue = loop.core.enqueue
 
-    def hear(event: Event) -> None:
+    def record(event: Event) -> None:
         if isinstance(event, AttemptEnded):
             results.append(event.result)
         enqueue(event)
 
-    loop.core.enqueue = hear  # type: ignore[method-assign]
+    loop.core.enqueue = record  # type: ignore[method-assign]
     loop.until(lambda: loop.wait(4_000) or attempt.write_started_us)
     line: Any = attempt.upstream.line_protocol  # type: ignore[union-attr]
     sock = faulty(line.tcp)
@@ -385,10 +385,10 @@
     if call == "send":
         line.tcp.write(b"x")
     else:
-        line.tcp.reactor.callLater(0, line.tcp.doRead)  # as the loop does when there is something to read
+        line.tcp.reactor.callLater(0, line.tcp.doRead)  # as the loop does when the socket is readable
         sock.errors[call] = [number] * 2
         loop.step()
-        why = line.tcp.doRead()
-        line.tcp.reactor._disconnectSelectable(line.tcp, why, True)
+        reason = line.tcp.doRead()
+        line.tcp.reactor._disconnectSelectable(line.tcp, reason, True)
     loop.until(lambda: client.read() and client.ended)
     assert client.received == b"ERR\r\n" and results == [AttemptResult.RESET]
--- a/tests/test_moments_send.py
+++ b/tests/test_moments_send.py
@@ -1,5 +1,8 @@
-"""Rare moments of attempts: windows that close, late connects, broken answers, clients that go, health checks that
-cross."""
+"""Race conditions of attempts.
+
+They concern deduplication windows that end, late connects, malformed answers, clients that disconnect, and health
+checks that meet a stray response or a closing connection.
+"""
 
 from __future__ import annotations
 
@@ -28,42 +31,46 @@
 from .loop import Backend, Loop, Peer, fail_on_hang, hold_connects, wait_ready
 
 
-def stored_rules(effect: str, scope: str = "all", window_ms: int = 400, **more: Any) -> dict[str, Any]:
+def settings_with_dedup_window(
+    idempotency: str, scope: str = "all", window_ms: int = 400, **more: Any
+) -> dict[str, Any]:
+    """Return a settings document whose classes all have these idempotency rules."""
     document = settings(**{"objective_ms": 300, "deadline_ms": 4000, **more})
     for grade in document["grades"]:
-        grade.update(semantics=effect, keyScope=scope, dedupWindowUs=window_ms * 1000)
+        grade.update(semantics=idempotency, keyScope=scope, dedupWindowUs=window_ms * 1000)
     return document
 
 
-def called(backends: list[Backend]) -> tuple[int, Peer]:
-    """The backend that a connection waits at, and that connection."""
+def accept_pending(backends: list[Backend]) -> tuple[int, Peer]:
+    """Accept the pending connection. Returns the number of its backend, and the connection."""
     number = next(n for n, b in enumerate(backends) if b.has_pending)
     return number, backends[number].accept()
 
 
-def first_at(loop: Loop, backends: list[Backend]) -> tuple[int, Peer]:
+def receive_request(loop: Loop, backends: list[Backend]) -> tuple[int, Peer]:
+    """Wait for a request at any backend. Returns the number of the backend, and the connection."""
     loop.until(lambda: loop.wait(4_000) or any(b.has_pending for b in backends))
-    number, peer = called(backends)
+    number, peer = accept_pending(backends)
     loop.until(lambda: peer.read().endswith(b"\r\n"))
     return number, peer
 
 
 @pytest.mark.parametrize(
-    ("effect", "scope", "answer"),
+    ("idempotency", "scope", "answer"),
     [("keyed", "all", b"BUSY"), ("keyed", "zone", b"ERR"), ("keyed", "cell", b"ERR"), ("safe", "all", b"")],
 )
-def test_a_window_that_closes_while_a_connection_opens_lets_no_retry_through(
-    tmp_path: Path, effect: str, scope: str, answer: bytes
+def test_retry_is_not_sent_if_the_dedup_window_ends_while_its_connection_opens(
+    tmp_path: Path, idempotency: str, scope: str, answer: bytes
 ) -> None:
     backends = [Backend(), Backend(), Backend()]
-    document = stored_rules(effect, scope, 400, connectTimeoutUs=1_000_000)
+    document = settings_with_dedup_window(idempotency, scope, 400, connectTimeoutUs=1_000_000)
     loop = Loop(tmp_path, backends, document)
     for member in loop.known["members"]:
         member["cell"] = 1
     loop.relay.endpoint_list.apply(loop.known, complete=True)
     client = loop.client()
     loop.open(client, d=4000)
-    number, peer = first_at(loop, backends)
+    number, peer = receive_request(loop, backends)
     written_us = loop.now_us
     attempts = hold_connects(loop)
     peer.close(reset=True)
@@ -76,47 +83,47 @@
     at_second = backends[second].accept()
     loop.until(lambda: at_second.read() or attempts[0].is_over)
     loop.step(4)
-    if effect == "safe":
+    if idempotency == "safe":
         assert b"OPEN" in at_second.read()
         return
-    assert b"OPEN" not in at_second.read(), "a retry outside the window of the first attempt"
+    assert b"OPEN" not in at_second.read(), "a retry after the end of the first attempt's deduplication window"
     loop.until(lambda: client.read().endswith(b"\r\n"))
     assert client.received.split()[0] == answer
 
 
 @pytest.mark.parametrize("scope", [KeyScope.ALL, KeyScope.CELL])
-def test_a_retry_that_would_wait_beyond_its_window_is_abandoned_at_once(scope: KeyScope) -> None:
+def test_retry_that_would_start_after_the_dedup_window_is_abandoned_at_once(scope: KeyScope) -> None:
     request_class = RequestClass(600_000, 5_000_000, Idempotency.KEYED, scope, 50_000)
     for seed in range(20):
         b = Balancer(Settings(classes=(request_class,), max_attempts=4), seed)
         b.handle(0, EndpointListUpdate((Endpoint("s1"), Endpoint("s2"), Endpoint("s3"))))
         (start,) = [a for a in b.handle(1_000, Request(7, 5_000_000)) if isinstance(a, StartAttempt)]
         actions = b.handle(2_000, AttemptEnded(7, 0, start.backend, AttemptResult.RESET))
-        waits = [a.delay_us for a in actions if isinstance(a, SetTimer)]
+        delays_us = [a.delay_us for a in actions if isinstance(a, SetTimer)]
         answers = [a for a in actions if isinstance(a, Reject | Fail)]
-        assert len(answers) + len(waits) == 1
-        assert all(w < 49_000 for w in waits), "a wait that ends when nothing may be sent any more"
+        assert len(answers) + len(delays_us) == 1
+        assert all(delay_us < 49_000 for delay_us in delays_us), "a retry is scheduled for after the window's end"
         assert all(isinstance(a, Reject) == (scope is KeyScope.ALL) for a in answers)
 
 
-@pytest.mark.parametrize("what", ["reset as the line is written", "half an answer", "a timeout"])
-def test_what_was_possibly_executed_and_is_not_idempotent_is_never_sent_twice(tmp_path: Path, what: str) -> None:
+@pytest.mark.parametrize("failure", ["reset as the line is written", "half an answer", "a timeout"])
+def test_possibly_executed_request_that_is_not_idempotent_is_never_sent_twice(tmp_path: Path, failure: str) -> None:
     backends = [Backend(), Backend()]
-    loop = Loop(tmp_path, backends, stored_rules("unsafe", deadline_ms=2000))
+    loop = Loop(tmp_path, backends, settings_with_dedup_window("unsafe", deadline_ms=2000))
     client = loop.client()
     loop.open(client, d=2000)
-    number, peer = first_at(loop, backends)
-    if what == "half an answer":
+    number, peer = receive_request(loop, backends)
+    if failure == "half an answer":
         peer.send(b"BU")
-    if what != "a timeout":
-        peer.close(reset=what != "half an answer")
+    if failure != "a timeout":
+        peer.close(reset=failure != "half an answer")
     loop.until(lambda: loop.wait(20_000) or client.read().endswith(b"\r\n"))
     assert client.received == b"ERR\r\n", "a rejection would invite a retry"
     loop.wait(500_000)
     assert not backends[1 - number].has_pending
 
 
-def test_an_attempt_cancelled_before_its_connection_opened_never_writes_and_the_next_one_does(tmp_path: Path) -> None:
+def test_attempt_cancelled_before_its_connection_opened_sends_nothing_and_the_next_one_does(tmp_path: Path) -> None:
     backends = [Backend(), Backend()]
     loop = Loop(tmp_path, backends, settings(objective_ms=300, deadline_ms=4000))
     client = loop.client()
@@ -124,7 +131,7 @@
     loop.open(client, d=4000)
     loop.until(lambda: loop.wait(4_000) or attempts)
     loop.until(lambda: loop.wait(4_000) or len(attempts) == 2)
-    loop.order.held.clear()  # both connections come up in the same turn
+    loop.order.held.clear()  # both connections are reported as established in the same iteration of the loop
     late = next(b for n, b in enumerate(backends) if attempts[0].backend == f"box-{n}")
     other = next(b for b in backends if b is not late)
     loop.until(lambda: other.has_pending)
@@ -135,18 +142,18 @@
 
 
 @pytest.mark.parametrize("where", ["backoff", "connecting", "after a timeout to connect"])
-def test_clients_that_leave_by_hundreds_at_once_are_not_forwarded(tmp_path: Path, where: str) -> None:
+def test_many_clients_that_disconnect_at_once_are_not_forwarded(tmp_path: Path, where: str) -> None:
     backends = [Backend(), Backend()]
     loop = Loop(tmp_path, backends, settings(objective_ms=600, deadline_ms=4000, maxAttempts=3))
-    many = 6 if where == "backoff" else 60
-    clients = [loop.client() for _ in range(many)]
+    client_count = 6 if where == "backoff" else 60
+    clients = [loop.client() for _ in range(client_count)]
     attempts = hold_connects(loop)
     for client in clients:
         loop.open(client, d=4000)
     if where == "backoff":
         loop.until(lambda: loop.wait(4_000) or attempts)
         for backend in backends:
-            backend.listener.close()  # refused: a second attempt follows after a backoff
+            backend.listener.close()  # its connections are refused, so that a second attempt follows after a backoff
         loop.order.held.clear()
         loop.until(
             lambda: any(v.state is ConnectionState.QUEUED and v.attempts for v in loop.core.connections.values())
@@ -165,7 +172,7 @@
     loop.order.held.clear()
     loop.until(lambda: not loop.relay.client_factory.open_connections)
     loop.wait(1_500_000, 20_000)
-    assert not loop.core.connections and len(attempts) <= before + many
+    assert not loop.core.connections and len(attempts) <= before + client_count
     for backend in backends if where != "backoff" else ():
         while backend.has_pending:
             assert b"OPEN" not in backend.accept().read()
@@ -189,14 +196,14 @@
 @pytest.mark.parametrize(
     ("answer", "ends", "expected", "exact"), [a[1:] for a in ANSWERS], ids=[a[0] for a in ANSWERS]
 )
-def test_a_broken_answer_makes_one_final_answer(
+def test_client_gets_one_final_answer_for_a_malformed_response(
     tmp_path: Path, answer: bytes, ends: bool, expected: bytes, exact: bool
 ) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend], settings(objective_ms=300, deadline_ms=1500, maxAttempts=1))
     client = loop.client()
     loop.open(client)
-    _, peer = first_at(loop, [backend])
+    _, peer = receive_request(loop, [backend])
     peer.send(answer)
     if ends:
         peer.close()
@@ -207,30 +214,32 @@
         assert client.received.count(b"\r\n") == 1 and client.received.split()[0] in (b"BUSY", b"ERR")
     if not ends:
         with suppress(ConnectionError):
-            peer.send_line("UP r-9")  # some milliseconds later
+            peer.send_line("UP r-9")  # a late response, after the attempt has ended
         loop.step(5)
         assert b"UP" not in client.read()
     assert not loop.core.connections and not loop.core.counters.counts["exceptions"]
 
 
-def test_a_response_that_meets_its_attempts_timeout_counts_for_nothing(tmp_path: Path) -> None:
+def test_response_that_arrives_together_with_the_attempts_timeout_is_ignored(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend], settings(objective_ms=300, deadline_ms=1500, maxAttempts=1))
     client = loop.client()
     loop.open(client)
-    _, peer = first_at(loop, [backend])
+    _, peer = receive_request(loop, [backend])
     (connection,) = loop.core.connections.values()
     assert connection.attempt
     peer.send_line("UP r-1")
     wait_ready(connection.attempt.upstream.line_protocol.tcp.socket)  # type: ignore[union-attr]
-    loop.now_us = connection.attempt.expires_us + 5_000  # the loop was held up; it sees the timer first
+    loop.now_us = connection.attempt.expires_us + 5_000  # the loop was held up, and runs the timer first
     loop.until(lambda: client.read() and client.ended)
     assert client.received.count(b"\r\n") == 1 and not loop.core.connections
 
 
 @pytest.mark.parametrize("last", [b"BYE\r\n", b"MOVE\r\n", b"half a line", b"a line\r\n"])
 @pytest.mark.parametrize("reset", [False, True])
-def test_a_move_that_meets_the_backends_own_end_is_one_move(tmp_path: Path, last: bytes, reset: bool) -> None:
+def test_migration_while_the_backend_ends_the_connection_sends_one_move(
+    tmp_path: Path, last: bytes, reset: bool
+) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client, peer = loop.establish(backend)
@@ -244,12 +253,12 @@
     loop.order.held.clear()
     loop.until(lambda: client.read() and client.ended)
     assert client.received == b"MOVE\r\n" and not client.reset
-    loop.core.migrate(connection)  # decided for one that has just ended
+    loop.core.migrate(connection)  # a migration of a connection that has just ended
     loop.step(3)
     assert not loop.core.connections and not loop.core.counters.counts["exceptions"]
 
 
-def test_a_stray_response_is_not_taken_for_that_of_the_next_health_check(tmp_path: Path) -> None:
+def test_stray_response_does_not_count_for_the_next_health_check(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend], settings(probes=True))
     results = list[HealthCheckResult]()
@@ -265,19 +274,19 @@
     loop.until(lambda: backend.has_pending)
     check = backend.accept()
     loop.until(lambda: check.read() == b"STATS\r\n")
-    check.send(b"PONG x0=0.25\r\nPONG x0=0.9\r\n")  # the second response belongs to no check
+    check.send(b"PONG x0=0.25\r\nPONG x0=0.9\r\n")  # the second response belongs to no health check
     loop.until(lambda: results)
     loop.step(3)
     loop.relay.core.health_checker.check("box-0")  # type: ignore[union-attr]
     loop.until(lambda: backend.has_pending)
-    again = backend.accept()
-    loop.until(lambda: again.read() == b"STATS\r\n")
-    again.send_line("PONG x0=0.5")
+    second_check = backend.accept()
+    loop.until(lambda: second_check.read() == b"STATS\r\n")
+    second_check.send_line("PONG x0=0.5")
     loop.until(lambda: len(results) == 2)
-    assert [t.load_report.load for t in results if t.load_report] == [0.25, 0.5]
+    assert [result.load_report.load for result in results if result.load_report] == [0.25, 0.5]
 
 
-def test_a_health_check_on_an_idle_connection_that_is_being_closed_is_sent_on_a_new_one(tmp_path: Path) -> None:
+def test_health_check_on_an_idle_connection_that_is_being_closed_is_repeated_on_a_new_one(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend], settings(probes=True))
     checker: Any = loop.relay.core.health_checker
@@ -293,17 +302,17 @@
     loop.step(2)
     loop.order.held.clear()
     loop.until(lambda: backend.has_pending)
-    again = backend.accept()
-    loop.until(lambda: again.read() == b"STATS\r\n")
-    again.send_line("PONG x0=0.5")
+    second_check = backend.accept()
+    loop.until(lambda: second_check.read() == b"STATS\r\n")
+    second_check.send_line("PONG x0=0.5")
     loop.until(lambda: not checker.connections["box-0"].pending_since_us)
     assert not loop.core.counters.counts["probes_failed"]
 
 
-def test_a_flood_that_sends_much_and_goes_leaves_nothing_behind(tmp_path: Path) -> None:
+def test_clients_that_send_much_and_disconnect_leave_no_state_behind(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
-    usual, served = loop.establish(backend)
+    established, upstream = loop.establish(backend)
     for _ in range(40):
         flood = [loop.client() for _ in range(8)]
         for n, peer in enumerate(flood):
@@ -321,22 +330,22 @@
         and not loop.relay.client_factory.pre_request
         and not len(loop.relay.client_factory.closing)
     )
-    usual.send_line("still here")
-    loop.until(lambda: served.read() == b"still here\r\n")
+    established.send_line("still here")
+    loop.until(lambda: upstream.read() == b"still here\r\n")
     assert loop.core.counters.counts["bad_lines"] >= 320
 
 
 @pytest.mark.parametrize("more", [b"z" * 400_000, b"z" * 3000 + b"\r\n" + b"z" * 400_000, b"a line\r\n" * 40_000])
-def test_a_client_that_sends_much_as_its_backend_connection_opens_delays_nobody(tmp_path: Path, more: bytes) -> None:
+def test_client_that_sends_much_while_its_attempt_connects_delays_no_others(tmp_path: Path, more: bytes) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
-    usual, _ = loop.establish(backend)
+    established, _ = loop.establish(backend)
     client = loop.client()
     attempts = hold_connects(loop)
     loop.open(client)
     loop.until(lambda: loop.wait(4_000) or attempts)
     side = loop.protocol_of(client)
-    loop.order.held = {side.tcp.fileno()}  # all of it lies unread
+    loop.order.held = {side.tcp.fileno()}  # the relay does not read what the client sends
     client.sock.setblocking(False)
     with suppress(BlockingIOError):
         while more:
@@ -349,12 +358,12 @@
     loop.until(lambda: client.read() and client.ended or client.ended)
     assert client.reset or client.received == b"ERR\r\n"
     assert not backend.has_pending or b"OPEN" not in backend.accept().read()
-    usual.send_line("still here")
+    established.send_line("still here")
     loop.step(3)
-    assert not usual.read() and not usual.ended
+    assert not established.read() and not established.ended
 
 
-def test_bad_answers_by_hundreds_are_counted_and_logged_once_a_second(
+def test_many_malformed_responses_are_all_counted_and_logged_at_most_once_a_second(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     backend = Backend()
@@ -366,7 +375,7 @@
     for n in range(6):
         client = loop.client()
         loop.open(client)
-        _, peer = first_at(loop, [backend])
+        _, peer = receive_request(loop, [backend])
         peer.send([b"x" * 5000, b"WHAT r-1\r\n"][n % 2])
         loop.until(lambda: loop.wait(4_000) or client.read() and client.ended)  # noqa: B023
     assert loop.core.counters.counts["bad_answers"] == 306
@@ -375,7 +384,7 @@
 
 
 @pytest.mark.parametrize("endless", [b"x" * 5000, b"UP r-2\r\n" + b"y" * 5000])
-def test_a_client_whose_backend_begins_a_line_without_end_is_moved_and_not_cut_off(
+def test_client_whose_backend_sends_an_overlong_line_is_migrated_and_not_reset(
     tmp_path: Path, endless: bytes
 ) -> None:
     backend = Backend()
