--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -280,9 +280,7 @@
     bench = Bench()
     _, client, attempt = bench.establish()
     attempt.on_message_sent()
-    bench.now += (
-        3_000_000  # the core did not run for 3 s; the reply has arrived meanwhile, and is read after the check
-    )
+    bench.now += 3_000_000  # the core did not run for 3 s; the reply has arrived, and is read after the check
     bench.core.run_once()
     attempt.on_message_received()
     bench.wait(1_000_000)
--- a/tests/test_lost_model.py
+++ b/tests/test_lost_model.py
@@ -155,7 +155,7 @@
     def send_request(self, client: ClientRecord, d: int) -> None:
         client.peer.send_line(f"OPEN {client.id.decode()} 7f3a9c21e0b4d655 c=visit-checkin,d={d},g=5c0f6e1a2b3d4c59")
         client.requested = True
-        client.due_us = self.loop.now_us + d * 1000 + 60_000  # allows for the delay of a failed accept
+        client.due_us = self.loop.now_us + d * 1000 + 60_000  # a failed accept may delay it by some ms
 
     @rule(n=NUMBERS)
     def client_is_served(self, n: int) -> None:
--- a/tests/test_send_slot_end.py
+++ b/tests/test_send_slot_end.py
@@ -80,7 +80,7 @@
 def test_connection_established_after_the_end_of_its_send_slot_delivers_no_request(
     tmp_path: Path, late_us: int
 ) -> None:
-    """Late requests of earlier slots would overload a backend in slow start."""
+    """Late requests of earlier slots would overload a backend in slow start until it fails."""
     backend = Backend()
     document = settings(objective_ms=300, deadline_ms=4000, connectTimeoutUs=1_000_000)
     document["rules"] |= {"startCapacity": 0.12, "coldUs": 20_000_000, "fallUs": 500_000}
