--- a/gradefront/fleet/__init__.py
+++ b/gradefront/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Membership among relays, where they may talk to each other. No I/O; imported only where deploy/fleet.json is on."""
+"""Membership among relays that may talk to each other. No I/O; imported only where deploy/fleet.json is on."""
--- a/gradefront/fleet/members.py
+++ b/gradefront/fleet/members.py
@@ -1,7 +1,7 @@
-"""The member table: states, which of two records of a member overrides the other, and tombstones.
+"""The member table: member states, precedence among records of one member, and tombstones.
 
-A record has one writer, the member itself; others may only add a suspicion or a death to it. Records are ordered by
-incarnation, then by boot id, then by state: the same records in any order give the same table.
+A record has one writer, the member itself; other relays may only add a suspicion or a death to it. Records are
+ordered by incarnation, then by boot id, then by state, so the same records received in any order give the same table.
 """
 
 from __future__ import annotations
@@ -10,18 +10,19 @@
 from enum import IntEnum
 from hashlib import blake2b
 
-MAX_MEMBERS = 256  # a full table drops its oldest tombstone, and without one rejects newcomers
+MAX_MEMBERS = 256  # a full table evicts its oldest tombstone; if it has none, it rejects new members
 TOMBSTONE_LIFETIME_US = 60_000_000
-# An unknown name must have spoken within this: guards against a dropped tombstone that comes back to life.
+# A record of an unknown member that last spoke longer ago is rejected: after a tombstone is dropped, old gossip must
+# not bring the dead member back.
 NEWCOMER_MAX_AGE_US = TOMBSTONE_LIFETIME_US // 2
-NO_CONTACT_US = -(1 << 60)
+NO_CONTACT_US = -(1 << 60)  # time of the last contact with a member that never spoke to this relay
 DIGEST_BYTES = 7
 
 
 class State(IntEnum):
-    """A member's state; within an incarnation the higher one overrides."""
+    """A member's state; within one incarnation and boot id the higher state overrides the lower."""
 
-    JOINING = 0  # known from others or from the file only
+    JOINING = 0  # known only from other relays' gossip or from deploy/fleet.json
     ALIVE = 1
     SUSPECT = 2
     DEAD = 3
@@ -33,10 +34,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """What gossip says of one member.
+    """A member's state as spread by gossip.
 
-    `address` is host:port. `boot_id` is drawn anew by each process. `superseded_boot_id` is that of the process whose
-    name it took over, 0 for none. `age_us` is the time in microseconds since the member last spoke itself.
+    `address` is host:port. Each process draws a random `boot_id`. `superseded_boot_id` is the boot id of the process
+    from which this process took over the name, 0 if there is none. `age_us` is the time in microseconds since the
+    member itself last spoke to any relay.
     """
 
     name: str
@@ -48,36 +50,39 @@
     age_us: int = 0
 
     def overrides(self, other: Record) -> bool:
-        """Whether this record replaces another one of the same name: a total order, whatever their order here."""
+        """Return whether this record replaces `other`, a record of the same name; this is a total order."""
         return (self.incarnation, self.boot_id, self.state) > (other.incarnation, other.boot_id, other.state)
 
 
 @dataclass(slots=True)
 class Member:
-    """A record, and what only this relay knows of the member. Times are microseconds on this relay's clock."""
+    """A member's record and this relay's own observations of it. Times are microseconds on this relay's clock."""
 
     record: Record
-    last_spoke_us: int  # to anyone, as far as gossip says
+    last_spoke_us: int  # when the member last spoke to any relay, according to gossip
     state_changed_us: int
-    last_contact_us: int = NO_CONTACT_US  # when it last spoke to this relay
+    last_contact_us: int = NO_CONTACT_US  # when the member last spoke to this relay
 
     @property
     def gone(self) -> bool:
-        """Whether it is dead or has left."""
+        """Whether the member is dead or has left."""
         return self.record.state in GONE
 
 
 class Table:
-    """All that is known of the members except this relay itself, whose name is `own_name`."""
+    """All known members except this relay itself, whose name is `own_name`."""
 
     def __init__(self, own_name: str) -> None:
         self.own_name = own_name
         self.members: dict[str, Member] = {}
-        self._digest: tuple[Record, int] | None = None  # with the own record it was made for; None after a change
-        self.rejected = 0  # records of newcomers that came too late or to a full table
+        self._digest: tuple[Record, int] | None = None  # cached, with the own record in it; None after a change
+        self.rejected = 0  # records of unknown members that were too old, or did not fit into the full table
 
     def merge(self, record: Record, now_us: int, direct: bool = False) -> Member | None:
-        """Merges a record; `direct` where the member itself sent it. Returns the member if the record changed it."""
+        """Merge a record and return its member if the record changed or added it, else None.
+
+        `direct` means that the member itself sent the record.
+        """
         member = self.members.get(record.name)
         if member is None:
             return self._add(record, now_us, direct)
@@ -97,13 +102,13 @@
             self.rejected += 1
             return None
         if record.state is State.ALIVE and not direct:
-            record = replace(record, state=State.JOINING)  # alive only once it has spoken to this relay
+            record = replace(record, state=State.JOINING)  # alive only after it has spoken to this relay
         self._digest = None
         member = self.members[record.name] = Member(record, now_us - record.age_us, now_us)
         return member
 
     def _evict_if_full(self) -> bool:
-        """Drops the oldest tombstone of a full table. Returns whether a member can be added."""
+        """Evict the oldest tombstone of a full table. Return whether a member can be added."""
         if len(self.members) < MAX_MEMBERS:
             return True
         gone = [m for m in self.members.values() if m.gone]
@@ -112,8 +117,8 @@
         del self.members[min(gone, key=lambda m: (m.state_changed_us, m.record.name)).record.name]
         return True
 
-    def forget(self, now_us: int, configured: frozenset[str]) -> None:
-        """Drops expired tombstones, except those of `configured` names."""
+    def drop_expired_tombstones(self, now_us: int, configured: frozenset[str]) -> None:
+        """Drop expired tombstones, except those of the names in `configured`."""
         expired = [
             n for n, m in self.members.items() if m.gone and now_us - m.state_changed_us > TOMBSTONE_LIFETIME_US
         ]
@@ -123,11 +128,14 @@
                 self._digest = None
 
     def present(self) -> list[Member]:
-        """The members that are alive or suspect."""
+        """Return the members that are alive or suspect."""
         return [m for m in self.members.values() if m.record.state in (State.ALIVE, State.SUSPECT)]
 
     def digest(self, own: Record) -> int:
-        """A number that two relays share if they know the same, suspicions apart. `own` is this relay's record."""
+        """Return a hash that is equal on two relays whose knowledge agrees, suspicions apart.
+
+        `own` is this relay's own record, which the table does not hold.
+        """
         if self._digest is None or self._digest[0] != own:
             lines = [
                 (m.record.name, m.record.incarnation, m.record.boot_id, m.gone)
--- a/gradefront/fleet/settings.py
+++ b/gradefront/fleet/settings.py
@@ -1,4 +1,4 @@
-"""deploy/fleet.json: its fields and its check as a whole. An unknown field is an error."""
+"""Schema and validation of deploy/fleet.json. An unknown field is an error."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
 
 
 class Key(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One key of the fleet: every listed one opens datagrams, the newest seals them."""
+    """One shared key of the fleet. Each listed key opens datagrams; only the newest one seals them."""
 
     id: Annotated[int, Meta(ge=0, le=255)]
     key_file: str
 
 
 class FleetFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The file."""
+    """Content of deploy/fleet.json."""
 
     on: bool = False
     listen: HostPort = "127.0.0.1:7946"
     peers: Annotated[dict[str, HostPort], Meta(max_length=256)] = {}
     keys: tuple[Key, ...] = ()
-    newest: int | None = None  # id of the key that seals; the highest one by default
-    pace_ms: Annotated[int, Meta(ge=50, le=5_000)] = 200
+    newest: int | None = None  # id of the key that seals datagrams; by default the highest id
+    pace_ms: Annotated[int, Meta(ge=50, le=5_000)] = 200  # the protocol period
 
 
 @dataclass(slots=True, frozen=True)
 class FleetConfig:
-    """What the fleet runs on: this relay's name, addresses as (host, port), keys by id, the protocol period."""
+    """Validated fleet settings: this relay's name, addresses as (host, port), keys by id, the protocol period."""
 
     name: str
     listen: tuple[str, int]
@@ -51,12 +51,12 @@
 
 
 def parse(content: dict[str, Any], name: str, path: Path) -> FleetConfig:
-    """The configuration of the relay `name`. Raises ConfigError that names file, field and value."""
+    """Return the configuration of the relay `name`. Raises ConfigError naming the file, the field and its value."""
     try:
         file = checked(content, FleetFile)
-        keys = {key.id: _key(key, index, path.parent) for index, key in enumerate(file.keys)}
+        keys = {key.id: _read_key(key, index, path.parent) for index, key in enumerate(file.keys)}
         if len(keys) < len(file.keys):
-            raise ValueError("keys: an id stands twice")
+            raise ValueError("keys: the same id is used twice")
         newest = file.newest if file.newest is not None else max(keys, default=-1)
         if newest not in keys:
             raise ValueError(f"newest: {newest}: no key has this id")
@@ -66,31 +66,33 @@
         peers = {}
         for peer, peer_address in file.peers.items():
             if not 1 <= len(peer) <= MAX_NAME_LENGTH:
-                raise ValueError(f"peers: {peer!r}: a name has 1 to {MAX_NAME_LENGTH} characters")
+                raise ValueError(f"peers: {peer!r}: a name must have 1 to {MAX_NAME_LENGTH} characters")
             if peer != name:
                 peers[peer] = _numeric_address(peer_address, f"{path.name}: peers.{peer}")
                 if (":" in peers[peer][0]) is not (":" in listen[0]):
-                    raise ValueError(f"peers.{peer}: '{peer_address}': not of the same kind of address as listen")
+                    raise ValueError(
+                        f"peers.{peer}: '{peer_address}': must be of the same kind (IPv4 or IPv6) as listen"
+                    )
         return FleetConfig(name, listen, peers, keys, newest, file.pace_ms * 1000)
     except ValueError as error:
         raise ConfigError(f"{path.name}: {error}") from None
 
 
-def _key(key: Key, index: int, folder: Path) -> bytes:
+def _read_key(key: Key, index: int, folder: Path) -> bytes:
     octets = secret("", key.key_file, 0, f"keys[{index}]", folder)
     if len(octets) != KEY_OCTETS:
         raise ValueError(
             f"keys[{index}].key_file: '{key.key_file}': has {len(octets)} octets, "
-            f"{KEY_OCTETS} are needed, as hex digits"
+            f"expected {KEY_OCTETS}, written as hex digits"
         )
     return octets
 
 
 def _numeric_address(text: str, where: str) -> tuple[str, int]:
-    """A numeric address. Guards against a host name, which a datagram socket does not resolve."""
+    """Parse a numeric address. Raises ConfigError for a host name, which a datagram socket does not resolve."""
     host, port = address(text, where)
     try:
         ip_address(host)
     except ValueError:
-        raise ConfigError(f"{where}: '{text}': an address of numbers is needed, no name") from None
+        raise ConfigError(f"{where}: '{text}': the host must be a numeric IP address, not a name") from None
     return host, port
--- a/gradefront/fleet/switch.py
+++ b/gradefront/fleet/switch.py
@@ -1,4 +1,4 @@
-"""Whether the fleet is on. Imports its settings, and with them its libraries, only where it is."""
+"""Whether the fleet is on. Its settings module, and with it msgspec, is imported only where the fleet is on."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 
 def fleet_file() -> Path:
-    """The path of the fleet's file: GRADEFRONT_FLEET, or the one in deploy/."""
+    """Return the path of the fleet's settings file: GRADEFRONT_FLEET, or else deploy/fleet.json."""
     return Path(os.environ.get("GRADEFRONT_FLEET", DEFAULT_FILE))
 
 
 def peers_permitted(config: Config) -> bool:
-    """Whether the platform lets relays talk to each other."""
+    """Return whether the platform's settings let relays talk to each other."""
     permissions = config.document["settings"].get("permissions") or {}
     return bool(permissions.get("peers"))
 
 
 def load(config: Config, path: Path) -> FleetConfig | None:
-    """The fleet's configuration, None without a file or where it is off.
+    """Return the fleet's configuration, or None if there is no file or the fleet is off.
 
-    Raises ConfigError, also where the file says on and the platform doesn't let relays talk.
+    Raises ConfigError for an invalid file, and where the fleet is on but the platform doesn't let relays talk.
     """
     content = read_object(path)
     if not content or not content.get("on"):
--- a/gradefront/fleet/wire.py
+++ b/gradefront/fleet/wire.py
@@ -1,9 +1,12 @@
-"""Datagrams between relays: msgpack (msgspec), sealed with a shared key that has an id, so that keys can rotate.
+"""Datagrams between relays: msgpack (msgspec), sealed by an HMAC with a shared key; the key's id lets keys rotate.
 
-    "GF" | version 1 | key id 1 | HMAC-SHA256, first 16 | body
+Layout, with sizes in octets:
 
-The body names its sender, the sender's boot id, a number that only rises within that boot, and its receiver. A
-datagram that isn't sealed, is for another, comes twice or makes no sense raises `DatagramRejectedError`.
+    "GF" (2) | version (1) | key id (1) | HMAC-SHA256, truncated (16) | body
+
+The body holds the sender's name and boot id, a number that increases with each datagram of that boot, and the
+receiver's name. `DatagramRejectedError` is raised for a datagram that has no valid HMAC, is of another version, is
+meant for another relay, is replayed or is malformed.
 
 Both structs are arrays on the wire: the order of their fields is the format, their names are not.
 """
@@ -26,14 +29,14 @@
 HEADER_BYTES = len(MAGIC) + 2
 MAC_BYTES = 16
 SEALED_BYTES = HEADER_BYTES + MAC_BYTES
-MAX_DATAGRAM_BYTES = 1_200  # passes any link unfragmented
-MAX_RECORDS = 32  # in a datagram
-MAX_RECORDS_BYTES = 900  # of a datagram
-RECORD_OVERHEAD_BYTES = 42  # at most, without name and address: four numbers of 9, a state, three lengths
-REPLAY_WINDOW = 1_024  # datagram numbers below the highest that are still accepted
-MAX_TRACKED_BOOTS = 512  # in the replay guard; the least recently heard one is dropped
-
-# Kinds of message, as the wire has them.
+MAX_DATAGRAM_BYTES = 1_200  # passes any link without fragmentation
+MAX_RECORDS = 32  # per datagram
+MAX_RECORDS_BYTES = 900  # per datagram
+RECORD_OVERHEAD_BYTES = 42  # upper bound without name and address: four numbers of 9, a state, three lengths
+REPLAY_WINDOW = 1_024  # how far below the highest received number a datagram's number is still accepted
+MAX_TRACKED_BOOTS = 512  # senders' boots in the replay check; the least recently heard one is evicted
+
+# Message kinds as written on the wire.
 PING = "ping"
 ACK = "ack"
 PING_REQ = "ask"
@@ -45,11 +48,11 @@
 
 
 class DatagramRejectedError(Exception):
-    """A datagram that is not accepted; the argument is the counter that it goes to."""
+    """A datagram that is not accepted. The argument is the reason, as in the counter `fleet_refused_<reason>`."""
 
 
 class GossipRecord(msgspec.Struct, array_like=True, frozen=True):
-    """A record on the wire."""
+    """A member's record as sent on the wire."""
 
     name: Name
     address: Annotated[str, Meta(max_length=100)]
@@ -63,8 +66,9 @@
 class Message(msgspec.Struct, array_like=True, frozen=True, kw_only=True):
     """One datagram.
 
-    A ping asks `to` for an ack with the ping's number as `probe_number`. A ping-req asks `to` to ping `target` and to
-    relay its ack; a nack says that `target` has not answered the helper yet. A table only carries records.
+    A ping asks `to` for an ack whose `probe_number` is the ping's `number`. A ping-req asks `to`, the helper, to ping
+    `target` and to relay its ack; a nack reports that `target` has not answered the helper yet. A table message only
+    carries records.
     """
 
     sender: Name
@@ -79,7 +83,7 @@
 
 
 def to_gossip(record: Record, age_us: int) -> GossipRecord:
-    """A record's form on the wire, with its age in microseconds as of now."""
+    """Convert a record to its form on the wire. `age_us` is its age in microseconds as of now."""
     return GossipRecord(
         record.name,
         record.address,
@@ -92,7 +96,7 @@
 
 
 def from_gossip(gossip: GossipRecord) -> Record:
-    """A record from its form on the wire."""
+    """Convert a record from its form on the wire."""
     return Record(
         gossip.name,
         gossip.address,
@@ -105,7 +109,7 @@
 
 
 def piggyback(records: Iterable[GossipRecord]) -> tuple[GossipRecord, ...]:
-    """The first of the records, as many as one datagram can carry."""
+    """Return as many of the first records as one datagram can carry."""
     carried, free_bytes = list[GossipRecord](), MAX_RECORDS_BYTES
     for record in records:
         free_bytes -= len(record.name.encode()) + len(record.address.encode()) + RECORD_OVERHEAD_BYTES
@@ -127,16 +131,16 @@
         self.sealing_key_id = sealing_key_id
         self.encode = msgspec.msgpack.Encoder().encode
         self.decode = msgspec.msgpack.Decoder(Message).decode
-        # By sender and boot id: the highest number, and a bit for each number of the window.
+        # By sender and boot id: the highest number received, and a bitmap of the numbers received in the window.
         self.replay_windows: OrderedDict[tuple[str, int], tuple[int, int]] = OrderedDict()
 
     def seal(self, message: Message) -> bytes:
-        """The datagram of a message."""
+        """Return the sealed datagram of a message."""
         header, body = MAGIC + bytes((VERSION, self.sealing_key_id)), self.encode(message)
         return header + self._mac(self.sealing_key_id, header + body) + body
 
     def open(self, datagram: bytes) -> Message:
-        """The message in a datagram. Raises DatagramRejectedError."""
+        """Return the message in a datagram. Raises DatagramRejectedError."""
         header, mac, body = datagram[:HEADER_BYTES], datagram[HEADER_BYTES:SEALED_BYTES], datagram[SEALED_BYTES:]
         if len(datagram) <= SEALED_BYTES or len(datagram) > MAX_DATAGRAM_BYTES or header[:2] != MAGIC:
             raise DatagramRejectedError("nonsense")
@@ -157,7 +161,7 @@
         return hmac.digest(self.keys[key_id], data, hashlib.sha256)[:MAC_BYTES]
 
     def _check_replay(self, message: Message) -> None:
-        """Guards against replay: each number of a boot counts once, and none below the window."""
+        """Reject replays: each number of a boot is accepted once, and none below the window."""
         key = message.sender, message.boot_id
         highest, bits = self.replay_windows.get(key, (0, 0))
         ahead = message.number - highest
--- a/gradefront/routing/__init__.py
+++ b/gradefront/routing/__init__.py
@@ -1,1 +1,1 @@
-"""What is decided round the decision module: limits and shares. No I/O, and no clock of its own."""
+"""Admission control and rate limits in front of the decision module. No I/O, and no clock of its own."""
--- a/gradefront/routing/networks.py
+++ b/gradefront/routing/networks.py
@@ -1,4 +1,4 @@
-"""Sets of networks, and the network that an address counts as. No I/O."""
+"""Sets of networks, and the network to which an address is counted. No I/O."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class NetworkSet:
-    """IPv4 and IPv6 networks, with `in` for addresses. Raises ValueError on what is no network."""
+    """A set of IPv4 and IPv6 networks; `in` tests addresses. Raises ValueError for a text that is not a network."""
 
     def __init__(self, texts: Iterable[str] = ()) -> None:
         networks = []
@@ -37,22 +37,22 @@
         return bool(self.networks)
 
     def overlap(self, other: NetworkSet) -> str:
-        """A network that is in both sets, or an empty text."""
+        """Return a network that is in both sets, or an empty string."""
         shared = netaddr.IPSet(self.networks) & netaddr.IPSet(other.networks)
         return next((str(network) for network in shared.iter_cidrs()), "")
 
 
 class Prefixes:
-    """The network that an address counts as: so many leading bits. Raises ValueError on lengths out of range."""
+    """Maps an address to its network, its leading bits. Raises ValueError for a prefix length out of range."""
 
     def __init__(self, bits_v4: int = 24, bits_v6: int = 56) -> None:
         if not MIN_PREFIX_V4_BITS <= bits_v4 <= MAX_PREFIX_V4_BITS:
-            raise ValueError("prefix_v4: must be from 8 to 32")
+            raise ValueError(f"prefix_v4: must be from 8 to 32, not {bits_v4}")
         if not MIN_PREFIX_V6_BITS <= bits_v6 <= MAX_PREFIX_V6_BITS:
-            raise ValueError("prefix_v6: must be from 16 to 128")
+            raise ValueError(f"prefix_v6: must be from 16 to 128, not {bits_v6}")
         self.bits_v4 = bits_v4
         self.bits_v6 = bits_v6
-        self.network_of = lru_cache(maxsize=8_192)(self._network_of)  # the network of an address, as bytes
+        self.network_of = lru_cache(maxsize=8_192)(self._network_of)  # returns an address's prefix as bytes
 
     def _network_of(self, host: str) -> bytes:
         if ":" in host:
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -1,4 +1,4 @@
-"""The fleet's table, datagrams and file. No sockets."""
+"""The fleet's member table, datagrams and settings file. No sockets."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 def test_the_same_records_in_any_order_give_the_same_table(received: list[Record], random: Random) -> None:
     def held(records: list[Record]) -> dict[str, tuple[int, int, State]]:
         table = Table("me")
-        for name in "abc":  # known before: an unknown name's end is no news
+        for name in "abc":  # known in advance, as the death of an unknown member is ignored
             table.merge(Record(name, "h:1", State.JOINING, 0, 0), 0)
         for record in records:
             table.merge(record, 1, direct=True)
@@ -43,12 +43,12 @@
     assert held(received) == held(shuffled)
 
 
-def test_a_forgotten_name_does_not_come_back_on_an_old_record() -> None:
+def test_a_member_whose_tombstone_expired_is_not_added_again_by_an_old_record() -> None:
     table = Table("me")
     alive = Record("a", "h:1", State.ALIVE, 3, 9)
     table.merge(alive, 0, direct=True)
     table.merge(Record("a", "h:1", State.DEAD, 3, 9), 1_000_000)
-    table.forget(2_000_000 + members.TOMBSTONE_LIFETIME_US, frozenset())
+    table.drop_expired_tombstones(2_000_000 + members.TOMBSTONE_LIFETIME_US, frozenset())
     assert "a" not in table.members
     assert (
         table.merge(Record("a", "h:1", State.ALIVE, 3, 9, age_us=members.NEWCOMER_MAX_AGE_US + 1), 70_000_000) is None
@@ -59,10 +59,10 @@
     )
     assert table.rejected == 2 and "a" not in table.members
     member = table.merge(alive, 70_000_000)
-    assert member and member.record.state is State.JOINING, "until it is heard itself"
+    assert member and member.record.state is State.JOINING, "joining until it speaks to this relay itself"
 
 
-def test_a_full_table_evicts_the_longest_gone_only() -> None:
+def test_a_full_table_evicts_a_tombstone_and_without_one_rejects_a_new_member() -> None:
     table = Table("me")
     for n in range(members.MAX_MEMBERS):
         table.merge(Record(f"m{n}", "h:1", State.ALIVE, 1, 1), n, direct=True)
@@ -79,13 +79,13 @@
     return Message(sender="a", to=to, boot_id=1 << 60, number=number, kind="ping", digest=1 << 55, records=records)
 
 
-def test_a_datagram_counts_once_for_its_receiver_and_is_never_too_long() -> None:
+def test_a_datagram_is_accepted_once_by_its_receiver_only_and_fits_the_maximum_size() -> None:
     ours, theirs = Sealer("a", {1: b"k" * 32}, 1), Sealer("b", {1: b"k" * 32}, 1)
     datagram = ours.seal(message(2_000))
     assert len(datagram) <= MAX_DATAGRAM_BYTES and theirs.open(datagram) == message(2_000)
     late = ours.seal(message(1_500))
     assert theirs.open(late).number == 1_500
-    for again, why in (
+    for received, reason in (
         (datagram, "replayed"),
         (late, "replayed"),
         (ours.seal(message(5)), "replayed"),
@@ -97,12 +97,12 @@
         (datagram[:-1], "bad_seal"),
         (datagram + b"x" * MAX_DATAGRAM_BYTES, "nonsense"),
     ):
-        with pytest.raises(DatagramRejectedError, match=why):
-            theirs.open(again)
+        with pytest.raises(DatagramRejectedError, match=reason):
+            theirs.open(received)
 
 
-def test_many_records_of_short_names_make_no_datagram_too_long_either() -> None:
-    short = piggyback(
+def test_a_datagram_full_of_records_with_short_names_fits_the_maximum_size() -> None:
+    short_named = piggyback(
         [to_gossip(Record(f"{n}", "h:1", State.ALIVE, 1 << 60, 1 << 60, 1 << 60), 1 << 60) for n in range(99)]
     )
     longest = Message(
@@ -114,13 +114,13 @@
         probe_number=1 << 60,
         target="c" * 40,
         digest=1 << 55,
-        records=short,
+        records=short_named,
     )
     assert len(Sealer("a" * 40, {1: b"k" * 32}, 1).seal(longest)) <= MAX_DATAGRAM_BYTES
 
 
-class Wire:
-    """A transport that takes no names, as Twisted's for datagrams."""
+class NumericAddressTransport:
+    """A transport that rejects host names, as Twisted's UDP transport does."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, int]] = []
@@ -128,38 +128,38 @@
     def getHost(self) -> IPv4Address:
         return IPv4Address("UDP", "127.0.0.1", 7946)
 
-    def write(self, datagram: bytes, where: tuple[str, int]) -> None:
-        if not where[0][0].isdigit():
-            raise InvalidAddressError(where[0], "no names")  # type: ignore[no-untyped-call]
-        self.sent.append(where)
+    def write(self, datagram: bytes, receiver: tuple[str, int]) -> None:
+        if not receiver[0][0].isdigit():
+            raise InvalidAddressError(receiver[0], "no names")  # type: ignore[no-untyped-call]
+        self.sent.append(receiver)
 
 
-def test_a_peer_that_gives_a_name_as_its_address_does_not_end_the_relays_ticks() -> None:
-    bench, wire = Bench(), Wire()
+def test_a_peer_whose_address_is_a_host_name_does_not_stop_the_protocol_ticks() -> None:
+    bench, transport = Bench(), NumericAddressTransport()
     port = FleetPort(
         FleetConfig("n0", ("127.0.0.1", 0), {"n1": ("127.0.0.1", 9)}, {1: b"k" * 32}, 1, 200_000), bench.core
     )
-    port.transport = wire
+    port.transport = transport
     port.startProtocol()
     assert port.swim
     port.swim.table.merge(Record("n2", "relay-2:9", State.ALIVE, 1, 5), bench.now, direct=True)
     bench.wait(3_000_000)
-    assert bench.core.counters.counts["fleet_unsent"] >= 3 and wire.sent.count(("127.0.0.1", 9)) >= 3
+    assert bench.core.counters.counts["fleet_unsent"] >= 3 and transport.sent.count(("127.0.0.1", 9)) >= 3
 
 
 @given(st.binary(max_size=200))
-def test_nonsense_under_a_good_seal_is_refused(body: bytes) -> None:
+def test_a_malformed_body_with_a_valid_mac_is_rejected(body: bytes) -> None:
     sealer = Sealer("b", {1: b"k" * 32}, 1)
-    head = b"GF\x01\x01"
+    header = b"GF\x01\x01"
     with pytest.raises(DatagramRejectedError):
-        sealer.open(head + sealer._mac(1, head + body) + body)
+        sealer.open(header + sealer._mac(1, header + body) + body)
 
 
-def test_the_file_is_checked_whole_and_errors_name_file_field_and_value(tmp_path: Path) -> None:
+def test_each_field_of_the_file_is_validated_and_errors_name_file_field_and_value(tmp_path: Path) -> None:
     path, key = tmp_path / "fleet.json", tmp_path / "key"
     key.write_text("ab" * 32)
     key.chmod(0o600)
-    good = {
+    valid = {
         "on": True,
         "listen": "127.0.0.1:0",
         "peers": {"n0": "127.0.0.1:7", "n1": "127.0.0.1:8"},
@@ -168,13 +168,13 @@
 
     def read(**changes: object) -> str:
         try:
-            found = parse_fleet(good | changes, "n0", path)
+            config = parse_fleet(valid | changes, "n0", path)
         except ConfigError as error:
             return str(error)
-        return f"{sorted(found.peers)} {found.sealing_key_id}"
+        return f"{sorted(config.peers)} {config.sealing_key_id}"
 
-    assert read() == "['n1'] 3", "this relay is no peer of itself"
-    for changes, why in (
+    assert read() == "['n1'] 3", "the relay's own name is not among its peers"
+    for changes, expected in (
         ({"listen": "x"}, "listen"),
         ({"peers": {"n1": "host:port"}}, "peers.n1"),
         ({"listen": "relay-0:7"}, "listen: 'relay-0:7'"),
@@ -187,7 +187,7 @@
         ({"keys": []}, "newest"),
         ({"keys": [{"id": 3, "key_file": "key"}] * 2}, "twice"),
     ):
-        assert read(**changes).startswith("fleet.json: ") and why in read(**changes), read(**changes)
+        assert read(**changes).startswith("fleet.json: ") and expected in read(**changes), read(**changes)
     key.chmod(0o644)
     assert "mode must be 600" in read()
     key.chmod(0o600)
@@ -195,12 +195,12 @@
     assert "has 1 octets" in read()
 
 
-def test_where_relays_may_not_talk_the_file_can_not_switch_the_fleet_on(tmp_path: Path) -> None:
+def test_a_file_that_is_on_is_rejected_where_the_platform_does_not_permit_peers(tmp_path: Path) -> None:
     path = tmp_path / "fleet.json"
     config = parse({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings()}, {})
-    assert load(config, path) is None, "there is none"
+    assert load(config, path) is None, "there is no file"
     path.write_text('{"on": false, "nonsense": 1}')
-    assert load(config, path) is None, "off: not even read whole"
+    assert load(config, path) is None, "a file that is off is not validated"
     path.write_text('{"on": true}')
     with pytest.raises(ConfigError, match="fleet.json: on: true: .*permissions.peers"):
         load(config, path)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Several real processes of the program that know of each other; faults between them."""
+"""Fleet membership among several real relay processes, with kills, pauses, restarts and planned leaves."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 async def fleet(stack: AsyncExitStack, folder: Path, names: list[str]) -> tuple[dict[str, Program], Any]:
-    """The relays, each with a file of its own, and a way to start one more of them."""
+    """Start the relays, each with its own settings file. Return them and a function that starts one of them again."""
     key = folder / "key"
     key.write_text("5a" * 32)
     key.chmod(0o600)
     ports = {}
     for name in names:
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
-            free.bind(("127.0.0.1", 0))
-            ports[name] = free.getsockname()[1]
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
+            probe.bind(("127.0.0.1", 0))
+            ports[name] = probe.getsockname()[1]
     platform_settings = settings(peers=True)
 
     async def start(name: str) -> Program:
@@ -40,8 +40,8 @@
     return {name: await start(name) for name in names}, start
 
 
-def test_processes_find_each_other_and_notice_a_kill_a_pause_a_return_and_a_leave(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_processes_discover_each_other_and_detect_a_kill_a_restart_a_pause_and_a_leave(tmp_path: Path) -> None:
+    async def run() -> None:
         async with AsyncExitStack() as stack:
             relays, start = await fleet(stack, tmp_path, ["n0", "n1", "n2", "n3"])
             for name, relay in relays.items():
@@ -65,39 +65,39 @@
             assert counts["fleet_left"] == 1 and counts["fleet_dead"] == 0
             assert "exceptions" not in counts
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_a_datagram_from_a_stranger_is_counted_and_harms_nobody(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_invalid_datagrams_are_logged_as_rejected_and_the_relays_keep_running(tmp_path: Path) -> None:
+    async def run() -> None:
         async with AsyncExitStack() as stack:
             relays, _ = await fleet(stack, tmp_path, ["n0", "n1"])
-            found = await relays["n0"].line(r"fleet: n0 at 127.0.0.1:(\d+)|n1 is alive")
-            where = ("127.0.0.1", int(found.group(1) or 0) or _port(relays["n0"]))
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-                for junk in (b"", b"GF", b"GF\x01\x01" + bytes(80), b"\xff" * 2_000):
-                    stranger.sendto(junk, where)
+            match = await relays["n0"].line(r"fleet: n0 at 127.0.0.1:(\d+)|n1 is alive")
+            fleet_address = ("127.0.0.1", int(match.group(1) or 0) or _port(relays["n0"]))
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
+                for datagram in (b"", b"GF", b"GF\x01\x01" + bytes(80), b"\xff" * 2_000):
+                    sender.sendto(datagram, fleet_address)
             await relays["n0"].line("a datagram from 127.0.0.1:.* was rejected")
             assert await relays["n0"].stop() == 0
             await soon(relays["n1"].line("fleet: n0 is left"))
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 def _port(relay: Program) -> int:
     return int(re.findall(r"fleet: n0 at 127.0.0.1:(\d+)", "\n".join(relay.log))[0])
 
 
-def test_where_it_is_off_nothing_of_it_is_imported(tmp_path: Path) -> None:
+def test_without_a_fleet_file_only_the_switch_module_is_imported(tmp_path: Path) -> None:
     code = (
         "import sys, gradefront.service; print(sorted(m for m in sys.modules if m.startswith('gradefront.fleet.') "
         "or m in ('msgspec', 'gradefront.net.fleet_port')))"
     )
 
-    async def play() -> bytes:
+    async def run() -> bytes:
         import sys
 
         process = await asyncio.create_subprocess_exec(sys.executable, "-c", code, stdout=asyncio.subprocess.PIPE)
         return (await process.communicate())[0]
 
-    assert asyncio.run(play()).decode().strip() == "['gradefront.fleet.switch']"
+    assert asyncio.run(run()).decode().strip() == "['gradefront.fleet.switch']"
