--- a/fuzz/__init__.py
+++ b/fuzz/__init__.py
@@ -1,1 +1,1 @@
-"""Fuzz targets for every parser that reads what comes from outside. Outside CI: see `fuzz/quic.py`."""
+"""Fuzz targets for each parser of untrusted input; they are run outside CI, see `fuzz/quic.py`."""
--- a/fuzz/quic.py
+++ b/fuzz/quic.py
@@ -1,10 +1,10 @@
-"""Fuzzing the QUIC front's parsers with atheris, coverage-guided.
+"""Coverage-guided fuzzing of the QUIC parsers with atheris.
 
-    python -m fuzz.quic corpus DIR                make the seed corpus: real datagrams, tokens, ids
-    python -m fuzz.quic run TARGET DIR [SECONDS]  fuzz one target on DIR/TARGET, an hour if nothing else is said
+    python -m fuzz.quic corpus DIR                write the seed corpus: real datagrams, tokens, ids
+    python -m fuzz.quic run TARGET DIR [SECONDS]  fuzz one target with the corpus DIR/TARGET, by default for an hour
     python -m fuzz.quic replay TARGET FILE ...    run inputs once, without atheris
 
-A target raises on what must not happen: any exception that its parser doesn't promise, or a broken property. Needs
+A target fails on an exception that its parser doesn't document, or on a violated property. `run` needs
 `pip install -r requirements-fuzz.txt`.
 """
 
@@ -21,9 +21,9 @@
 from gradefront.quic.initials import make_retry, open_initial, read_frames, seal_initial, sound_retry
 from gradefront.quic.tokens import Standing, TokenKey, TokenMint, packed
 
-LONGEST_CONNECTION_ID = 255  # octets that its length field can say
-MOST_PROTOCOLS = 16
-REMOVE = 2  # the third way to change an input
+MAX_CONNECTION_ID_LENGTH = 255  # octets; the most that its length field can express
+MAX_PROTOCOLS = 16  # ALPN protocols of a ClientHello
+REMOVE_OCTETS = 2  # number of a mutation in `smoke`
 KEY = bytes(range(16))
 FORMS = [IdForm(0, 2, 9), IdForm(1, 2, 9, True, KEY), IdForm(2, 4, 12, True, KEY), IdForm(3, 3, 4, False, KEY)]
 MINT = TokenMint({2: TokenKey(KEY, bytes(12))}, 2, 10_000_000)
@@ -32,24 +32,24 @@
 
 
 def headers(data: bytes) -> None:
-    """Whole datagrams."""
+    """Check the parsers of whole datagrams and of their headers."""
     packets = split(data, 12)
     assert sum(len(p.data) for p in packets) <= len(data)
     for packet in packets:
-        assert len(packet.to_id) <= LONGEST_CONNECTION_ID and packet.payload_at <= len(packet.data)
-    head = invariants(data)
-    if head:
-        assert head.end <= len(data)
-        back = invariants(version_negotiation(head))
-        assert back and (back.to_id, back.from_id) == (head.from_id, head.to_id)
+        assert len(packet.to_id) <= MAX_CONNECTION_ID_LENGTH and packet.payload_at <= len(packet.data)
+    header = invariants(data)
+    if header:
+        assert header.end <= len(data)
+        reply = invariants(version_negotiation(header))
+        assert reply and (reply.to_id, reply.from_id) == (header.from_id, header.to_id)
     read_long(data)
-    found = read_varint(data, 0)
-    if found:
-        assert read_varint(varint(found[0]), 0) == (found[0], len(varint(found[0])))
+    integer = read_varint(data, 0)
+    if integer:
+        assert read_varint(varint(integer[0]), 0) == (integer[0], len(varint(integer[0])))
 
 
 def initials(data: bytes) -> None:
-    """Initials and Retries of either side, and the frames in them."""
+    """Check the parsers of Initials and Retries, from client and server, and of the frames in them."""
     for packet in split(data):
         for side in (True, False):
             opened = open_initial(packet, packet.to_id, side)
@@ -64,10 +64,10 @@
 
 
 def hello(data: bytes) -> None:
-    """ClientHellos, whole and in pieces."""
+    """Check the ClientHello parsers, on whole and on fragmented messages."""
     try:
-        found = read_hello(data)
-        assert len(found.protocols) <= MOST_PROTOCOLS
+        parsed = read_hello(data)
+        assert len(parsed.protocols) <= MAX_PROTOCOLS
     except InvalidHelloError:
         pass
     reader, whole = HelloReader(), HelloReader()
@@ -85,7 +85,7 @@
 
 
 def tokens(data: bytes) -> None:
-    """Tokens: nothing from outside proves anything; what is sealed with our key does only at its address."""
+    """Check the token reader: no outside data proves an address, and a sealed token proves only the one in it."""
     assert MINT.read(data, CLIENT, b"retry-id", NOW_US).standing is not Standing.PROVEN
     sealed = MINT._seal(data[0] & 0x80 | 2 if data else 2, data[1:])
     if MINT.read(sealed, CLIENT, b"retry-id", NOW_US).standing is Standing.PROVEN:
@@ -94,25 +94,25 @@
 
 
 def ids(data: bytes) -> None:
-    """Ids of every form."""
+    """Check the parsers of connection ids in each form."""
     book = IdBook(FORMS, cached=32)
-    an_id = book.id_of(data)
-    if an_id:
-        assert data[1 : 1 + len(an_id)] == an_id
-    found = book.server_of(data)
-    if found:
-        form = next(f for f in FORMS if f.number == found[0])
+    connection_id = book.id_of(data)
+    if connection_id:
+        assert data[1 : 1 + len(connection_id)] == connection_id
+    server = book.server_of(data)
+    if server:
+        form = next(f for f in FORMS if f.number == server[0])
         decoded = form.decode(data)
         assert decoded and form.make(decoded.server_id, decoded.nonce)[1:] == data[1 : form.length]
 
 
-THEIRS = TokenMint({2: TokenKey(KEY[::-1], bytes(12))}, 2, 10_000_000)  # who knows everything but the key
+FOREIGN_MINT = TokenMint({2: TokenKey(KEY[::-1], bytes(12))}, 2, 10_000_000)  # of an attacker without the key
 BODY = b"\0\x08\x08first-idretry-id" + packed(CLIENT[0]) + CLIENT[1].to_bytes(2) + (NOW_US // 1000 + 9).to_bytes(8)
 TARGETS: dict[str, Callable[[bytes], None]] = {f.__name__: f for f in (headers, initials, hello, tokens, ids)}
 
 
 def seeds() -> dict[str, list[bytes]]:
-    """Inputs to begin with, made by our own writers and by aioquic."""
+    """Return the seed inputs by target, made by this program's own encoders and by aioquic."""
     from lab.flood import Forge
     from lab.quic import hello_text
 
@@ -126,14 +126,14 @@
         b"\x40" + FORMS[1].make(b"\7\1") + bytes(40),
         b"\xc0" + bytes(4) + b"\2ab\3cde" + V1.to_bytes(4),
     ]
-    few = [frames, b"\x02\x00\x00\x01\x00\x00\x00", b"\x1c\x02\x00\x00"]
+    frame_sequences = [frames, b"\x02\x00\x00\x01\x00\x00\x00", b"\x1c\x02\x00\x00"]
     return {
         "headers": datagrams,
-        "initials": [*datagrams, *few],
+        "initials": [*datagrams, *frame_sequences],
         "hello": [text, text[4:], text[:100]],
         "tokens": [
-            THEIRS.make(CLIENT, b"first-id", b"retry-id", NOW_US),
-            THEIRS.make_new(CLIENT, NOW_US, 10),
+            FOREIGN_MINT.make(CLIENT, b"first-id", b"retry-id", NOW_US),
+            FOREIGN_MINT.make_new(CLIENT, NOW_US, 10),
             BODY,
             b"\x80\0\0" + packed(CLIENT[0]) + bytes(2) + (NOW_US // 1000 + 9).to_bytes(8),
         ],
@@ -142,7 +142,7 @@
 
 
 def corpus(folder: Path) -> None:
-    """Write the seeds."""
+    """Write the seed corpus to `folder`, in one folder per target."""
     for name, inputs in seeds().items():
         (folder / name).mkdir(parents=True, exist_ok=True)
         for n, data in enumerate(inputs):
@@ -150,30 +150,30 @@
 
 
 def smoke(rounds: int, seed: int) -> int:
-    """Seeds bent at random: the same targets without atheris, for CI. Returns how many inputs were run."""
+    """Run the targets on randomly mutated seeds, without atheris, for CI. Return the number of inputs run."""
     rng = random.Random(seed)
-    done = 0
+    inputs_run = 0
     for name, inputs in seeds().items():
         for _ in range(rounds):
             data = bytearray(rng.choice(inputs))
             for _ in range(rng.randrange(4)):
-                how = rng.randrange(4)
+                mutation = rng.randrange(4)
                 at = rng.randrange(len(data) + 1)
-                if how == 0 and data:
+                if mutation == 0 and data:
                     data[at % len(data)] = rng.randrange(256)
-                elif how == 1:
+                elif mutation == 1:
                     data[at:at] = rng.randbytes(rng.randrange(8))
-                elif how == REMOVE:
+                elif mutation == REMOVE_OCTETS:
                     del data[at : at + rng.randrange(16)]
                 else:
                     data[at:] = rng.choice(inputs)[at:]
             TARGETS[name](bytes(data))
-            done += 1
-    return done
+            inputs_run += 1
+    return inputs_run
 
 
 def main(arguments: list[str]) -> int:
-    """The command line."""
+    """Run the command line. Return the exit status."""
     match arguments:
         case ["corpus", folder]:
             corpus(Path(folder))
@@ -183,11 +183,11 @@
         case ["run", name, folder, *rest] if name in TARGETS:
             import atheris
 
-            place = Path(folder) / name
-            place.mkdir(parents=True, exist_ok=True)
+            target_corpus = Path(folder) / name
+            target_corpus.mkdir(parents=True, exist_ok=True)
             atheris.instrument_all()
             atheris.Setup(
-                [sys.argv[0], str(place), f"-max_total_time={rest[0] if rest else 3600}", "-max_len=2000"],
+                [sys.argv[0], str(target_corpus), f"-max_total_time={rest[0] if rest else 3600}", "-max_len=2000"],
                 TARGETS[name],
             )
             atheris.Fuzz()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Hooks for KNOWN-RED.txt, and hypothesis with the same random steps in every run."""
+"""Hooks for KNOWN-RED.txt, and a hypothesis profile that generates the same examples in every run."""
 
 from hypothesis import settings
 
--- a/tests/test_fuzz_targets.py
+++ b/tests/test_fuzz_targets.py
@@ -1,4 +1,4 @@
-"""The fuzz targets hold on bent seeds, and notice what they are there to notice."""
+"""The fuzz targets pass on mutated seeds, detect a token that wrongly proves an address, and replay the corpus."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from gradefront.quic.tokens import Standing
 
 
-def test_bent_seeds_break_no_parser() -> None:
+def test_mutated_seeds_break_no_parser() -> None:
     assert fuzz.smoke(600, seed=11) == 600 * len(fuzz.TARGETS)
 
 
-def test_a_token_that_proves_what_it_must_not_is_noticed() -> None:
+def test_the_token_target_fails_on_a_token_that_wrongly_proves_an_address() -> None:
     assert (
         fuzz.MINT.read(fuzz.MINT._seal(2, fuzz.BODY[1:]), fuzz.CLIENT, b"retry-id", fuzz.NOW_US).standing
         is Standing.PROVEN
-    ), "the seed reaches the end of the reader"
-    other = fuzz.MINT.make(fuzz.CLIENT, b"first-id", b"retry-id", fuzz.NOW_US)
-    with pytest.raises(AssertionError):  # for the target, this is a forgery that works
-        fuzz.tokens(other)
+    ), "the seed must pass all checks of the token reader"
+    valid_token = fuzz.MINT.make(fuzz.CLIENT, b"first-id", b"retry-id", fuzz.NOW_US)
+    with pytest.raises(AssertionError):  # the target takes each valid token for a successful forgery
+        fuzz.tokens(valid_token)
 
 
-def test_the_corpus_is_made_and_replayed(tmp_path: Path) -> None:
+def test_the_corpus_is_written_and_replayed_and_an_unknown_command_is_a_usage_error(tmp_path: Path) -> None:
     assert fuzz.main(["corpus", str(tmp_path)]) == 0
     for name in fuzz.TARGETS:
         files = [str(f) for f in (tmp_path / name).iterdir()]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The handling of tests that are known to be red: each way in which it could hide something fails the run."""
+"""Known failing tests listed in KNOWN-RED.txt: each way in which the list could hide a fault fails the run."""
 
 from __future__ import annotations
 
@@ -19,7 +19,9 @@
 """
 SEEN = 'a fault: "assert False"'
 RED = f"test_it.py::test_red | run it, seed 7 | {SEEN} | issue 1\n"
-MALFORMED = """not 'file::test | command and seed | what was seen, with "text of the failure" | issue'"""
+MALFORMED = (
+    """must have the form 'file::test | command and seed | what was seen, with "text of the failure" | issue'"""
+)
 
 
 def run(folder: Path, listed: str | None, tests: str = TESTS, ci: bool = True) -> tuple[int, str]:
@@ -38,7 +40,7 @@
     return done.returncode, done.stdout + done.stderr
 
 
-def test_a_listed_test_is_passed_over_in_ci_alone_and_printed_with_what_was_seen(tmp_path: Path) -> None:
+def test_a_listed_failure_is_expected_in_ci_only_and_its_entry_is_printed(tmp_path: Path) -> None:
     code, output = run(tmp_path, RED)
     assert code == 0 and "1 passed, 1 xfailed" in output
     assert f"KNOWN RED test_it.py::test_red: {SEEN} (issue 1); run: run it, seed 7" in output
@@ -47,7 +49,7 @@
 
 
 @pytest.mark.parametrize(("test", "counts"), [("test_red", "1 passed, 1 xfailed"), ("test_green", "1 xpassed")])
-def test_an_intermittent_fault_may_show_or_not_in_ci_alone(tmp_path: Path, test: str, counts: str) -> None:
+def test_a_test_listed_as_intermittent_may_fail_or_pass_in_ci_only(tmp_path: Path, test: str, counts: str) -> None:
     tests = TESTS if test == "test_red" else "def test_green(): pass\n"
     listed = f"test_it.py::{test} | run it, seed 7 | intermittent: {SEEN} | issue 1\n"
     code, output = run(tmp_path, listed, tests)
@@ -58,7 +60,7 @@
         assert code == 1 and "1 failed, 1 passed" in output
 
 
-def test_only_a_fault_that_is_said_to_be_intermittent_may_not_show(tmp_path: Path) -> None:
+def test_a_listed_test_that_passes_fails_the_run_unless_its_entry_begins_with_intermittent(tmp_path: Path) -> None:
     listed = f"test_it.py::test_green | run it, seed 7 | an intermittent: {SEEN} | issue 1\n"
     code, output = run(tmp_path, listed)
     assert code != 0 and "XPASS(strict)" in output
@@ -66,17 +68,17 @@
 
 @pytest.mark.parametrize("seen", [SEEN, f"intermittent: {SEEN}"])
 def test_a_listed_test_that_fails_in_another_way_fails_the_run(tmp_path: Path, seen: str) -> None:
-    """Guards against a fault that hides behind the one that is known."""
+    """Guards against a new fault that is hidden by the entry of the known one."""
     tests = "def test_red(): assert 1 == 2, 'another rule'\n"
     code, output = run(tmp_path, f"test_it.py::test_red | run it, seed 7 | {seen} | issue 1\n", tests)
     assert code == 1 and "1 failed" in output and "did not fail with 'assert False'" in output
     code, output = run(
         tmp_path, f"test_it.py::test_red | run it, seed 7 | {seen} | issue 1\n", "def test_red(x): pass"
     )
-    assert code == 1 and "1 error" in output, "a fixture that is missing"
+    assert code == 1 and "1 error" in output, "an error in the setup, here a missing fixture"
 
 
-SEVERAL = """
+MULTIPART_FAILURE_TESTS = """
 class BrokenRulesError(AssertionError):
     def __init__(self, *rules):
         super().__init__(*rules)
@@ -86,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    ("failure", "is_let_through"),
+    ("failure", "is_expected"),
     [
         ("BrokenRulesError('n0: assert False', 'n1: assert False')", True),
         ("BrokenRulesError('n0: assert False', 'n1: another rule')", False),
@@ -94,31 +96,31 @@
         ("ExceptionGroup('assert False', [ValueError('assert False'), ValueError('another rule')])", False),
     ],
 )
-def test_a_failure_of_several_parts_is_passed_over_only_as_a_whole(
-    tmp_path: Path, failure: str, is_let_through: bool
+def test_a_failure_of_several_parts_is_expected_only_if_each_part_has_the_listed_text(
+    tmp_path: Path, failure: str, is_expected: bool
 ) -> None:
-    """Guards against a new fault that stands in one list with the one that is known."""
-    code, output = run(tmp_path, RED, SEVERAL.format(failure))
-    assert (code == 0) == is_let_through and ("1 xfailed" in output) == is_let_through
+    """Guards against a new fault that is reported together with the known one."""
+    code, output = run(tmp_path, RED, MULTIPART_FAILURE_TESTS.format(failure))
+    assert (code == 0) == is_expected and ("1 xfailed" in output) == is_expected
 
 
-def test_an_entry_stands_at_the_test_that_plays_its_seed(tmp_path: Path) -> None:
-    """Guards against a text that is let through for seeds that never showed it."""
+def test_an_entry_whose_seed_is_not_that_of_its_test_fails_the_run(tmp_path: Path) -> None:
+    """Guards against a failure that is expected for seeds that never showed it."""
     tests = "import pytest\n@pytest.mark.parametrize('seed', [7, 8])\ndef test_red(seed): assert False\n"
     listed = f"test_it.py::test_red[8] | run it, seed 7 | {SEEN} | issue 1\n"
     code, output = run(tmp_path, listed, tests)
-    assert code != 0 and "test_it.py::test_red[8] does not play the seed of 'run it, seed 7'" in output
+    assert code != 0 and "test_it.py::test_red[8] does not run with the seed of 'run it, seed 7'" in output
     code, output = run(tmp_path, listed.replace("[8]", "[7]"), tests)
-    assert code == 1 and "1 failed, 1 xfailed" in output, "the other seed is no known failure"
+    assert code == 1 and "1 failed, 1 xfailed" in output, "the other seed's failure is not listed"
 
 
-def test_without_the_file_nothing_changes(tmp_path: Path) -> None:
+def test_without_the_file_tests_run_as_usual(tmp_path: Path) -> None:
     code, output = run(tmp_path, None)
     assert code == 1 and "1 failed, 1 passed" in output and "KNOWN RED" not in output
 
 
 @pytest.mark.parametrize(
-    ("listed", "why"),
+    ("listed", "message"),
     [
         (f"test_it.py::test_green | run it, seed 7 | {SEEN} | issue 1\n", "XPASS(strict)"),
         (f"test_it.py::test_gone | run it, seed 7 | {SEEN} | issue 1\n", "no test has the name"),
@@ -130,13 +132,13 @@
         ("test_it.py::test_red | run it, seed 7 |  | issue 1\n", MALFORMED),
         (f"test_it.py | run it, seed 7 | {SEEN} | issue 1\n", MALFORMED),
         (RED + "\n", MALFORMED),
-        (RED * 2, "stands twice"),
+        (RED * 2, "listed twice"),
         ("".join(f"test_it.py::test_{n} | run it, seed 7 | {SEEN} | issue 1\n" for n in range(4)), "3 at most"),
     ],
 )
-def test_a_list_that_hides_or_misleads_fails_the_run(tmp_path: Path, listed: str, why: str) -> None:
+def test_an_entry_that_is_invalid_or_no_longer_true_fails_the_run(tmp_path: Path, listed: str, message: str) -> None:
     code, output = run(tmp_path, listed)
-    assert code != 0 and why in output
+    assert code != 0 and message in output
 
 
 @pytest.mark.parametrize(
@@ -152,6 +154,6 @@
         "@pytest.fixture\ndef away(): pytest.skip('no')\ndef test_it(away): pass",
     ],
 )
-def test_no_other_test_may_be_skipped_or_expected_to_fail(tmp_path: Path, test: str) -> None:
+def test_a_test_that_is_skipped_or_expected_to_fail_without_an_entry_fails_the_run(tmp_path: Path, test: str) -> None:
     code, output = run(tmp_path, None, f"import pytest\n{test}\n")
     assert code in (1, 2) and ("1 failed" in output or "1 error" in output) and "not listed" in output
