--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: each prints a table, and compares with a baseline in the same run."""
+"""Benchmarks. Each prints a Markdown table, and compares with a baseline that is measured in the same run."""
--- a/benchmarks/quic_flood.py
+++ b/benchmarks/quic_flood.py
@@ -1,5 +1,6 @@
-"""Honest devices while Initials come under made-up addresses: how many stand, how fast, and what backends see.
+"""Connection set-up of honest devices during a flood of Initials with spoofed source addresses.
 
+Measures how many devices are served, how fast, and how many spoofed connections reach the backends.
 `python -m benchmarks.quic_flood [RATE ...]` prints a Markdown table.
 """
 
@@ -18,48 +19,48 @@
 from lab.quic import Device, QuicBackend, file_of
 from lab.stand_ins import Discovery, program, settings, soon
 
-IN_TIME_S = 0.5  # a set-up that counts as in time
-HONEST = 60
-PACE_S = 0.05  # 20 honest devices a second
+IN_TIME_S = 0.5  # longest set-up time that counts as in time
+HONEST_DEVICES = 60
+DEVICE_INTERVAL_S = 0.05  # between two honest devices: 20 per second
 KEY = {"sequence": 1, "key": "00112233445566778899aabbccddeeff", "iv": "000102030405060708090a0b"}
 
 
 def resident_kb(pid: int) -> int:
-    """A process's resident memory."""
+    """Return a process's resident memory in KB."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") // 1024
 
 
 def cpu_s(pid: int) -> float:
-    """Seconds that a process has run, by the scheduler's own clock: ticks are too coarse for a short turn."""
+    """Return the CPU seconds of a process, by the scheduler's clock: clock ticks are too coarse for short runs."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
 
 
-async def honest(front: tuple[str, int], devices: list[Device], late_s: float) -> float:
-    """The time until one device is served, or `late_s`."""
-    device = Device(front)
+async def set_up(listener: tuple[str, int], devices: list[Device], timeout_s: float) -> float:
+    """Set up one device, and add it to `devices`. Return the seconds until it is served, at most `timeout_s`."""
+    device = Device(listener)
     devices.append(device)
     began = time.monotonic()
     await device.start()
     try:
-        await asyncio.wait_for(device.ask("hello"), late_s)
+        await asyncio.wait_for(device.ask("hello"), timeout_s)
         return time.monotonic() - began
     except TimeoutError:
-        return late_s
+        return timeout_s
 
 
-async def once(rate: float, retry: str, late_s: float = 1.5) -> dict[str, Any]:
-    """One flood."""
+async def run_flood(rate: float, retry: str, timeout_s: float = 1.5) -> dict[str, Any]:
+    """Run a flood of `rate` Initials per second (0 for none), with `retry` as retry.mode. Return the measurements."""
     keys = {KEY["sequence"]: (KEY["key"], KEY["iv"])}
     backends = [QuicBackend(f"box-{n}", bytes([7, n]), token_keys=keys if retry != "never" else {}) for n in range(3)]
     discovery = Discovery()
     for backend in backends:
         await backend.open()
         discovery.add(backend.name, backend.port)
-    given: dict[str, Any] = {"mode": retry, "keys": [KEY]} if retry != "never" else {}
+    retry_settings: dict[str, Any] = {"mode": retry, "keys": [KEY]} if retry != "never" else {}
     with tempfile.TemporaryDirectory() as folder:
-        async with program(Path(folder), discovery, settings(), file_of(backends, retry=given)) as relay:
+        async with program(Path(folder), discovery, settings(), file_of(backends, retry=retry_settings)) as relay:
             await soon(discovery.asked.wait())
-            front = ("127.0.0.1", relay.ports[1])
+            listener = ("127.0.0.1", relay.ports[1])
             pid = relay.process.pid
             flooder = None
             if rate:
@@ -67,53 +68,56 @@
                     sys.executable,
                     "-m",
                     "lab.flood",
-                    front[0],
-                    str(front[1]),
+                    listener[0],
+                    str(listener[1]),
                     str(rate),
                     "5",
                     stdout=asyncio.subprocess.PIPE,
                 )
-                await asyncio.sleep(1.2)  # it makes its sockets, and the door comes under pressure
-            before, used, began = resident_kb(pid), cpu_s(pid), time.monotonic()
+                await asyncio.sleep(1.2)  # until the flooder has its sockets and the listener is under pressure
+            memory_before_kb, cpu_before_s, began = resident_kb(pid), cpu_s(pid), time.monotonic()
             devices: list[Device] = []
-            coming = []
-            for _ in range(HONEST):
-                coming.append(asyncio.ensure_future(honest(front, devices, late_s)))
-                await asyncio.sleep(PACE_S)
-            took = await asyncio.gather(*coming)
-            spent = (cpu_s(pid) - used) / (time.monotonic() - began)
-            grown = resident_kb(pid) - before
-            sent = json.loads((await flooder.communicate())[0])["rate"] if flooder else 0
+            set_ups = []
+            for _ in range(HONEST_DEVICES):
+                set_ups.append(asyncio.ensure_future(set_up(listener, devices, timeout_s)))
+                await asyncio.sleep(DEVICE_INTERVAL_S)
+            set_up_times_s = await asyncio.gather(*set_ups)
+            cpu_load = (cpu_s(pid) - cpu_before_s) / (time.monotonic() - began)
+            memory_growth_kb = resident_kb(pid) - memory_before_kb
+            sent_rate = json.loads((await flooder.communicate())[0])["rate"] if flooder else 0
             counts = await relay.counters()
             for device in devices:
                 device.close()
             for backend in backends:
                 backend.wire.close()
-    stood = [t for t in took if t < late_s]
+    served = [t for t in set_up_times_s if t < timeout_s]
     return {
-        "rate": sent,
+        "rate": sent_rate,
         "retry": retry,
-        "stood": len(stood),
-        "in_500": sum(t < IN_TIME_S for t in took),
-        "median_ms": round(statistics.median(took) * 1000),
-        "worst_ms": round(max(took) * 1000),
-        "phantoms": sum(len(b.connections) for b in backends) - len(devices),
-        "cpu": round(spent, 2),
-        "grown_kb": grown,
+        "served": len(served),
+        "in_time": sum(t < IN_TIME_S for t in set_up_times_s),
+        "median_ms": round(statistics.median(set_up_times_s) * 1000),
+        "worst_ms": round(max(set_up_times_s) * 1000),
+        "spoofed": sum(len(b.connections) for b in backends) - len(devices),
+        "cpu": round(cpu_load, 2),
+        "memory_growth_kb": memory_growth_kb,
         "counts": counts,
     }
 
 
 async def main(rates: list[float]) -> None:
-    """The table."""
-    print("| Initials/s | Retry | stand in 1.5 s | in 500 ms | median | worst | phantoms at boxes | CPU | memory |")
+    """Run a flood for each rate and retry mode, and print the table."""
+    print(
+        "| Initials/s | Retry | served in 1.5 s | in 500 ms | median | worst | spoofed at backends | CPU | memory |"
+    )
     print("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
     for rate in rates:
         for retry in ("never", "auto", "always"):
-            r = await once(rate, retry)
+            r = await run_flood(rate, retry)
             print(
-                f"| {r['rate']:.0f} | {retry} | {r['stood']} of {HONEST} | {r['in_500']} | {r['median_ms']} ms "
-                f"| {r['worst_ms']} ms | {r['phantoms']} | {r['cpu']:.0%} | {r['grown_kb']:+} KB |",
+                f"| {r['rate']:.0f} | {retry} | {r['served']} of {HONEST_DEVICES} | {r['in_time']} "
+                f"| {r['median_ms']} ms | {r['worst_ms']} ms | {r['spoofed']} | {r['cpu']:.0%} "
+                f"| {r['memory_growth_kb']:+} KB |",
                 flush=True,
             )
             if "-v" in sys.argv:
--- a/benchmarks/quic_forward.py
+++ b/benchmarks/quic_forward.py
@@ -1,8 +1,8 @@
-"""What a datagram by id costs, against a bare forwarder in the same run.
+"""Cost of forwarding a datagram by its connection id, compared with a minimal UDP forwarder in the same run.
 
-The bare forwarder is what one would write first: one process, one thread, `recvfrom`, a dictionary from client to
-backend, `sendto`. Both get the same datagrams from the same sender, one after the other in short turns, at a rate
-that both can bear; the figure is CPU seconds of the process for each datagram passed on.
+The minimal forwarder is the simplest possible one: one process, one thread, `recvfrom`, a dictionary from client to
+backend, `sendto`. Both get the same datagrams from the same sender, in short alternating runs, at a rate that both
+can sustain. The result is the CPU time of the process per forwarded datagram.
 
 `python -m benchmarks.quic_forward` prints a Markdown table.
 """
@@ -29,21 +29,25 @@
 
 KEY = bytes(range(16))
 BACKENDS = 6
-SIZE = 250  # octets of a datagram: a message and its answer are small
-RATE = 12_000
+SIZE = 250  # octets of a datagram: messages and their answers are small
+RATE = 12_000  # datagrams per second
 ROUND_S = 1.5
 ROUNDS = 5
 
 
-def bare(backends_at: list[tuple[str, int]], given: Connection) -> None:
-    """The bare forwarder: one port a client would be as our old front; one for all is the cheapest there is."""
+def minimal_forwarder(backend_addresses: list[tuple[str, int]], pipe: Connection) -> None:
+    """Forward datagrams for ever, as a child process; its address goes to the pipe.
+
+    It uses one socket for all clients towards the backends, which is the cheapest way. An earlier version of the
+    relay's QUIC front used a port per client.
+    """
     front = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     front.bind(("127.0.0.1", 0))
     front.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 << 20)
     front.setblocking(False)
     back = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     back.bind(("127.0.0.1", 0))
-    given.send(front.getsockname())
+    pipe.send(front.getsockname())
     backends: dict[Any, Any] = {}
     poll = select.epoll()
     poll.register(front.fileno(), select.EPOLLIN)
@@ -54,97 +58,100 @@
                 datagram, client = front.recvfrom(9_216)
             except BlockingIOError:
                 break
-            where = backends.get(client)
-            if where is None:
-                where = backends[client] = backends_at[len(backends) % len(backends_at)]
-            back.sendto(datagram, where)
+            backend = backends.get(client)
+            if backend is None:
+                backend = backends[client] = backend_addresses[len(backends) % len(backend_addresses)]
+            back.sendto(datagram, backend)
+
 
+def sink_backends(pipe: Connection) -> None:
+    """Run backends that read and count datagrams, as a child process.
 
-def sink(given: Connection) -> None:
-    """Backends that read and count."""
+    Their addresses go to the pipe first; then each message from the pipe is answered by the count since the last one.
+    """
     poll = select.epoll()
-    takers = {}
+    sockets = {}
     for _ in range(BACKENDS):
-        taker = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        taker.bind(("127.0.0.1", 0))
-        taker.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8 << 20)
-        taker.setblocking(False)
-        poll.register(taker.fileno(), select.EPOLLIN)
-        takers[taker.fileno()] = taker
-    given.send([taker.getsockname() for taker in takers.values()])
+        backend = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        backend.bind(("127.0.0.1", 0))
+        backend.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8 << 20)
+        backend.setblocking(False)
+        poll.register(backend.fileno(), select.EPOLLIN)
+        sockets[backend.fileno()] = backend
+    pipe.send([backend.getsockname() for backend in sockets.values()])
     count = 0
     while True:
         for number, _ in poll.poll(0.02):
             try:
                 while True:
-                    takers[number].recv(9_216)
+                    sockets[number].recv(9_216)
                     count += 1
             except BlockingIOError:
                 pass
-        if given.poll():
-            given.recv()
-            given.send(count)
+        if pipe.poll():
+            pipe.recv()
+            pipe.send(count)
             count = 0
 
 
-class Load:
-    """Clients at sockets of their own, each with an id."""
+class Clients:
+    """Clients with a socket each, and a datagram each that bears a connection id."""
 
     def __init__(self, paths: int, form: IdForm) -> None:
         self.rng = random.Random(paths)
-        self.ways: list[tuple[socket.socket, bytes]] = []
+        self.paths: list[tuple[socket.socket, bytes]] = []
         for _ in range(paths):
-            one = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            one.bind(("127.0.0.1", 0))
-            an_id = form.make(bytes([7, len(self.ways) % BACKENDS]))
-            self.ways.append((one, b"\x40" + an_id + os.urandom(SIZE - 1 - form.length)))
+            client = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            client.bind(("127.0.0.1", 0))
+            connection_id = form.make(bytes([7, len(self.paths) % BACKENDS]))
+            self.paths.append((client, b"\x40" + connection_id + os.urandom(SIZE - 1 - form.length)))
 
-    def send(self, front: tuple[str, int], seconds: float) -> None:
-        """Send at the rate."""
+    def send(self, receiver: tuple[str, int], seconds: float) -> None:
+        """Send datagrams of random clients at RATE."""
         began, sent = time.monotonic(), 0
-        while (passed := time.monotonic() - began) < seconds:
-            while sent < passed * RATE:
-                way, datagram = self.ways[self.rng.randrange(len(self.ways))]
-                way.sendto(datagram, front)
+        while (elapsed_s := time.monotonic() - began) < seconds:
+            while sent < elapsed_s * RATE:
+                client, datagram = self.paths[self.rng.randrange(len(self.paths))]
+                client.sendto(datagram, receiver)
                 sent += 1
-            time.sleep(0.001)  # a pace, not a wait for something
+            time.sleep(0.001)  # paces the sender; nothing is waited for
 
-    def once_each(self, front: tuple[str, int]) -> None:
-        """Every client speaks, so that all paths are there."""
-        for n, (way, datagram) in enumerate(self.ways):
-            way.sendto(datagram, front)
+    def send_once_each(self, receiver: tuple[str, int]) -> None:
+        """Send one datagram of each client, so that the receiver knows all paths."""
+        for n, (client, datagram) in enumerate(self.paths):
+            client.sendto(datagram, receiver)
             if n % 20 == 0:
                 time.sleep(0.002)
 
     def close(self) -> None:
-        """Give the sockets back."""
-        for way, _ in self.ways:
-            way.close()
+        """Close the sockets."""
+        for client, _ in self.paths:
+            client.close()
 
 
-def child(target: Any, *arguments: Any) -> tuple[Any, Any, Any]:
-    """A process and what it told first."""
-    ours, theirs = multiprocessing.Pipe()
-    process = multiprocessing.Process(target=target, args=(*arguments, theirs), daemon=True)
+def start_child(target: Any, *arguments: Any) -> tuple[Any, Any, Any]:
+    """Start a child process. Return the process, a pipe to it, and the first message that it sent."""
+    pipe, child_pipe = multiprocessing.Pipe()
+    process = multiprocessing.Process(target=target, args=(*arguments, child_pipe), daemon=True)
     process.start()
-    return process, ours, ours.recv()
+    return process, pipe, pipe.recv()
 
 
-def counted(pipe: Any) -> int:
-    """What the sink has taken since the last question."""
+def take_count(pipe: Any) -> int:
+    """Return how many datagrams the backends received since the last call."""
     pipe.send("how many")
     return int(pipe.recv())
 
 
-async def compare(paths: int, hidden: bool) -> tuple[float, float]:
-    """CPU us for each datagram: the bare forwarder's, ours."""
-    form = IdForm(0, 2, 9, True, KEY if hidden else None)
-    backend, pipe, backends_at = child(sink)
-    forwarder, _, bare_at = child(bare, backends_at)
+async def compare(paths: int, encrypted: bool) -> tuple[float, float]:
+    """Return the CPU microseconds per datagram of the minimal forwarder and of the relay."""
+    form = IdForm(0, 2, 9, True, KEY if encrypted else None)
+    backends, pipe, backend_addresses = start_child(sink_backends)
+    forwarder, _, forwarder_address = start_child(minimal_forwarder, backend_addresses)
     discovery = Discovery()
-    for n, at in enumerate(backends_at):
-        discovery.add(f"box-{n}", at[1])
-    ids = {"config_id": 0, "server_id_length": 2, "nonce_length": 9, **({"key": KEY.hex()} if hidden else {})}
+    for n, address in enumerate(backend_addresses):
+        discovery.add(f"box-{n}", address[1])
+    ids = {"config_id": 0, "server_id_length": 2, "nonce_length": 9, **({"key": KEY.hex()} if encrypted else {})}
     file = {
         "on": True,
         "listen": {"visit-checkin": "127.0.0.1:0"},
@@ -152,44 +159,47 @@
         "path_idle_s": 600,
         "most_ports": 900,
         "boxes": {
-            f"box-{n}": {"server_id": f"07{n:02x}", "reset_key": "00", "address": f"{at[0]}:{at[1]}"}
-            for n, at in enumerate(backends_at)
+            f"box-{n}": {"server_id": f"07{n:02x}", "reset_key": "00", "address": f"{address[0]}:{address[1]}"}
+            for n, address in enumerate(backend_addresses)
         },
     }
-    load = Load(paths, form)
-    spent, passed = {"bare": 0.0, "ours": 0.0}, {"bare": 0, "ours": 0}
+    clients = Clients(paths, form)
+    used_s, forwarded = {"minimal": 0.0, "relay": 0.0}, {"minimal": 0, "relay": 0}
     with tempfile.TemporaryDirectory() as folder:
         async with program(Path(folder), discovery, settings(), file) as relay:
             await soon(discovery.asked.wait())
-            fronts = {"bare": (bare_at, forwarder.pid), "ours": (("127.0.0.1", relay.ports[1]), relay.process.pid)}
-            for where, _ in fronts.values():
-                await asyncio.to_thread(load.once_each, where)
-            counted(pipe)
+            forwarders = {
+                "minimal": (forwarder_address, forwarder.pid),
+                "relay": (("127.0.0.1", relay.ports[1]), relay.process.pid),
+            }
+            for receiver, _ in forwarders.values():
+                await asyncio.to_thread(clients.send_once_each, receiver)
+            take_count(pipe)
             for _ in range(ROUNDS):
-                for name, (where, pid) in fronts.items():
-                    used = cpu_s(pid)
-                    await asyncio.to_thread(load.send, where, ROUND_S)
+                for name, (receiver, pid) in forwarders.items():
+                    cpu_before_s = cpu_s(pid)
+                    await asyncio.to_thread(clients.send, receiver, ROUND_S)
                     await asyncio.sleep(0.1)
-                    spent[name] += cpu_s(pid) - used
-                    passed[name] += counted(pipe)
+                    used_s[name] += cpu_s(pid) - cpu_before_s
+                    forwarded[name] += take_count(pipe)
             if "-v" in sys.argv:
                 print(await relay.counters())
-    for process in (backend, forwarder):
+    for process in (backends, forwarder):
         process.terminate()
-    load.close()
-    return spent["bare"] / passed["bare"] * 1e6, spent["ours"] / passed["ours"] * 1e6
+    clients.close()
+    return used_s["minimal"] / forwarded["minimal"] * 1e6, used_s["relay"] / forwarded["relay"] * 1e6
 
 
 async def main() -> None:
-    """The table."""
-    print("| paths | ids | bare forwarder | this front | its share of the forwarder's speed |")
+    """Compare for several numbers of paths, with plain and encrypted ids, and print the table."""
+    print("| paths | ids | minimal forwarder | relay | relay's speed relative to the forwarder |")
     print("| --- | --- | --- | --- | --- |")
     for paths in (50, 900, 4_000):
-        for hidden in (False, True):
-            theirs, ours = await compare(paths, hidden)
+        for encrypted in (False, True):
+            forwarder_us, relay_us = await compare(paths, encrypted)
             print(
-                f"| {paths} | {'hidden' if hidden else 'plain'} | {theirs:.1f} us | {ours:.1f} us "
-                f"| {theirs / ours:.2f} |",
+                f"| {paths} | {'encrypted' if encrypted else 'plain'} | {forwarder_us:.1f} us | {relay_us:.1f} us "
+                f"| {forwarder_us / relay_us:.2f} |",
                 flush=True,
             )
 
--- a/benchmarks/quic_initials.py
+++ b/benchmarks/quic_initials.py
@@ -1,7 +1,7 @@
-"""What an Initial costs the relay: taken, refused, retried, seen once, dropped; and what a connection weighs.
+"""CPU cost of an Initial that the relay accepts, rejects, answers by Retry or drops; and memory per connection.
 
-In one process, on real loopback sockets, with the reactor and the clock held still; each figure stands beside what it
-costs to read a datagram of the same length and send it on, measured in turns with it.
+Runs in one process on real loopback sockets, with a stopped reactor and a simulated clock. Each cost is compared with
+that of reading and forwarding a datagram of the same length, measured in alternation.
 
 `python -m benchmarks.quic_initials` prints a Markdown table.
 """
@@ -30,7 +30,7 @@
 from lab.conform.quic import WIDE as LAB_WIDE
 from lab.flood import Forge
 
-ROUNDS, EACH = 20, 30  # all of them standing together find a port
+ROUNDS, INITIALS_PER_ROUND = 20, 30  # few enough that all these connections at once find a port
 FORM = IdForm(0, 2, 9, True, bytes(range(16)))
 SETTINGS = Settings(classes=(RequestClass(latency_objective_us=300_000, deadline_us=1_500_000),), max_attempts=4)
 CONFIG = Config(
@@ -51,21 +51,24 @@
 KEYS = [{"sequence": 1, "key": bytes(16).hex(), "iv": bytes(12).hex()}]
 
 
-class Still:
-    """A reactor that does nothing by itself."""
+class StoppedReactor:
+    """A reactor that only stores its reader; the benchmark calls the reader itself."""
 
     hub: Any
 
     def addReader(self, reader: Any) -> None:
-        """Keep it."""
+        """Store the reader."""
         self.hub = reader
 
     def removeReader(self, reader: Any) -> None:
-        """Forget it."""
+        """Do nothing."""
 
 
-class ConnectionState:
-    """A front, one backend that serves, one client."""
+class RelayUnderTest:
+    """A relay's QUIC front with one client and one backend that serves each connection.
+
+    `more` holds further settings of quic.json.
+    """
 
     def __init__(self, **more: Any) -> None:
         self.now = 1_000_000_000
@@ -75,7 +78,7 @@
         self.client = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.client.bind(("127.0.0.1", 0))
         self.client.setblocking(False)
-        given = {
+        file = {
             "listen": {"visit-checkin": "127.0.0.1:0"},
             "most_waiting": 100_000,
             "limits": WIDE,
@@ -93,20 +96,20 @@
         self.core = RelayCore(Balancer(SETTINGS, 1), SETTINGS, lambda: self.now, lambda: None)
         self.core.on_endpoint_list(EndpointListUpdate((Endpoint("box-0"),), True))
         self.core.run_once()
-        reactor: Any = Still()
-        self.front = QuicFront(CONFIG, quic_config.parse(given, CONFIG), self.core, reactor)
+        reactor: Any = StoppedReactor()
+        self.front = QuicFront(CONFIG, quic_config.parse(file, CONFIG), self.core, reactor)
         self.hub = reactor.hub
         self.listener = self.front.listeners[0].address
 
-    def relay(self) -> float:
-        """Let the relay do what there is; its CPU seconds."""
+    def process(self) -> float:
+        """Let the relay process all received datagrams and due actions. Return the CPU seconds used."""
         began = time.process_time()
         self.hub._serve(0)
         self.core.run_once()
         return time.process_time() - began
 
     def answer(self) -> None:
-        """The backend serves all that came."""
+        """Let the backend accept all Initials that it received."""
         while True:
             try:
                 data, sender = self.backend.recvfrom(2_048)
@@ -118,7 +121,7 @@
             )
 
     def drain(self) -> None:
-        """The client reads what came for it."""
+        """Read and discard all that the client received."""
         while True:
             try:
                 self.client.recv(2_048)
@@ -126,112 +129,115 @@
                 return
 
     def close(self) -> None:
-        """Give everything back."""
+        """Close the front and the sockets."""
         self.front.close()
         self.client.close()
         self.backend.close()
 
 
 def baseline(datagrams: list[bytes]) -> float:
-    """Read and send on, once each; CPU seconds."""
-    one, two = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
-    for made in (one, two):
-        made.bind(("127.0.0.1", 0))
-        made.setblocking(False)
+    """Read and forward each datagram once. Return the CPU seconds used."""
+    forwarder, peer = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
+    for end in (forwarder, peer):
+        end.bind(("127.0.0.1", 0))
+        end.setblocking(False)
     for datagram in datagrams:
-        two.sendto(datagram, one.getsockname())
-    where = two.getsockname()
+        peer.sendto(datagram, forwarder.getsockname())
+    receiver = peer.getsockname()
     began = time.process_time()
     for _ in datagrams:
-        data, _ = one.recvfrom(9_216)
-        one.sendto(data, where)
-    spent = time.process_time() - began
-    one.close()
-    two.close()
-    return spent
+        data, _ = forwarder.recvfrom(9_216)
+        forwarder.sendto(data, receiver)
+    used_s = time.process_time() - began
+    forwarder.close()
+    peer.close()
+    return used_s
+
 
+def measure(relay: RelayUnderTest, make: Callable[[], bytes], answered: bool) -> tuple[float, float]:
+    """Return the median CPU microseconds of one Initial in the relay, and of one datagram in the baseline.
 
-def measure(stage: ConnectionState, make: Callable[[], bytes], answered: bool) -> tuple[float, float]:
-    """Median CPU us of one Initial, and of the baseline's datagram beside it."""
-    ours, theirs = [], []
+    `answered` adds the relay's work on the backend's answers.
+    """
+    relay_us, baseline_us = [], []
     for _ in range(ROUNDS):
-        batch = [make() for _ in range(EACH)]
+        batch = [make() for _ in range(INITIALS_PER_ROUND)]
         for datagram in batch:
-            stage.client.sendto(datagram, stage.listener)
-        spent = stage.relay()
-        stage.answer()
-        after = stage.relay()
-        spent += after if answered else 0
-        stage.drain()
-        stage.now += 1_000_000
-        ours.append(spent / EACH * 1e6)
-        theirs.append(baseline(batch) / EACH * 1e6)
-    return statistics.median(ours), statistics.median(theirs)
-
-
-def weight() -> tuple[float, float]:
-    """Octets of a standing connection with its path, and of one more path."""
-    stage = ConnectionState()
+            relay.client.sendto(datagram, relay.listener)
+        used_s = relay.process()
+        relay.answer()
+        answers_s = relay.process()
+        used_s += answers_s if answered else 0
+        relay.drain()
+        relay.now += 1_000_000
+        relay_us.append(used_s / INITIALS_PER_ROUND * 1e6)
+        baseline_us.append(baseline(batch) / INITIALS_PER_ROUND * 1e6)
+    return statistics.median(relay_us), statistics.median(baseline_us)
+
+
+def memory_use() -> tuple[float, float]:
+    """Return the octets that an established connection with its path uses, and those of one more path."""
+    relay = RelayUnderTest()
     forge = Forge()
 
-    def come(count: int) -> None:
+    def connect(count: int) -> None:
         for _ in range(count // 20):
             for _ in range(20):
-                stage.client.close()
-                stage.client = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-                stage.client.bind(("127.0.0.1", 0))
-                stage.client.setblocking(False)
-                stage.client.sendto(forge.make(), stage.listener)
-            stage.relay()
-            stage.answer()
-            stage.relay()
-
-    come(100)
+                relay.client.close()
+                relay.client = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+                relay.client.bind(("127.0.0.1", 0))
+                relay.client.setblocking(False)
+                relay.client.sendto(forge.make(), relay.listener)
+            relay.process()
+            relay.answer()
+            relay.process()
+
+    connect(100)
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    come(400)
+    connect(400)
     gc.collect()
-    connection = (tracemalloc.get_traced_memory()[0] - before) / 400
+    per_connection = (tracemalloc.get_traced_memory()[0] - before) / 400
     before = tracemalloc.get_traced_memory()[0]
-    an_ids = [next(reversed(owner.ids)) for owner in list(stage.front.connections)[:400]]
-    for an_id in an_ids:
-        one = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        one.sendto(b"\x40" + an_id + os.urandom(40), stage.listener)
-        one.close()
-        stage.relay()
+    connection_ids = [next(reversed(owner.ids)) for owner in list(relay.front.connections)[:400]]
+    for connection_id in connection_ids:
+        client = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        client.sendto(b"\x40" + connection_id + os.urandom(40), relay.listener)
+        client.close()
+        relay.process()
     gc.collect()
-    path = (tracemalloc.get_traced_memory()[0] - before) / 400
+    per_path = (tracemalloc.get_traced_memory()[0] - before) / 400
     tracemalloc.stop()
-    stage.close()
-    return connection, path
+    relay.close()
+    return per_connection, per_path
 
 
 def main() -> None:
-    """The table."""
+    """Measure each case and print the table."""
     forge = Forge()
-    print("| an Initial that is | CPU | datagrams read and sent on for it |")
+    print("| an Initial that is | CPU | cost in datagrams read and forwarded |")
     print("| --- | --- | --- |")
     keyed = {"keys": KEYS}
     for name, answered, more in (
-        ("taken: opened, placed, answered by its push box", True, {}),
-        ("retried", False, {"retry": {"mode": "always", **keyed}}),
+        ("accepted: decrypted, placed, answered by its backend", True, {}),
+        ("answered by a Retry", False, {"retry": {"mode": "always", **keyed}}),
         (
-            "refused with a pause",
+            "rejected with a Retry-After",
             False,
             {"limits": {**WIDE, "address_rate": 0.1, "address_burst": 1, "refusal_rate": 1e6}},
         ),
-        ("seen once, under pressure", False, {"limits": {**WIDE, "pressure": 1.0}}),
-        ("denied by its network", False, {"limits": {**WIDE, "deny": ["127.0.0.0/8"]}}),
+        ("not repeated, under pressure", False, {"limits": {**WIDE, "pressure": 1.0}}),
+        ("from a denied network", False, {"limits": {**WIDE, "deny": ["127.0.0.0/8"]}}),
     ):
-        stage = ConnectionState(**more)
-        ours, theirs = measure(stage, forge.make, answered)
-        stage.close()
-        print(f"| {name} | {ours:.0f} us | {ours / theirs:.1f} |", flush=True)
-    connection, path = weight()
+        relay = RelayUnderTest(**more)
+        relay_us, baseline_us = measure(relay, forge.make, answered)
+        relay.close()
+        print(f"| {name} | {relay_us:.0f} us | {relay_us / baseline_us:.1f} |", flush=True)
+    per_connection, per_path = memory_use()
     print(
-        f"\nA standing connection with its path weighs {connection:,.0f} octets of Python objects, "
-        f"a further path {path:,.0f}."
+        f"\nAn established connection with its path uses {per_connection:,.0f} octets of Python objects, "
+        f"a further path {per_path:,.0f}."
     )
 
 
