--- a/gradefront/net/fleet_port.py
+++ b/gradefront/net/fleet_port.py
@@ -9,7 +9,7 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from gradefront.config import ConfigError, address
+from gradefront.config import ConfigError, parse_address
 from gradefront.core.relay import RelayCore
 from gradefront.fleet.members import Record, State
 from gradefront.fleet.settings import FleetConfig
@@ -55,7 +55,7 @@
     def _tick(self) -> None:
         if self.swim and self.transport:
             # First: nothing that fails here ends the ticks.
-            self.core.after(self.config.period_us // TICKS_PER_PERIOD, self._tick)
+            self.core.call_later(self.config.period_us // TICKS_PER_PERIOD, self._tick)
             self._send(self.swim.tick(self.core.clock()))
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
@@ -99,7 +99,7 @@
             if member is None:
                 continue
             try:
-                self.transport.write(self.sealer.seal(message), address(member.record.address, "where"))
+                self.transport.write(self.sealer.seal(message), parse_address(member.record.address, "where"))
             except (OSError, ValueError, ConfigError):  # a full buffer, or a peer's address is none: as if lost
                 self.core.counters.add("fleet_unsent")
 
