--- a/benchmarks/quic_forward.py
+++ b/benchmarks/quic_forward.py
@@ -95,7 +95,7 @@
 
 
 class Clients:
-    """Clients with a socket each, and a datagram each that bears a connection id."""
+    """Clients with a socket each, and a datagram each with a connection id."""
 
     def __init__(self, paths: int, form: IdForm) -> None:
         self.rng = random.Random(paths)
--- a/gradefront/routing/admission.py
+++ b/gradefront/routing/admission.py
@@ -77,10 +77,8 @@
         self.rejections = Bucket(limits.refusal_rate, max(1.0, limits.refusal_rate / 2), now_us)
         self.cpu = Bucket(limits.cpu_share * 1e6, limits.cpu_share * 250_000, now_us)  # microseconds
         self.proven: OrderedDict[str, int] = OrderedDict()  # credit by address; positive if it is proven
-        self.first_requests: list[dict[bytes, int]] = [
-            {},
-            {},
-        ]  # two generations: arrival times by address and request
+        # Two generations of first requests: their arrival times by address and request.
+        self.first_requests: list[dict[bytes, int]] = [{}, {}]
         self.first_requests_rotated_us = now_us
         self.pending: Counter[bytes] = Counter()  # requests by network; at most `most_waiting` entries
         self.window_count = 0
