--- a/gradefront/__main__.py
+++ b/gradefront/__main__.py
@@ -8,15 +8,15 @@
 def main() -> int:
     """Run; the exit status. The command line is imported only where it is used: it costs start-up time and memory."""
     if len(sys.argv) == 1:
-        from .early_signals import handle_until_served
+        from .early_signals import install_startup_handlers
 
-        handle_until_served()
+        install_startup_handlers()
         from .service import serve
 
         return serve()
-    from .cli import command
+    from .cli import run
 
-    return command()
+    return run()
 
 
 if __name__ == "__main__":
--- a/gradefront/admin/calls.py
+++ b/gradefront/admin/calls.py
@@ -5,10 +5,10 @@
 from gradefront.core.relay import RelayCore
 
 from .metrics import render_metrics
-from .server import Answer
+from .server import CommandHandler
 
 
-def admin_calls(core: RelayCore) -> dict[str, Answer]:
+def admin_commands(core: RelayCore) -> dict[str, CommandHandler]:
     """For each call, the function that answers it."""
 
     def state(is_ok: bool) -> list[str]:
--- a/gradefront/admin/server.py
+++ b/gradefront/admin/server.py
@@ -17,20 +17,20 @@
 
 log = logging.getLogger("gradefront.admin")
 
-MAX_CALL_BYTES = 256
-CALL_TIMEOUT_US = 3_000_000  # from connecting to a complete call
-CROWDED_CALLERS = 12  # with more than this, the oldest is ended
-NEW_CALLER_US = 250_000  # ... unless all came within this time: its line may be on its way
+MAX_COMMAND_BYTES = 256
+COMMAND_TIMEOUT_US = 3_000_000  # from connecting to a complete call
+EVICTION_THRESHOLD = 12  # with more than this, the oldest is ended
+MIN_EVICTION_AGE_US = 250_000  # ... unless all came within this time: its line may be on its way
 MAX_CALLERS = 24  # whatever their age
 
-Answer = Callable[[], list[str]]
+CommandHandler = Callable[[], list[str]]
 
 
 class AdminProtocol(Lines):
     """The connection of one caller."""
 
     delimiter = b"\n"  # with or without a CR before it
-    MAX_LENGTH = MAX_CALL_BYTES
+    MAX_LENGTH = MAX_COMMAND_BYTES
 
     def __init__(self, server: AdminServer) -> None:
         self.server = server
@@ -39,7 +39,7 @@
     def connectionMade(self) -> None:
         """Wait for the call, for a limited time."""
         self.arrived_us = self.server.core.clock()
-        self.timeout = self.server.core.after(CALL_TIMEOUT_US, lambda: self.answer(["fail no call came"]))
+        self.timeout = self.server.core.after(COMMAND_TIMEOUT_US, lambda: self.answer(["fail no call came"]))
         self.server.on_connected(self)
 
     def lineReceived(self, line: bytes) -> None:
@@ -47,7 +47,7 @@
         if self.answered:
             return
         try:
-            self.answer(self.server.call(line))
+            self.answer(self.server.run_command(line))
         except Exception:  # a fault stops at this one connection
             log.exception("a call of the admin interface failed")
             self.answer(["fail an error in the relay"])
@@ -75,16 +75,16 @@
 
 
 class AdminServer(ServerFactory):
-    """Accepts callers and answers their calls.
+    """Accepts callers and answers their commands.
 
-    `calls` gives for each call a function that returns the lines of the answer.
+    `commands` gives for each call a function that returns the lines of the answer.
     """
 
     noisy = False
 
-    def __init__(self, core: RelayCore, calls: Mapping[str, Answer]) -> None:
+    def __init__(self, core: RelayCore, commands: Mapping[str, CommandHandler]) -> None:
         self.core = core
-        self.calls = calls
+        self.commands = commands
         self.closing = ConnectionCloser(core, MAX_CALLERS)
         self.callers: dict[AdminProtocol, None] = {}  # in the order in which they came
 
@@ -99,7 +99,7 @@
         """End the oldest caller where there are many."""
         self.callers[caller] = None
         oldest = next(iter(self.callers))
-        if len(self.callers) > CROWDED_CALLERS and caller.arrived_us - oldest.arrived_us > NEW_CALLER_US:
+        if len(self.callers) > EVICTION_THRESHOLD and caller.arrived_us - oldest.arrived_us > MIN_EVICTION_AGE_US:
             self.core.counters.add("door_ended_for_room")
             del self.callers[oldest]
             if oldest.answered:
@@ -107,17 +107,17 @@
             oldest.answer(["fail others wait"])
 
     def end(self) -> None:
-        """The process ends: answer the calls that have come, and whoever has made none."""
+        """The process ends: answer the commands that have come, and whoever has made none."""
         for caller in list(self.callers):
             caller.catch_up()
             caller.answer(["fail the relay ends"])
         self.closing.close_all()
 
-    def call(self, line: bytes) -> list[str]:
+    def run_command(self, line: bytes) -> list[str]:
         """The lines of the answer to one call."""
         self.core.counters.add("door_calls")
-        answer = self.calls.get(line.removesuffix(b"\r").decode("ascii", "replace"))
+        answer = self.commands.get(line.removesuffix(b"\r").decode("ascii", "replace"))
         if answer is None:
             self.core.counters.add("door_unknown")
-            return [f"fail the calls are {', '.join(self.calls)}"]
+            return [f"fail the calls are {', '.join(self.commands)}"]
         return answer()
--- a/gradefront/cli/__init__.py
+++ b/gradefront/cli/__init__.py
@@ -11,7 +11,7 @@
 from gradefront.config import ConfigError
 
 #: Module and help text of each verb. The text stands here so that --help imports no verb.
-VERBS = {
+COMMANDS = {
     "check": ("check", "Check all files of settings, whole."),
     "completion": ("completion", "Print the completion for a shell."),
     "conform": ("labs", "Run the conformance suite of a protocol."),
@@ -23,29 +23,29 @@
 EXIT_ABORTED = 130  # as a shell reports SIGINT
 
 
-class Verbs(click.Group):
+class LazyCommandGroup(click.Group):
     """A group whose verbs are imported when they run."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:  # noqa: ARG002 - click's signature
         """The names of all verbs."""
-        return sorted(VERBS)
+        return sorted(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:  # noqa: ARG002 - click's signature
         """The verb of a name, imported; None where there is none."""
-        if cmd_name not in VERBS:
+        if cmd_name not in COMMANDS:
             return None
-        module = importlib.import_module(f"{__name__}.{VERBS[cmd_name][0]}")
-        verb: click.Command = getattr(module, cmd_name)
-        return verb
+        module = importlib.import_module(f"{__name__}.{COMMANDS[cmd_name][0]}")
+        subcommand: click.Command = getattr(module, cmd_name)
+        return subcommand
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:  # noqa: ARG002 - click's signature
         """The list of verbs in --help."""
         with formatter.section("Verbs"):
-            formatter.write_dl([(verb, what) for verb, (_, what) in sorted(VERBS.items())])
+            formatter.write_dl([(name, help_text) for name, (_, help_text) in sorted(COMMANDS.items())])
 
 
 @click.group(
-    cls=Verbs,
+    cls=LazyCommandGroup,
     context_settings={"help_option_names": ["-h", "--help"]},
     epilog="""\b
 Examples:
@@ -60,7 +60,7 @@
     """The relay between clients and backends."""
 
 
-def command(arguments: list[str] | None = None) -> int:
+def run(arguments: list[str] | None = None) -> int:
     """Run a command line; the exit status. Bad input gives one line on standard error and status 2."""
     try:
         result: Any = gradefront.main(arguments, prog_name="gradefront", standalone_mode=False)
--- a/gradefront/cli/check.py
+++ b/gradefront/cli/check.py
@@ -51,14 +51,14 @@
 
     The second front's file is checked even where the front is off; the fleet's is, once it names keys."""
     errors: list[str] = []
-    relay = None
+    relay_config = None
     try:
-        relay = _check_config(config)
+        relay_config = _check_config(config)
     except ConfigError as error:
         errors.append(f"{config.name}: {error}")
     for check_file, path in ((_check_quic, quic), (_check_fleet, fleet)):
         try:
-            check_file(path, relay)
+            check_file(path, relay_config)
         except ConfigError as error:
             errors.append(str(error))
     for line in errors:
@@ -69,37 +69,37 @@
 def _check_config(path: Path) -> Config:
     """Raises ConfigError, which does not name the file."""
     environment = {"LB_LISTEN": "127.0.0.1:0", **os.environ, "LB_CONFIG": str(path)}
-    relay = load(environment)
-    click.echo(f"{path.name}: good; classes {', '.join(relay.class_names)}")
-    return relay
+    relay_config = load(environment)
+    click.echo(f"{path.name}: good; classes {', '.join(relay_config.class_names)}")
+    return relay_config
 
 
-def _check_quic(path: Path, relay: Config | None) -> None:
+def _check_quic(path: Path, relay_config: Config | None) -> None:
     """Raises ConfigError. Without a sound configuration of the relay, only that the file is an object is checked."""
     document = read_object(path)
     if document is None:
         click.echo(f"{path.name}: there is none; the second front stays off")
-    elif relay:
+    elif relay_config:
         from gradefront.quic.config import parse
 
-        found = parse(document, relay, path)
+        quic_config = parse(document, relay_config, path)
         click.echo(
-            f"{path.name}: good; {'on' if document.get('on') else 'off'}, {len(found.backends)} push boxes, "
-            f"{len(found.forms)} configurations of ids"
+            f"{path.name}: good; {'on' if document.get('on') else 'off'}, {len(quic_config.backends)} push boxes, "
+            f"{len(quic_config.forms)} configurations of ids"
         )
 
 
-def _check_fleet(path: Path, relay: Config | None) -> None:
+def _check_fleet(path: Path, relay_config: Config | None) -> None:
     """The same for the fleet's file, whose fields are checked once it is on or names keys."""
     document = read_object(path)
     if document is None:
         click.echo(f"{path.name}: there is none; the fleet stays off")
-    elif relay and not (document.get("on") or document.get("keys")):
+    elif relay_config and not (document.get("on") or document.get("keys")):
         click.echo(f"{path.name}: off, without keys")
-    elif relay:
+    elif relay_config:
         from gradefront.fleet.settings import parse
 
-        peers = parse(document, relay.name, path).peers
-        if document.get("on") and not allowed(relay):
+        peers = parse(document, relay_config.name, path).peers
+        if document.get("on") and not allowed(relay_config):
             raise ConfigError(f"{path.name}: {FORBIDDEN}")
         click.echo(f"{path.name}: good; {'on' if document.get('on') else 'off'}, {len(peers)} peers")
--- a/gradefront/cli/ids.py
+++ b/gradefront/cli/ids.py
@@ -11,7 +11,7 @@
 from gradefront.quic.ids import KEY_LENGTH, UNROUTABLE, IdForm
 
 
-class Hex(click.ParamType[bytes]):
+class HexParam(click.ParamType[bytes]):
     """Octets as hex digits. An error never repeats the text: it may be a key."""
 
     name = "hex"
@@ -26,7 +26,7 @@
             self.fail("not hex digits", param, ctx)
 
 
-HEX = Hex()
+HEX = HexParam()
 
 
 @click.group(
@@ -51,17 +51,19 @@
     """Print what an id holds, as one JSON object: config_id, server_id and nonce."""
     if not connection_id:
         raise ValueError("CIDHEX: empty")
-    number = connection_id[0] >> 5
-    if number == UNROUTABLE:
+    config_id = connection_id[0] >> 5
+    if config_id == UNROUTABLE:
         raise ValueError("CIDHEX: of configuration 7, which names no push box")
-    form = IdForm(number, server_id_length, nonce_length, not noise, key)
+    form = IdForm(config_id, server_id_length, nonce_length, not noise, key)
     if len(connection_id) != form.length:
         raise ValueError(f"CIDHEX: has {len(connection_id)} octets, not {form.length}")
-    found = form.decode(connection_id)
-    if found is None:
+    decoded = form.decode(connection_id)
+    if decoded is None:
         raise ValueError(f"CIDHEX: tells a length of {connection_id[0] & 0x1F}, not {form.length - 1}")
     click.echo(
-        json.dumps({"config_id": found.config_id, "server_id": found.server_id.hex(), "nonce": found.nonce.hex()})
+        json.dumps(
+            {"config_id": decoded.config_id, "server_id": decoded.server_id.hex(), "nonce": decoded.nonce.hex()}
+        )
     )
 
 
--- a/gradefront/cli/labs.py
+++ b/gradefront/cli/labs.py
@@ -13,9 +13,11 @@
 
 def _run_lab(module: str, arguments: list[str]) -> int:
     """Run a module of the lab; its exit status. Raises ConfigError where a requirement is not installed."""
-    for needed in ("lab", "aioquic"):
-        if importlib.util.find_spec(needed) is None:
-            raise ConfigError(f"{module}: needs '{needed}'; install requirements-lab.txt, and run from the checkout")
+    for requirement in ("lab", "aioquic"):
+        if importlib.util.find_spec(requirement) is None:
+            raise ConfigError(
+                f"{module}: needs '{requirement}'; install requirements-lab.txt, and run from the checkout"
+            )
     return subprocess.run([sys.executable, "-m", f"lab.{module}", *arguments], check=False).returncode
 
 
--- a/gradefront/cli/serve.py
+++ b/gradefront/cli/serve.py
@@ -4,7 +4,7 @@
 
 import click
 
-from gradefront.early_signals import handle_until_served
+from gradefront.early_signals import install_startup_handlers
 
 
 @click.command(
@@ -15,7 +15,7 @@
 )
 def serve() -> int:
     """Serve until told to stop. LB_CONFIG names the relay's file; status 2 where it makes no sense."""
-    handle_until_served()
+    install_startup_handlers()
     from gradefront.service import serve as run
 
     return run()
--- a/gradefront/config.py
+++ b/gradefront/config.py
@@ -58,8 +58,8 @@
     tenants: tuple[str, ...]
     report_names: tuple[str, ...]
     reports_message_latency: bool
-    known: dict[str, Any] = field(default_factory=dict)  # the endpoint list to begin with
-    filed_discovery: Address | None = None  # what the file itself says, whatever the variable says
+    initial_endpoints: dict[str, Any] = field(default_factory=dict)  # the endpoint list to begin with
+    file_discovery: Address | None = None  # what the file itself says, whatever the variable says
     class_numbers: dict[str, int] = field(default_factory=dict)  # of the classes in force, by name
     document: dict[str, Any] = field(default_factory=dict, repr=False)  # the file's object, but for the endpoint list
     socket_fd: int | None = None  # a listener that the platform holds and every process of this relay inherits
@@ -70,11 +70,11 @@
             object.__setattr__(self, "class_numbers", {name: n for n, name in enumerate(self.class_names)})
 
 
-def parse_address(text: object, what: str) -> Address:
+def parse_address(text: object, setting: str) -> Address:
     """Read `HOST:PORT`, with an IPv6 host in brackets. Raises SettingError for the field `what`."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
-        raise SettingError(what, f"'{text}' is not HOST:PORT")
+        raise SettingError(setting, f"'{text}' is not HOST:PORT")
     return host.strip("[]"), int(port)
 
 
@@ -108,15 +108,15 @@
 
 def _parse(document: dict[str, Any], environment: Mapping[str, str]) -> Config:
     info = document["settings"]
-    _check(info)
+    _check_settings(info)
     try:
         settings, report_names = simulator_wire.settings(info)
     except (simulator_wire.WireError, ValueError, TypeError) as error:
         raise SettingError("settings", str(error)) from None
     limits = document.get("limits") or {}
     family = info.get("familyInfo") or {}
-    known = document.get("known")
-    filed_discovery = parse_address(document["discovery"], "discovery") if document.get("discovery") else None
+    initial_endpoints = document.get("known")
+    file_discovery = parse_address(document["discovery"], "discovery") if document.get("discovery") else None
     admin = environment.get("LB_ADMIN") or document.get("admin")
     socket_fd = _socket_fd(environment.get("LB_SOCKET_FD"))
     if socket_fd is not None:
@@ -137,8 +137,8 @@
         tenants=_names(info, "parties"),
         report_names=report_names,
         reports_message_latency=bool(family.get("tellsDelay", False)),
-        known=known if isinstance(known, dict) else {},
-        filed_discovery=filed_discovery,
+        initial_endpoints=initial_endpoints if isinstance(initial_endpoints, dict) else {},
+        file_discovery=file_discovery,
         socket_fd=socket_fd,
         document={**document, "known": {}},
         admin=parse_address(admin, "LB_ADMIN") if admin else None,
@@ -147,7 +147,7 @@
 
 def _names(info: dict[str, Any], key: str) -> tuple[str, ...]:
     """The names under a key whose entries are names, or objects that have one."""
-    return tuple(str(e.get("name") if isinstance(e, dict) else e) for e in info.get(key) or ())
+    return tuple(str(entry.get("name") if isinstance(entry, dict) else entry) for entry in info.get(key) or ())
 
 
 def _socket_fd(text: str | None) -> int | None:
@@ -167,32 +167,32 @@
         raise SettingError("seed", f"'{value}' is neither a number nor hex digits") from None
 
 
-def _check(info: dict[str, Any]) -> None:
+def _check_settings(info: dict[str, Any]) -> None:
     """Reject what no relay may take: class names that lines can't carry, times and limits that are not above 0."""
     seen = set[str]()
-    for n, request_class in enumerate(info.get("grades") or ()):
-        where = f"settings.grades[{n}]"
+    for index, request_class in enumerate(info.get("grades") or ()):
+        path = f"settings.grades[{index}]"
         name = request_class.get("name")
         if not isinstance(name, str) or not CLASS_NAME.fullmatch(name):
-            raise SettingError(f"{where}.name", f"{name!r} is no name of a class")
+            raise SettingError(f"{path}.name", f"{name!r} is no name of a class")
         if name in seen:
-            raise SettingError(f"{where}.name", f"'{name}' stands twice")
+            raise SettingError(f"{path}.name", f"'{name}' stands twice")
         seen.add(name)
         for key in ("aimUs", "deadlineUs"):
-            _check_above_0(request_class.get(key), f"{where}.{key}")
+            _require_positive(request_class.get(key), f"{path}.{key}")
     permissions = info.get("permissions") or {}
     for key in ("maxAttempts", "connectTimeoutUs"):
         if key in permissions:
-            _check_above_0(permissions[key], f"settings.permissions.{key}", whole=key == "maxAttempts")
+            _require_positive(permissions[key], f"settings.permissions.{key}", whole=key == "maxAttempts")
 
 
-def _check_above_0(value: object, where: str, whole: bool = False) -> None:
+def _require_positive(value: object, path: str, whole: bool = False) -> None:
     is_number = isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value)
     if not is_number or value < 1 or (whole and value != int(value)):  # type: ignore[operator, call-overload]
-        raise SettingError(where, f"{value!r} is not a number above 0")
+        raise SettingError(path, f"{value!r} is not a number above 0")
 
 
-def missing_key(document: Any, before: Any, where: str = "") -> str:
+def missing_key(document: Any, before: Any, parent: str = "") -> str:
     """The path of a key that the object `before` had and `document` lacks, or "".
 
     Prevents a truncated or half-written file from being applied: what it leaves out would silently be a default.
@@ -200,7 +200,7 @@
     for key, value in before.items():
         if key in OPTIONAL_KEYS:
             continue
-        path = f"{where}.{key}".lstrip(".")
+        path = f"{parent}.{key}".lstrip(".")
         if key not in document:
             return path
         if missing := _missing_below(key, document[key], value, path):
@@ -214,7 +214,7 @@
         return missing_key(value, before, path) if isinstance(value, dict) else path
     if key == "grades" and isinstance(value, list):
         common = set.intersection(*(set(request_class) for request_class in before)) if before else set()
-        for n, request_class in enumerate(value):
-            if missing := missing_key(request_class, dict.fromkeys(sorted(common)), f"{path}[{n}]"):
+        for index, request_class in enumerate(value):
+            if missing := missing_key(request_class, dict.fromkeys(sorted(common)), f"{path}[{index}]"):
                 return missing
     return ""
--- a/gradefront/early_signals.py
+++ b/gradefront/early_signals.py
@@ -6,15 +6,15 @@
 import signal
 
 #: The file is read after the imports in any case, and there is nothing to count yet.
-NOTHING_TO_DO = (signal.SIGHUP, signal.SIGUSR1)
+IGNORED_SIGNALS = (signal.SIGHUP, signal.SIGUSR1)
 #: Nothing is held yet, so nothing has to be ended in order.
-ENDS_AT_ONCE = (signal.SIGTERM, signal.SIGINT)
+EXIT_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 EXIT_OK = 0
 
 
-def handle_until_served() -> None:
+def install_startup_handlers() -> None:
     """Handle signals until the service sets its own handlers."""
-    for number in NOTHING_TO_DO:
+    for number in IGNORED_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
-    for number in ENDS_AT_ONCE:
+    for number in EXIT_SIGNALS:
         signal.signal(number, lambda *_: os._exit(EXIT_OK))
--- a/gradefront/listening.py
+++ b/gradefront/listening.py
@@ -57,7 +57,7 @@
         host, port = self.address
         self.port = self.reactor.listenTCP(port, self.front, BACKLOG, host)
 
-    def adopt(self) -> None:
+    def listen_on_inherited(self) -> None:
         """Accept clients on the inherited listener, beside the process that already does."""
         assert self.inherited
         self.port = self.reactor.adoptStreamPort(self.inherited.fileno(), socket.AF_INET, self.front)
--- a/gradefront/reload.py
+++ b/gradefront/reload.py
@@ -37,10 +37,10 @@
     deferred: list[str]  # changed fields that wait for the next start
 
 
-def _discovery(loaded: Config, current: Config) -> Address:
+def _discovery_address(loaded: Config, current: Config) -> Address:
     """The address to watch. LB_DISCOVERY gives that of the start: once the file names another, the file decides."""
-    filed = loaded.filed_discovery
-    return filed if filed and filed != current.filed_discovery else current.discovery
+    file_address = loaded.file_discovery
+    return file_address if file_address and file_address != current.file_discovery else current.discovery
 
 
 class ConfigReloader:
@@ -84,7 +84,7 @@
             loaded,
             settings=settings,
             class_numbers=request_classes.numbers(),
-            discovery=_discovery(loaded, current),
+            discovery=_discovery_address(loaded, current),
             seed=current.seed,
             **{name: getattr(current, name) for name in FIXED_AT_START},
         )
@@ -94,14 +94,14 @@
 
     def _apply(self, prepared: _Prepared) -> None:
         config, settings = prepared.config, prepared.settings
-        moved = config.discovery != self.config.discovery
+        discovery_moved = config.discovery != self.config.discovery
         self.config = self.front.config = self.endpoint_list.config = config
         if (prepared.request_classes, settings) != (self.core.request_classes, self.core.settings):
             self.core.apply_settings(prepared.request_classes, settings, config.reports_message_latency)
             log.info("settings: classes %s, %d attempts", ", ".join(config.class_names), settings.max_attempts)
         self.core.counters.add("conf_loaded_total")
         log.info("configuration taken; discovery at %s:%d", *config.discovery)
-        if moved:
+        if discovery_moved:
             self.endpoint_watch.go_to(config.discovery)
         if self.quic and prepared.quic:
             self.quic.config = config
--- a/gradefront/service.py
+++ b/gradefront/service.py
@@ -68,7 +68,7 @@
         self.front = startup.build_client_factory(config, core, self.endpoint_list, reactor)
         self.client_listener = ClientListener(config, self.front, reactor, inherited)
         if inherited:
-            core.lifecycle.on_ready = self.client_listener.adopt
+            core.lifecycle.on_ready = self.client_listener.listen_on_inherited
         self.quic = startup.build_quic_front(config, quic, core, reactor) if quic else None
         self.fleet = startup.start_fleet(fleet, core, reactor) if fleet else None
         self.admin_server = startup.start_admin_server(config, core, reactor)
@@ -119,12 +119,12 @@
 }
 
 
-def _on_signal(number: signal.Signals, do: Callable[[int], None], reactor: Reactor) -> None:
+def _handle_signal(number: signal.Signals, handler: Callable[[int], None], reactor: Reactor) -> None:
     """Have the reactor do it, once it runs, with the microseconds that the signal has waited."""
 
     def on_signal(*_: object) -> None:
         received_ns = time.monotonic_ns()
-        reactor.callFromThread(lambda: do((time.monotonic_ns() - received_ns) // NS_PER_US))
+        reactor.callFromThread(lambda: handler((time.monotonic_ns() - received_ns) // NS_PER_US))
 
     signal.signal(number, on_signal)
 
@@ -158,11 +158,11 @@
 
 def _log_listeners(relay: Relay, name: str) -> None:
     if relay.port:
-        where = relay.port.getHost()
-        log.info("relay %s listens on %s:%d", name, where.host, where.port)
+        address = relay.port.getHost()
+        log.info("relay %s listens on %s:%d", name, address.host, address.port)
     if relay.admin_server:
-        where = relay.admin_server.getHost()
-        log.info("admin interface at %s:%d", where.host, where.port)
+        address = relay.admin_server.getHost()
+        log.info("admin interface at %s:%d", address.host, address.port)
     for listener in relay.quic.listeners if relay.quic else ():
         log.info("quic front listens on %s:%d", *listener.address)
 
@@ -184,8 +184,8 @@
     cast(Any, installReactor)(reactor)
     relay: Relay
     # Before the file is read: a signal that arrives meanwhile waits for the reactor instead of ending the process.
-    for number, do in HANDLED_SIGNALS.items():
-        _on_signal(number, lambda waited_us, do=do: do(relay, waited_us), reactor)  # type: ignore[misc]
+    for number, handler in HANDLED_SIGNALS.items():
+        _handle_signal(number, lambda waited_us, handler=handler: handler(relay, waited_us), reactor)  # type: ignore[misc]
     logging.basicConfig(
         stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s %(message)s"
     )
--- a/gradefront/settings/files.py
+++ b/gradefront/settings/files.py
@@ -27,35 +27,35 @@
     return document
 
 
-def parse_hex(text: str, where: str, length: int = 0) -> bytes:
+def parse_hex(text: str, setting: str, length: int = 0) -> bytes:
     """Octets from hex; with `length`, just so many.
 
-    Raises ValueError, which names `where` and never repeats the text: it might be a key.
+    Raises ValueError, which names `setting` and never repeats the text: it might be a key.
     """
     try:
-        octets = bytes.fromhex(text)
+        value = bytes.fromhex(text)
     except ValueError:
-        raise ValueError(f"{where}: not hex digits") from None
-    if length and len(octets) != length:
-        raise ValueError(f"{where}: must be {length} octets, has {len(octets)}")
-    return octets
+        raise ValueError(f"{setting}: not hex digits") from None
+    if length and len(value) != length:
+        raise ValueError(f"{setting}: must be {length} octets, has {len(value)}")
+    return value
 
 
-def read_key(text: str, file: str, length: int, where: str, folder: Path) -> bytes:
+def read_key(text: str, file: str, length: int, setting: str, folder: Path) -> bytes:
     """A key of `length` octets: `text`, or what `file` in `folder` holds, which only its owner may read.
 
-    Raises ValueError, which names `where`.
+    Raises ValueError, which names `setting`.
     """
     if bool(text) is bool(file):
-        raise ValueError(f"{where}: needs one of key and key_file")
+        raise ValueError(f"{setting}: needs one of key and key_file")
     if text:
-        return parse_hex(text, f"{where}.key", length)
+        return parse_hex(text, f"{setting}.key", length)
     path = folder / file
     try:
-        with path.open() as opened:
-            mode = os.fstat(opened.fileno()).st_mode
+        with path.open() as key_file:
+            mode = os.fstat(key_file.fileno()).st_mode
             if not stat.S_ISREG(mode) or mode & FORBIDDEN_KEY_FILE_MODE:
-                raise ValueError(f"{where}.key_file: '{file}': others may read it; its mode must be 600")
-            return parse_hex(opened.read(MAX_KEY_FILE_CHARACTERS).strip(), f"{where}.key_file: '{file}'", length)
+                raise ValueError(f"{setting}.key_file: '{file}': others may read it; its mode must be 600")
+            return parse_hex(key_file.read(MAX_KEY_FILE_CHARACTERS).strip(), f"{setting}.key_file: '{file}'", length)
     except OSError as error:
-        raise ValueError(f"{where}.key_file: '{file}': {error.strerror}") from None
+        raise ValueError(f"{setting}.key_file: '{file}': {error.strerror}") from None
--- a/gradefront/shutdown.py
+++ b/gradefront/shutdown.py
@@ -23,9 +23,9 @@
 EMPTY_CHECK_US = 100_000  # between checks whether a replaced process still has connections
 CLOSED_CHECK_US = 8_000  # between checks whether peers have closed or read their answers
 # After the last answers:
-HANDSHAKES_END_US = 50_000  # no further client begins to connect
-PRE_REQUEST_END_US = 100_000  # clients without a request are rejected, and the listener is closed
-HANDSHAKE_US = 50_000  # at least, between these two: a round trip for handshakes under way
+DROP_HANDSHAKES_US = 50_000  # no further client begins to connect
+REJECT_PRE_REQUEST_US = 100_000  # clients without a request are rejected, and the listener is closed
+MIN_HANDSHAKE_US = 50_000  # at least, between these two: a round trip for handshakes under way
 STOP_US = 250_000  # the process ends, whoever has not closed by then; 0.2 s before SIGKILL
 FORCED_STOP_US = 350_000  # ... even where a client has not read its answer yet; 0.1 s before SIGKILL
 
@@ -50,7 +50,7 @@
         self.admin_port = admin_port
         self.reactor = reactor
         self.timeline = StopTimeline(self.core.clock)
-        self.pre_request_ended = False
+        self.pre_request_rejected = False
 
     def begin(self, waited_us: int = 0) -> None:
         """A planned restart, by a signal that came `waited_us` ago. A second signal changes nothing."""
@@ -63,12 +63,12 @@
             return
         self.listener.stop()  # what waits in the listener's queue belongs to the new process
         receiver = self.listener.handover_receiver
-        call = connect_to_newest(receiver.path) if receiver else None
+        handover_socket = connect_to_newest(receiver.path) if receiver else None
         self.listener.close_handover()
-        if call:
+        if handover_socket:
             log.info("connections go to the process that takes over")
-            HandoverSender(self.core, self.front, call).step()
-        self.core.lifecycle.leave(self._close_connections, at_once=call is None, waited_us=waited_us)
+            HandoverSender(self.core, self.front, handover_socket).step()
+        self.core.lifecycle.leave(self._close_connections, at_once=handover_socket is None, waited_us=waited_us)
         self._stop_when_empty()
 
     def _stop_when_empty(self) -> None:
@@ -87,22 +87,24 @@
             self.fleet.leave()
         # From when this was due, not from when it ran: SIGKILL does not wait for a late loop.
         began_us = min(due_us, self.core.clock())
-        self.core.at(began_us + HANDSHAKES_END_US, partial(self._end_handshakes, began_us + PRE_REQUEST_END_US))
+        self.core.at(
+            began_us + DROP_HANDSHAKES_US, partial(self._drop_new_handshakes, began_us + REJECT_PRE_REQUEST_US)
+        )
         self.core.at(began_us + STOP_US, self._stop_when_sent)
         self.core.at(began_us + FORCED_STOP_US, self._stop)
         self._stop_when_closed()
 
-    def _end_handshakes(self, pre_request_end_us: int) -> None:
+    def _drop_new_handshakes(self, reject_pre_request_us: int) -> None:
         """Let no further client connect. Late, it moves the end of the listener: handshakes under way need a time."""
         self.timeline.record("no new handshakes")
         self.listener.drop_new_handshakes()
-        self.core.at(max(pre_request_end_us, self.core.clock() + HANDSHAKE_US), self._end_pre_request)
+        self.core.at(max(reject_pre_request_us, self.core.clock() + MIN_HANDSHAKE_US), self._reject_pre_request)
 
-    def _end_pre_request(self) -> None:
+    def _reject_pre_request(self) -> None:
         """Reject clients without a request, also those that still wait to be accepted. Once, whoever comes first."""
-        if self.pre_request_ended:
+        if self.pre_request_rejected:
             return
-        self.pre_request_ended = True
+        self.pre_request_rejected = True
         self.timeline.record("clients without a request rejected")
         self.listener.accept_last_and_close()
         self.front.end_rest()
@@ -124,7 +126,7 @@
 
     def _stop(self) -> None:
         if self.core.lifecycle.transition(LifecycleEvent.STOPPED):
-            self._end_pre_request()
+            self._reject_pre_request()
             port = self.listener.port
             self.timeline.record(
                 f"stopped with {self.front.open_connections} clients, {len(self.front.upstreams)} connections to"
@@ -133,10 +135,10 @@
             self.front.closing.close_all()
             self.front.upstreams.close_all()
             self.endpoint_watch.close()
-            self._end_admin_interface()
+            self._close_admin_interface()
             self.reactor.stop()
 
-    def _end_admin_interface(self) -> None:
+    def _close_admin_interface(self) -> None:
         """Answer the calls that have come. Prevents a close from resetting callers that wait to be accepted."""
         if self.admin_port:
             self.admin_port.accept_last_and_close()
--- a/gradefront/startup.py
+++ b/gradefront/startup.py
@@ -10,7 +10,7 @@
 
 from balancer import Balancer
 
-from .admin.calls import admin_calls
+from .admin.calls import admin_commands
 from .admin.server import AdminServer
 from .config import Config, ConfigError, SettingError
 from .core.relay import RelayCore
@@ -61,7 +61,7 @@
 def apply_known_endpoints(config: Config, endpoint_list: EndpointList) -> None:
     """Begin with the endpoint list that the configuration gives. Raises SettingError."""
     try:
-        endpoint_list.apply(config.known, complete=True)
+        endpoint_list.apply(config.initial_endpoints, complete=True)
     except ValueError as error:
         raise SettingError("known", str(error)) from None
 
@@ -100,6 +100,6 @@
         return None
     host, port = config.admin
     try:
-        return reactor.listenTCP(port, AdminServer(core, admin_calls(core)), ADMIN_BACKLOG, host)
+        return reactor.listenTCP(port, AdminServer(core, admin_commands(core)), ADMIN_BACKLOG, host)
     except CannotListenError as error:
         raise SettingError("LB_ADMIN", f"the operators' door: {error}") from None
--- a/gradefront/state/form.py
+++ b/gradefront/state/form.py
@@ -17,7 +17,7 @@
 from gradefront.net.lines import MAX_LINE
 
 VERSION = 1
-MAX_FORM_BYTES = 24_576  # two unfinished lines and the rest fit many times over
+MAX_SNAPSHOT_BYTES = 24_576  # two unfinished lines and the rest fit many times over
 MAX_TIME_DIFFERENCE_US = 60_000_000  # from now; silence is detected long before
 
 #: The field of `ConnectionSnapshot` that each stored name stands for.
@@ -32,14 +32,14 @@
     "load": "load",
     "heard_us": "last_received_us",
     "asked_us": "awaiting_reply_us",
-    "from_carer": "from_carer",
-    "from_box": "from_box",
+    "from_carer": "partial_client_line",
+    "from_box": "partial_backend_line",
 }
 STORED_TEXTS = ("id", "klass", "key", "group", "box")
 STORED_BYTES = ("from_carer", "from_box")  # in base64
 
 
-class FormError(Exception):
+class SnapshotError(Exception):
     """An invalid description. `field` is the stored name, "" where it is the whole description."""
 
     def __init__(self, text: str, field: str = "") -> None:
@@ -61,8 +61,10 @@
     load: float  # us of work a second, as last reported; 0: not reported
     last_received_us: int
     awaiting_reply_us: tuple[int, ...]  # when each message was sent that awaits a reply
-    from_carer: bytes  # what the client has sent of a line without an end; a field of the form, so the name stays
-    from_box: bytes  # the same of the backend
+    partial_client_line: (
+        bytes  # what the client has sent of a line without an end; a field of the form, so the name stays
+    )
+    partial_backend_line: bytes  # the same of the backend
 
 
 def stored_rules(rules: RequestClass) -> dict[str, Any]:
@@ -78,7 +80,7 @@
     }
 
 
-def write(snapshot: ConnectionSnapshot) -> bytes:
+def encode_snapshot(snapshot: ConnectionSnapshot) -> bytes:
     """The description of one connection."""
     stored: dict[str, Any] = {name: getattr(snapshot, field) for name, field in STORED_NAMES.items()}
     for name in STORED_BYTES:
@@ -87,52 +89,52 @@
     return json.dumps(stored, separators=(",", ":")).encode()
 
 
-def read(data: bytes, now_us: int) -> ConnectionSnapshot:
+def decode_snapshot(data: bytes, now_us: int) -> ConnectionSnapshot:
     """The connection described.
 
-    Raises FormError. Prevents a description by another version, or half of one, from becoming a connection.
+    Raises SnapshotError. Prevents a description by another version, or half of one, from becoming a connection.
     """
     try:
-        snapshot = _decode(json.loads(data))
+        snapshot = _parse(json.loads(data))
     except (ValueError, TypeError, KeyError, AttributeError) as error:
-        raise FormError(f"not of the form: {error!r}") from None
+        raise SnapshotError(f"not of the form: {error!r}") from None
     _check_types(snapshot)
     for name, time_us in _times(snapshot):
         if (
             not isinstance(time_us, int)
             or not now_us - MAX_TIME_DIFFERENCE_US <= time_us <= now_us + MAX_TIME_DIFFERENCE_US
         ):
-            raise FormError(f"a time that makes no sense: {time_us!r}", name)
+            raise SnapshotError(f"a time that makes no sense: {time_us!r}", name)
     return snapshot
 
 
-def _decode(stored: Any) -> ConnectionSnapshot:
-    """Raises FormError, and ValueError, TypeError, KeyError or AttributeError where it is no description at all."""
+def _parse(stored: Any) -> ConnectionSnapshot:
+    """Raises SnapshotError, and ValueError, TypeError, KeyError or AttributeError if `stored` is no snapshot."""
     version = stored.pop("version")
     if version != VERSION:
-        raise FormError(f"version {version!r}, not {VERSION}", "version")
+        raise SnapshotError(f"version {version!r}, not {VERSION}", "version")
     for name in STORED_BYTES:
         stored[name] = base64.b64decode(stored[name], validate=True)
         if len(stored[name]) > MAX_LINE:
-            raise FormError(f"{name}: {len(stored[name])} bytes", name)
+            raise SnapshotError(f"{name}: {len(stored[name])} bytes", name)
     stored["asked_us"] = tuple(stored["asked_us"])
     if unknown := stored.keys() - STORED_NAMES.keys():
         names = ", ".join(sorted(unknown))
-        raise FormError(f"unknown fields: {names}", names)
+        raise SnapshotError(f"unknown fields: {names}", names)
     return ConnectionSnapshot(**{STORED_NAMES[name]: value for name, value in stored.items()})
 
 
 def _check_types(snapshot: ConnectionSnapshot) -> None:
     for name in STORED_TEXTS:
         if not isinstance(getattr(snapshot, STORED_NAMES[name]), str):
-            raise FormError(f"{name}: not text", name)
+            raise SnapshotError(f"{name}: not text", name)
     if not isinstance(snapshot.class_rules, dict):
-        raise FormError("rules, tenant: not of the form", "rules")
+        raise SnapshotError("rules, tenant: not of the form", "rules")
     if not isinstance(snapshot.tenant, int):
-        raise FormError("rules, tenant: not of the form", "tenant")
+        raise SnapshotError("rules, tenant: not of the form", "tenant")
     load = snapshot.load
     if not isinstance(load, (int, float)) or not (math.isfinite(load) and load >= 0):
-        raise FormError(f"load: {load!r}", "load")
+        raise SnapshotError(f"load: {load!r}", "load")
 
 
 def _times(snapshot: ConnectionSnapshot) -> Iterator[tuple[str, object]]:
--- a/gradefront/state/handover_receiver.py
+++ b/gradefront/state/handover_receiver.py
@@ -17,7 +17,7 @@
 from gradefront.net.lines import FirstLine, InvalidLineError
 from gradefront.net.reactor import Reactor
 
-from .form import MAX_FORM_BYTES, ConnectionSnapshot, FormError, read, stored_rules
+from .form import MAX_SNAPSHOT_BYTES, ConnectionSnapshot, SnapshotError, decode_snapshot, stored_rules
 from .handover_sockets import (
     MAX_SENDERS,
     SOCKET_NAME,
@@ -55,13 +55,13 @@
 class _SenderConnection:
     """The connection from one process that hands over, as the reactor reads it."""
 
-    def __init__(self, receiver: HandoverReceiver, call: socket.socket) -> None:
+    def __init__(self, receiver: HandoverReceiver, sock: socket.socket) -> None:
         self.receiver = receiver
-        self.call = call
+        self.sock = sock
 
     def fileno(self) -> int:
         """The descriptor to poll."""
-        return self.call.fileno()
+        return self.sock.fileno()
 
     def logPrefix(self) -> str:
         """The name in Twisted's logs."""
@@ -71,7 +71,7 @@
         """Read some messages, each complete and with its sockets."""
         for _ in range(MAX_MESSAGES):
             try:
-                data, fds, flags, _ = socket.recv_fds(self.call, MAX_FORM_BYTES, SOCKETS_PER_CONNECTION)
+                data, fds, flags, _ = socket.recv_fds(self.sock, MAX_SNAPSHOT_BYTES, SOCKETS_PER_CONNECTION)
             except BlockingIOError:
                 return
             except OSError as error:
@@ -91,7 +91,7 @@
 
     def read_last(self) -> None:
         """Refuse further messages, read those that were sent, and end."""
-        refuse_more(self.call)
+        refuse_more(self.sock)
         for _ in range(MAX_LAST_READS):
             if self not in self.receiver.senders:
                 return
@@ -171,13 +171,13 @@
             while True:
                 self._add_sender(listener.accept()[0])
 
-    def _add_sender(self, call: socket.socket) -> None:
+    def _add_sender(self, sock: socket.socket) -> None:
         """Read a sender from now on, if it runs under the same user."""
-        if not is_same_user(call) or len(self.senders) >= MAX_SENDERS:
-            call.close()
+        if not is_same_user(sock) or len(self.senders) >= MAX_SENDERS:
+            sock.close()
             return
-        call.setblocking(False)
-        sender = _SenderConnection(self, call)
+        sock.setblocking(False)
+        sender = _SenderConnection(self, sock)
         self.senders.append(sender)
         self.reactor.addReader(sender)
 
@@ -190,7 +190,7 @@
         if sender in self.senders:
             self.senders.remove(sender)
             self.reactor.removeReader(sender)
-            sender.call.close()
+            sender.sock.close()
             log.info("%d connections were handed over so far", self.core.counters.counts["taken_over"])
 
     def adopt(self, data: bytes, fds: list[int], truncated: bool) -> None:
@@ -201,16 +201,18 @@
         core = self.core
         try:
             if truncated or len(fds) != SOCKETS_PER_CONNECTION:
-                raise FormError(f"{len(fds)} sockets{', cut short' if truncated else ''}")
-            snapshot = read(data, core.clock())
-        except FormError as error:
+                raise SnapshotError(f"{len(fds)} sockets{', cut short' if truncated else ''}")
+            snapshot = decode_snapshot(data, core.clock())
+        except SnapshotError as error:
             log.warning("a connection can't be taken over: %s", error)
             core.counters.add("taken_over_badly")
             return
         class_numbers = self.front.config.class_numbers
-        known = class_numbers.get(snapshot.request_class)
-        has_same_rules = known is not None and stored_rules(core.settings.classes[known]) == snapshot.class_rules
-        request_class = known if known is not None else next(iter(class_numbers.values()))
+        class_number = class_numbers.get(snapshot.request_class)
+        has_same_rules = (
+            class_number is not None and stored_rules(core.settings.classes[class_number]) == snapshot.class_rules
+        )
+        request_class = class_number if class_number is not None else next(iter(class_numbers.values()))
         client = AdoptedClient(self.front)
         client.id = snapshot.id.encode()
         connection, attempt = self._establish(snapshot, request_class, client)
@@ -228,8 +230,8 @@
         if not has_same_rules or not core.accepts_work:
             core.migrate(connection)
             return
-        client.take_bytes(snapshot.from_carer)
-        upstream.line.take_bytes(snapshot.from_box)
+        client.take_bytes(snapshot.partial_client_line)
+        upstream.line.take_bytes(snapshot.partial_backend_line)
 
     def _establish(
         self, snapshot: ConnectionSnapshot, request_class: int, client: AdoptedClient
--- a/gradefront/state/handover_sender.py
+++ b/gradefront/state/handover_sender.py
@@ -15,8 +15,8 @@
 from gradefront.net.backend_connection import LineBackendConnection
 from gradefront.net.client_protocol import ClientProtocol, ClientProtocolFactory
 
-from .form import ConnectionSnapshot, stored_rules, write
-from .handover_sockets import has_sent_all, release
+from .form import ConnectionSnapshot, encode_snapshot, stored_rules
+from .handover_sockets import close_own_descriptor, has_sent_all
 
 log = logging.getLogger("gradefront.handover")
 
@@ -25,32 +25,32 @@
 
 
 class HandoverSender:
-    """Hands this process's connections to the next one, over the connected Unix socket `call`."""
+    """Hands this process's connections to the next one, over the connected Unix socket `sock`."""
 
-    def __init__(self, core: RelayCore, front: ClientProtocolFactory, call: socket.socket) -> None:
+    def __init__(self, core: RelayCore, front: ClientProtocolFactory, sock: socket.socket) -> None:
         self.core = core
         self.front = front
-        self.call: socket.socket | None = call
+        self.sock: socket.socket | None = sock
 
     def step(self) -> None:
         """Hand some over; again after a pause while any client is left."""
         sent = 0
         for connection in list(self.core.connections.values()):
-            if self.call is None or sent == STEP_CONNECTIONS:
+            if self.sock is None or sent == STEP_CONNECTIONS:
                 break
-            sent += self._hand_over(self.call, connection)
-        if self.call and (self.core.connections or self.front.open_connections):
+            sent += self._hand_over(self.sock, connection)
+        if self.sock and (self.core.connections or self.front.open_connections):
             self.core.after(STEP_US, self.step)
         else:
-            self.end()
+            self.close()
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Hand nothing more over."""
-        if self.call:
-            self.call.close()
-        self.call = None
+        if self.sock:
+            self.sock.close()
+        self.sock = None
 
-    def _hand_over(self, call: socket.socket, connection: Connection) -> bool:
+    def _hand_over(self, sock: socket.socket, connection: Connection) -> bool:
         """Whether the connection went; False also where it can go in a later step only."""
         client, upstream = connection.client, _upstream(connection)
         if upstream is None or upstream.line is None:
@@ -63,16 +63,16 @@
         snapshot = self._snapshot(connection, client.unfinished(), upstream.line.unfinished())
         descriptors = [client_transport.getHandle().fileno(), backend_transport.getHandle().fileno()]
         try:
-            socket.send_fds(call, [write(snapshot)], descriptors)
+            socket.send_fds(sock, [encode_snapshot(snapshot)], descriptors)
         except OSError as error:
-            client.take_bytes(snapshot.from_carer)
-            upstream.line.take_bytes(snapshot.from_box)
+            client.take_bytes(snapshot.partial_client_line)
+            upstream.line.take_bytes(snapshot.partial_backend_line)
             if not isinstance(error, BlockingIOError):
                 log.warning("nothing more can be handed over: %s", error)
-                self.end()
+                self.close()
             return False
-        release(client_transport)
-        release(backend_transport)
+        close_own_descriptor(client_transport)
+        close_own_descriptor(backend_transport)
         self.front.open_connections -= 1
         client.closing, upstream.gone = True, True
         give_away(self.core, connection)
@@ -93,8 +93,8 @@
             load=attempt.load,
             last_received_us=attempt.last_received_us,
             awaiting_reply_us=tuple(attempt.awaiting_reply_us),
-            from_carer=from_client,
-            from_box=from_backend,
+            partial_client_line=from_client,
+            partial_backend_line=from_backend,
         )
 
 
--- a/gradefront/state/handover_sockets.py
+++ b/gradefront/state/handover_sockets.py
@@ -35,16 +35,16 @@
 
 def listen_as_newest(path: Path) -> tuple[socket.socket, int]:
     """Listen under the name `path`, in place of the process before; the listener and its inode. Raises OSError."""
-    own_path = path.with_name(f"{path.name}.{os.getpid()}")
+    temporary_path = path.with_name(f"{path.name}.{os.getpid()}")
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
-        own_path.unlink(missing_ok=True)
-        listener.bind(str(own_path))
-        os.chmod(own_path, 0o600)
+        temporary_path.unlink(missing_ok=True)
+        listener.bind(str(temporary_path))
+        os.chmod(temporary_path, 0o600)
         listener.listen(MAX_SENDERS)
         listener.setblocking(False)
-        inode = own_path.stat().st_ino
-        own_path.replace(path)  # in one step: a sender finds the process before or this one
+        inode = temporary_path.stat().st_ino
+        temporary_path.replace(path)  # in one step: a sender finds the process before or this one
     except OSError:
         listener.close()
         raise
@@ -53,33 +53,33 @@
 
 def connect_to_newest(path: Path) -> socket.socket | None:
     """A connection to the process that holds the name `path`; None where nobody answers."""
-    call = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    call.settimeout(CONNECT_TIMEOUT_S)
+    sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    sock.settimeout(CONNECT_TIMEOUT_S)
     try:
-        call.connect(str(path))
+        sock.connect(str(path))
     except OSError as error:
         log.info("nobody takes connections over: %s", error)
-        call.close()
+        sock.close()
         return None
-    call.setblocking(False)
-    return call
+    sock.setblocking(False)
+    return sock
 
 
-def refuse_more(one: socket.socket) -> None:
+def refuse_more(sock: socket.socket) -> None:
     """Have the kernel refuse what peers send or connect from now on; what came before can still be read."""
     with suppress(OSError):  # its peer is gone
-        one.shutdown(socket.SHUT_RD)
+        sock.shutdown(socket.SHUT_RD)
 
 
-def is_same_user(call: socket.socket) -> bool:
+def is_same_user(sock: socket.socket) -> bool:
     """Whether the process at the other end runs under this process's user."""
     _, user, _ = PEER_CREDENTIALS.unpack(
-        call.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
+        sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
     )
     return bool(user == os.getuid())
 
 
-def release(transport: Any) -> None:
+def close_own_descriptor(transport: Any) -> None:
     """Close this process's descriptor alone: a shutdown, or a lingering close, would end the connection itself."""
     transport.unregisterProducer()
     transport.stopReading()
--- a/gradefront/stop_timeline.py
+++ b/gradefront/stop_timeline.py
@@ -39,9 +39,11 @@
     def log(self) -> None:
         """Log the steps so far as one line; nothing where no stop has begun."""
         if self.steps:
-            log.info("planned stop, ms after the signal: %s", ", ".join(self._text(step) for step in self.steps))
+            log.info(
+                "planned stop, ms after the signal: %s", ", ".join(self._format_step(step) for step in self.steps)
+            )
 
-    def _text(self, step: StopStep) -> str:
+    def _format_step(self, step: StopStep) -> str:
         text = f"{step.name} {(step.at_us - self.signalled_us) // US_PER_MS}"
         if step.due_us is None:
             return text
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -15,7 +15,7 @@
 from twisted.internet.testing import StringTransport
 
 from gradefront.admin.metrics import render_metrics
-from gradefront.admin.server import CALL_TIMEOUT_US, CROWDED_CALLERS, MAX_CALLERS, AdminProtocol, AdminServer
+from gradefront.admin.server import COMMAND_TIMEOUT_US, EVICTION_THRESHOLD, MAX_CALLERS, AdminProtocol, AdminServer
 from gradefront.core.counters import Counters
 from lab.stand_ins import LineDevice, settings, soon
 
@@ -23,7 +23,7 @@
 from .test_service import running_service
 
 
-class Wire(StringTransport):
+class RecordingTransport(StringTransport):
     """A transport that records."""
 
     def flush(self) -> bool:
@@ -41,7 +41,7 @@
         pass
 
 
-class Callers:
+class AdminHarness:
     """An admin server and its callers."""
 
     def __init__(self) -> None:
@@ -52,19 +52,19 @@
         )
 
     def connect(self) -> AdminProtocol | None:
-        line = self.server.buildProtocol(None)
-        if line:
-            cast(Any, line).makeConnection(cast(Any, Wire)())
-        return line
+        connection = self.server.buildProtocol(None)
+        if connection:
+            cast(Any, connection).makeConnection(cast(Any, RecordingTransport)())
+        return connection
 
     def call(self, *parts: bytes) -> bytes:
-        line = self.connect()
-        assert line
+        connection = self.connect()
+        assert connection
         for part in parts:
-            cast(Any, line).dataReceived(part)
-        answer = cast(bytes, line.wire.value())
-        assert line.wire.disconnecting == bool(answer)
-        line.connectionLost()
+            cast(Any, connection).dataReceived(part)
+        answer = cast(bytes, connection.wire.value())
+        assert connection.wire.disconnecting == bool(answer)
+        connection.connectionLost()
         return answer
 
 
@@ -85,35 +85,39 @@
     ),
     st.lists(st.integers(1, 20), max_size=8),
 )
-def test_a_call_in_pieces_of_any_size_gets_one_answer_the_same_as_whole(call: bytes, cuts: list[int]) -> None:
-    callers = Callers()
+def test_a_command_split_at_any_bytes_gets_the_same_single_answer_as_in_one_piece(
+    command: bytes, cuts: list[int]
+) -> None:
+    harness = AdminHarness()
     parts, at = [], 0
     for cut in cuts:
-        parts.append(call[at : at + cut])
+        parts.append(command[at : at + cut])
         at += cut
-    answer = callers.call(*parts, call[at:])
-    assert answer == callers.call(call) == callers.call(*(bytes([b]) for b in call))
+    answer = harness.call(*parts, command[at:])
+    assert answer == harness.call(command) == harness.call(*(bytes([b]) for b in command))
     assert answer.count(b"\r\n") == 1 and answer.split()[0] in (b"ok", b"fail")
-    assert answer.startswith(b"ok") == call.startswith((b"PING\r", b"PING\n", b"LAME"))
+    assert answer.startswith(b"ok") == command.startswith((b"PING\r", b"PING\n", b"LAME"))
 
 
-def test_connections_without_a_call_lock_nobody_out() -> None:
-    callers = Callers()
-    held = [callers.connect() for _ in range(60)]
-    assert sum(line is not None for line in held) == MAX_CALLERS == len(callers.server.callers)
-    callers.bench.wait(300_000)
-    for line in list(callers.server.callers)[CROWDED_CALLERS:]:
-        line.connectionLost()
+def test_connections_that_send_no_command_do_not_block_other_callers() -> None:
+    harness = AdminHarness()
+    held = [harness.connect() for _ in range(60)]
+    assert sum(connection is not None for connection in held) == MAX_CALLERS == len(harness.server.callers)
+    harness.bench.wait(300_000)
+    for connection in list(harness.server.callers)[EVICTION_THRESHOLD:]:
+        connection.connectionLost()
     for _ in range(30):
-        assert callers.call(b"PING\r\n") == b"ok\r\n"
-        callers.connect()
-        callers.bench.wait(300_000)
-        assert len(callers.server.callers) <= MAX_CALLERS
-    callers.bench.wait(CALL_TIMEOUT_US + 10_000)
-    assert all(line.wire.value().startswith(b"fail") for line in callers.server.callers), "silence ends too"
+        assert harness.call(b"PING\r\n") == b"ok\r\n"
+        harness.connect()
+        harness.bench.wait(300_000)
+        assert len(harness.server.callers) <= MAX_CALLERS
+    harness.bench.wait(COMMAND_TIMEOUT_US + 10_000)
+    assert all(connection.wire.value().startswith(b"fail") for connection in harness.server.callers), (
+        "silence ends too"
+    )
 
 
-def test_figures_are_there_from_the_start_and_labels_can_not_break_the_form() -> None:
+def test_metrics_start_at_zero_and_label_values_are_escaped() -> None:
     counters = Counters()
     assert render_metrics(counters, ["a"], {"current": 0}) == [
         'svc_answered_total{group="a"} 0',
@@ -128,23 +132,23 @@
     assert render_metrics(counters, ['q"\\\n', 'q"\\\n'], {})[0] == 'svc_answered_total{group="q\\"\\\\\\n"} 1'
 
 
-def test_the_program_reports_its_figures_and_is_drained_by_call(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with running_service(tmp_path, ["UP r-1"], settings(probes=True), admin=True) as here:
-            relay = here.relay
+def test_a_running_relay_reports_metrics_and_drains_and_rejoins_on_command(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_service(tmp_path, ["UP r-1"], settings(probes=True), admin=True) as service:
+            relay = service.relay
             assert await relay.call("PING") == ["ok serving"]
-            device = await here.device()
+            device = await service.device()
             device.open()
             assert await device.line() == "UP r-1"
             silent = await LineDevice.connect(relay.admin_port)
-            mute = await here.device()  # a crowd of these is not what the relay serves
-            figures = await relay.metrics()
-            assert figures['svc_answered_total{group="visit-checkin"}'] == figures["svc_sends_total"] == 1
-            assert figures['svc_answered_total{group="roster-feed"}'] == figures["svc_cluster_unhealthy"] == 0
-            assert figures["svc_current"] == figures["svc_cluster_size"] == 1
+            mute = await service.device()  # a crowd of these is not what the relay serves
+            metrics = await relay.metrics()
+            assert metrics['svc_answered_total{group="visit-checkin"}'] == metrics["svc_sends_total"] == 1
+            assert metrics['svc_answered_total{group="roster-feed"}'] == metrics["svc_cluster_unhealthy"] == 0
+            assert metrics["svc_current"] == metrics["svc_cluster_size"] == 1
             assert await relay.call("LAMEDUCK") == await relay.call("LAMEDUCK") == ["ok lame duck"]
             assert await relay.call("PING") == ["fail lame duck"]
-            assert await (await here.device()).ask("PING") == "ERR"
+            assert await (await service.device()).ask("PING") == "ERR"
             for _ in range(3):  # new settings in the midst of a drain, in quick succession
                 relay.process.send_signal(signal.SIGHUP)
             await relay.line("configuration taken")
@@ -154,23 +158,23 @@
             assert await device.line() == "MOVE" and await device.line() == ""
             mute.writer.close()
             assert await relay.call("REJOIN") == ["ok serving"]
-            assert await (await here.device()).ask("PING") == "PONG"
+            assert await (await service.device()).ask("PING") == "PONG"
             assert (await silent.line()).startswith("fail")
             await soon(asyncio.gather(*(relay.call(junk) for junk in ("", "x" * 9000, "\0\0", "PONG"))))
             assert await relay.stop() == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_an_admin_address_that_can_not_be_bound_is_a_clear_error_at_the_start(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with running_service(tmp_path, [], admin=True) as here:
+def test_an_admin_address_in_use_ends_the_start_with_an_error_and_status_2(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_service(tmp_path, [], admin=True) as service:
             environment = {
                 **os.environ,
                 "LB_CONFIG": str(tmp_path / "config.json"),
-                "LB_ADMIN": f"127.0.0.1:{here.relay.admin_port}",
+                "LB_ADMIN": f"127.0.0.1:{service.relay.admin_port}",
             }
-            done = await asyncio.to_thread(
+            completed = await asyncio.to_thread(
                 subprocess.run,
                 [sys.executable, "-m", "gradefront"],
                 env=environment,
@@ -178,6 +182,10 @@
                 text=True,
                 timeout=30,
             )
-            assert done.returncode == 2 and "operators' door" in done.stderr and "Traceback" not in done.stderr
+            assert (
+                completed.returncode == 2
+                and "operators' door" in completed.stderr
+                and "Traceback" not in completed.stderr
+            )
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,27 +10,24 @@
 
 import pytest
 
-from gradefront.cli import VERBS, command
+from gradefront.cli import COMMANDS, run
 from lab.stand_ins import settings
 
 KEY = "8f95f09245765f80256934e50c66207f"
 
 
-def test_ids_both_ways(capsys: pytest.CaptureFixture[str]) -> None:
+def test_ids_decode_and_encode_are_inverse(capsys: pytest.CaptureFixture[str]) -> None:
     assert (
-        command(["ids", "decode", "--key", KEY, "--server-id-length", "3", "--nonce-length", "4", "0720b1d07b359d3c"])
+        run(["ids", "decode", "--key", KEY, "--server-id-length", "3", "--nonce-length", "4", "0720b1d07b359d3c"])
         == 0
     )
     decoded = json.loads(capsys.readouterr().out)
     assert decoded == {"config_id": 0, "server_id": "ed793a", "nonce": "ee080dbf"}
-    assert (
-        command(["ids", "encode", "--key", KEY, "--server-id", decoded["server_id"], "--nonce", decoded["nonce"]])
-        == 0
-    )
+    assert run(["ids", "encode", "--key", KEY, "--server-id", decoded["server_id"], "--nonce", decoded["nonce"]]) == 0
     assert json.loads(capsys.readouterr().out)["cid"] == "0720b1d07b359d3c"
-    assert command(["ids", "decode", "--server-id-length", "3", "--nonce-length", "5", "0831441a9c69c27512"]) == 0
+    assert run(["ids", "decode", "--server-id-length", "3", "--nonce-length", "5", "0831441a9c69c27512"]) == 0
     assert json.loads(capsys.readouterr().out)["server_id"] == "31441a"
-    assert command(["ids", "new-key"]) == 0
+    assert run(["ids", "new-key"]) == 0
     assert len(bytes.fromhex(capsys.readouterr().out)) == 16
 
 
@@ -53,14 +50,14 @@
         ["check", "--config", "no/such/file"],
     ],
 )
-def test_bad_input_is_one_line_and_status_2(bad: list[str], capsys: pytest.CaptureFixture[str]) -> None:
-    assert command(bad) == 2
+def test_bad_input_gives_one_error_line_and_status_2(bad: list[str], capsys: pytest.CaptureFixture[str]) -> None:
+    assert run(bad) == 2
     printed = capsys.readouterr()
     assert printed.err.startswith("gradefront: ") and printed.err.count("\n") == 1 and not printed.out.startswith("{")
     assert KEY not in printed.err
 
 
-def test_check_reads_all_files_and_names_file_field_and_value(
+def test_check_reads_all_files_and_an_error_names_file_field_and_value(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     relay, quic = tmp_path / "relay.json", tmp_path / "quic.json"
@@ -83,7 +80,7 @@
 
     def check(**change: object) -> tuple[int, str]:
         quic.write_text(json.dumps({**file, **change}))
-        status = command(["check", "--config", str(relay), "--quic", str(quic)])
+        status = run(["check", "--config", str(relay), "--quic", str(quic)])
         printed = capsys.readouterr()
         return status, printed.out + printed.err
 
@@ -98,19 +95,19 @@
     assert status == 2 and "relay.json: seed: 'nothex'" in printed
 
 
-def test_help_names_every_verb_and_shells_complete_them(capsys: pytest.CaptureFixture[str]) -> None:
-    assert command(["--help"]) == 0
+def test_help_lists_every_subcommand_and_completion_scripts_are_printed(capsys: pytest.CaptureFixture[str]) -> None:
+    assert run(["--help"]) == 0
     help_text = capsys.readouterr().out
-    assert all(f"  {verb} " in help_text for verb in VERBS) and "Examples:" in help_text
-    for verb in VERBS:
-        assert command([verb, "--help"]) == 0, verb
+    assert all(f"  {name} " in help_text for name in COMMANDS) and "Examples:" in help_text
+    for name in COMMANDS:
+        assert run([name, "--help"]) == 0, name
     capsys.readouterr()
     for shell in ("bash", "zsh", "fish"):
-        assert command(["completion", shell]) == 0
+        assert run(["completion", shell]) == 0
         assert "_GRADEFRONT_COMPLETE" in capsys.readouterr().out
 
 
-def test_serving_imports_neither_command_line_nor_second_front_nor_lab() -> None:
+def test_serving_imports_neither_command_line_nor_quic_front_nor_lab() -> None:
     code = (
         "import sys, gradefront.__main__, gradefront.service\n"
         "print([m for m in sys.modules if m.split('.')[0] in"
--- a/tests/test_handover_end.py
+++ b/tests/test_handover_end.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from gradefront.state.form import write
+from gradefront.state.form import encode_snapshot
 from gradefront.state.handover_receiver import HandoverReceiver
 from gradefront.state.handover_sockets import SOCKET_NAME
 
@@ -21,26 +21,26 @@
 
     def __init__(self, folder: Path, now_us: int) -> None:
         self.snapshot = replace(SNAPSHOT, last_received_us=now_us, awaiting_reply_us=())
-        self.call = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        self.call.connect(str(folder / SOCKET_NAME))
+        self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        self.sock.connect(str(folder / SOCKET_NAME))
 
     def send(self) -> Peer:
         """Sends a connection. Returns its client's end."""
-        client, here = _tcp_pair()
-        self.backend, there = _tcp_pair()
-        with here, there:
-            socket.send_fds(self.call, [write(self.snapshot)], [here.fileno(), there.fileno()])
+        client, relay_side = _tcp_pair()
+        self.backend, backend_side = _tcp_pair()
+        with relay_side, backend_side:
+            socket.send_fds(self.sock, [encode_snapshot(self.snapshot)], [relay_side.fileno(), backend_side.fileno()])
         return client
 
 
 def _tcp_pair() -> tuple[Peer, socket.socket]:
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        one = socket.create_connection(listener.getsockname())
-        return Peer(one), listener.accept()[0]
+        sock = socket.create_connection(listener.getsockname())
+        return Peer(sock), listener.accept()[0]
 
 
 @pytest.mark.parametrize("is_accepted", [False, True], ids=["in the queue", "unread"])
-def test_a_connection_handed_over_in_the_last_instant_is_taken_or_refused(tmp_path: Path, is_accepted: bool) -> None:
+def test_a_connection_sent_as_the_receiver_closes_is_adopted_or_refused(tmp_path: Path, is_accepted: bool) -> None:
     """Guards against clients that are cut off: their sockets lay unread as the receiving process closed."""
     loop = Loop(tmp_path, [Backend()])
     receiver = HandoverReceiver(loop.core, loop.relay.front, loop.reactor, tmp_path)
--- a/tests/test_moments_stop.py
+++ b/tests/test_moments_stop.py
@@ -24,7 +24,7 @@
         loop.wait(4_000)
 
 
-def test_a_request_read_after_the_last_answers_is_answered_and_never_sent(tmp_path: Path) -> None:
+def test_a_request_read_in_state_stopping_is_answered_busy_and_never_forwarded(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     resting = loop.client()
@@ -41,7 +41,7 @@
     assert resting.read() and resting.ended and not resting.reset
 
 
-def test_a_request_in_the_listeners_queue_at_the_end_is_answered(tmp_path: Path) -> None:
+def test_a_request_in_the_listen_queue_at_the_stop_is_answered(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     stopping(loop)
@@ -57,7 +57,7 @@
     assert loop.stopped and not backend.called
 
 
-def test_an_attempt_that_connects_after_the_shutdown_writes_nothing(tmp_path: Path) -> None:
+def test_an_attempt_that_connects_in_state_stopping_sends_nothing(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     loop.leave()
@@ -75,7 +75,7 @@
     assert b"OPEN" not in at_backend.read() and at_backend.ended
 
 
-def test_what_stands_is_notified_though_a_line_of_it_comes_in_that_instant(tmp_path: Path) -> None:
+def test_an_established_client_is_migrated_though_a_line_of_it_is_still_unread(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client, _ = loop.standing(backend)
@@ -93,7 +93,7 @@
     assert loop.stopped
 
 
-def test_a_client_without_a_request_until_the_end_is_ended_in_order(tmp_path: Path) -> None:
+def test_pre_request_connections_are_rejected_at_the_stop_without_a_reset(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     loop.leave()
@@ -113,11 +113,11 @@
     assert loop.stopped - loop.now_us <= 0 and not backend.called
 
 
-def test_signals_that_come_twice_or_late_change_nothing(tmp_path: Path) -> None:
+def test_repeated_stop_signals_during_a_drain_neither_speed_up_nor_delay_the_stop(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend], settings(deadline_ms=800))
-    ends = [loop.standing(backend) for _ in range(10)]
-    clients = [client for client, _ in ends]
+    established = [loop.standing(backend) for _ in range(10)]
+    clients = [client for client, _ in established]
     loop.core.lifecycle.lame_duck()  # a drain of 3.2 s; SIGKILL may come 1.5 s after SIGTERM
     loop.wait(200_000)
     began = loop.now_us
@@ -133,31 +133,31 @@
     assert all(c.read().endswith(b"MOVE\r\n") and not c.reset for c in clients)
 
 
-@pytest.mark.parametrize("before", ["no list", "a drain ended", "an old file", "a new file", "a broken file"])
-def test_a_stop_at_an_odd_moment_answers_all_and_ends_in_time(
-    tmp_path: Path, before: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("scenario", ["no list", "a drain ended", "an old file", "a new file", "a broken file"])
+def test_a_stop_during_a_reload_or_drain_or_without_backends_answers_all_in_time(
+    tmp_path: Path, scenario: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     backend = Backend()
-    loop = Loop(tmp_path, [backend] if before != "no list" else [])
+    loop = Loop(tmp_path, [backend] if scenario != "no list" else [])
     client = loop.client()
-    ends = loop.standing(backend) if before != "no list" else None
-    if before == "a drain ended":
+    established = loop.standing(backend) if scenario != "no list" else None
+    if scenario == "a drain ended":
         loop.core.lifecycle.lame_duck()
         loop.wait(300_000, 20_000)
         loop.core.lifecycle.rejoin()
-    document = {**loop.config, "settings": settings(deadline_ms=1000)} if before == "a new file" else loop.config
-    (tmp_path / "config.json").write_text(json.dumps(document) if before != "a broken file" else "{")
+    document = {**loop.config, "settings": settings(deadline_ms=1000)} if scenario == "a new file" else loop.config
+    (tmp_path / "config.json").write_text(json.dumps(document) if scenario != "a broken file" else "{")
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
-    if before == "an old file":
+    if scenario == "an old file":
         loop.relay.reload()  # in the turn in which the signal comes
     began, kill_us = loop.now_us, loop.core.lifecycle.kill_us
     loop.leave()
-    if "file" in before:
+    if "file" in scenario:
         loop.relay.reload()
         (tmp_path / "config.json").write_text(json.dumps({**document, "discovery": f"127.0.0.1:{Backend().port}"}))
         loop.relay.reload()
     loop.open(client)
-    if before == "no list":
+    if scenario == "no list":
         loop.until(lambda: loop.wait(20_000) or client.read().endswith(b"\r\n"))
         assert client.got.startswith(b"BUSY")
     else:
@@ -167,13 +167,13 @@
         at_backend.line("UP r-1")
     loop.until(lambda: loop.wait(20_000) or loop.stopped)
     assert loop.stopped - began <= kill_us - 150_000
-    for peer in (client, *(ends[:1] if ends else ())):
+    for peer in (client, *(established[:1] if established else ())):
         assert peer.read() and peer.ended and not peer.reset
-        assert before == "no list" or peer.got.endswith(b"MOVE\r\n")
+        assert scenario == "no list" or peer.got.endswith(b"MOVE\r\n")
     assert not loop.core.counters.counts["exceptions"]
 
 
-def test_an_operators_answer_that_is_under_way_at_the_end_arrives_whole(tmp_path: Path) -> None:
+def test_an_admin_answer_in_flight_at_the_stop_arrives_complete(tmp_path: Path) -> None:
     loop = Loop(tmp_path, [Backend()], admin="127.0.0.1:0")
     resting = loop.client()
     loop.leave()
@@ -183,10 +183,10 @@
     caller = Peer(socket.create_connection(("127.0.0.1", loop.relay.admin_server.getHost().port), HANG_TIMEOUT_S))
     caller.send(b"INFO\r\n")
     loop.until(lambda: loop.core.counters.counts["door_calls"])
-    (end,) = set(loop.reactor.getReaders()) - before
-    loop.order.held = {end.fileno()}
+    (admin_transport,) = set(loop.reactor.getReaders()) - before
+    loop.order.held = {admin_transport.fileno()}
     caller.send(b"more than was asked for\r\n")
-    arrived(end.socket)
+    arrived(admin_transport.socket)
     resting.close()
     loop.until(lambda: not loop.relay.front.open_connections)
     loop.wait(20_000)
@@ -197,7 +197,7 @@
     loop.until(lambda: loop.wait(4_000) or loop.stopped)
 
 
-def test_an_operators_call_in_the_queue_at_the_end_is_answered(tmp_path: Path) -> None:
+def test_an_admin_command_in_the_listen_queue_at_the_stop_is_answered(tmp_path: Path) -> None:
     """Guards against a reset in place of an answer: the interface was closed over the callers in its queue."""
     loop = Loop(tmp_path, [Backend()], admin="127.0.0.1:0")
     stopping(loop)
@@ -205,8 +205,8 @@
     assert port
     address = ("127.0.0.1", port.getHost().port)
     loop.order.held.add(port.fileno())
-    calling, silent = (Peer(socket.create_connection(address, HANG_TIMEOUT_S)) for _ in range(2))
-    calling.line("PING")
+    caller, silent = (Peer(socket.create_connection(address, HANG_TIMEOUT_S)) for _ in range(2))
+    caller.line("PING")
     loop.until(lambda: loop.wait(4_000) or loop.stopped)
-    assert calling.read() == b"fail stopped\r\n" and calling.ended and not calling.reset
+    assert caller.read() == b"fail stopped\r\n" and caller.ended and not caller.reset
     assert silent.read() == b"fail the relay ends\r\n" and silent.ended and not silent.reset
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -8,13 +8,13 @@
 from pathlib import Path
 
 
-def test_example_prints_what_the_readme_says() -> None:
+def test_the_readme_example_prints_the_output_that_the_readme_shows() -> None:
     text = Path("README.md").read_text()
     code = re.search(r"```python\n(.*?)```", text, re.S)
     assert code
-    said = re.search(r"\nprints\n\n((?:    .*\n)+)", text)
-    assert said
-    out = io.StringIO()
-    with contextlib.redirect_stdout(out):
+    expected = re.search(r"\nprints\n\n((?:    .*\n)+)", text)
+    assert expected
+    output = io.StringIO()
+    with contextlib.redirect_stdout(output):
         exec(compile(code.group(1), "README.md", "exec"), {})
-    assert out.getvalue() == re.sub(r"(?m)^    ", "", said.group(1))
+    assert output.getvalue() == re.sub(r"(?m)^    ", "", expected.group(1))
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -34,7 +34,7 @@
 async def running_service(
     folder: Path,
     answers: list[str | None],
-    given: dict[str, Any] | None = None,
+    service_settings: dict[str, Any] | None = None,
     wait: bool = True,
     admin: bool = False,
 ) -> AsyncIterator[RunningService]:
@@ -42,7 +42,7 @@
     discovery = Discovery()
     for n, backend in enumerate(backends):
         discovery.add(f"box-{n}", await backend.open())
-    async with program(folder, discovery, given or settings(), admin=admin) as relay:
+    async with program(folder, discovery, service_settings or settings(), admin=admin) as relay:
         if wait:
             await soon(discovery.asked.wait())
         yield RunningService(backends, discovery, relay)
@@ -50,56 +50,58 @@
             backend.server.close()
 
 
-def test_a_connection_is_passed_through_unchanged_both_ways(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with running_service(tmp_path, ["UP r-77"], settings(probes=True)) as here:
-            assert await (await here.device()).ask("PING") == "PONG"
-            device = await here.device()
+def test_lines_are_forwarded_unchanged_in_both_directions(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_service(tmp_path, ["UP r-77"], settings(probes=True)) as service:
+            assert await (await service.device()).ask("PING") == "PONG"
+            device = await service.device()
             device.open(more=",again=1,x=odd")
             assert await device.line() == "UP r-77"
-            (first,) = here.backends[0].first_lines
+            (first,) = service.backends[0].first_lines
             left = int(re.sub(r".*,d=(\d+),.*", r"\1", first))
             assert first == OPEN.format(id=device.id, d=left, more=",again=1,x=odd") and 300 <= left <= 1500
             assert await device.ask("where are you") == "re:where are you"
-            here.backends[0].writers[0].write(b"LOAD 5321.5\r\nhalf a li")
+            service.backends[0].writers[0].write(b"LOAD 5321.5\r\nhalf a li")
             assert await device.line() == "LOAD 5321.5"
-            here.backends[0].writers[0].write(b"ne\r\n" + b"x" * 4000 + b"\r\n")
+            service.backends[0].writers[0].write(b"ne\r\n" + b"x" * 4000 + b"\r\n")
             assert await device.line() == "half a line" and await device.line() == "x" * 4000
             device.writer.close()
-            await soon(here.backends[0].ended.wait())
-            counts = await here.relay.counters()
+            await soon(service.backends[0].ended.wait())
+            counts = await service.relay.counters()
             assert counts["visits"] == counts["stood"] == counts["ended_by_client"] == 1
             assert counts["visits_came_back"] == 1 and counts["visits_now"] == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_rejected_request_goes_elsewhere_and_a_full_fleet_is_answered_with_a_time(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with running_service(tmp_path, ["BUSY", "UP r-1"], settings(objective_ms=30, deadline_ms=4000)) as here:
-            while not here.backends[0].first_lines:  # the first pick is random: come until it was the full one
-                device = await here.device()
+def test_a_busy_backend_leads_to_a_retry_elsewhere_and_all_busy_to_a_busy_answer(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_service(
+            tmp_path, ["BUSY", "UP r-1"], settings(objective_ms=30, deadline_ms=4000)
+        ) as service:
+            while not service.backends[0].first_lines:  # the first pick is random: come until it was the full one
+                device = await service.device()
                 device.open(d=4000)
                 assert await device.line() == "UP r-1"
-        async with running_service(tmp_path, ["BUSY"] * 6) as here:
-            device = await here.device()
+        async with running_service(tmp_path, ["BUSY"] * 6) as service:
+            device = await service.device()
             began = time.monotonic()
             device.open()
             answer = await device.line()
             assert re.fullmatch(r"BUSY( \d+)?", answer) and time.monotonic() - began < 1.5 + BUSY_S
             assert await device.line() == "", "both sides close after the answer"
-            tried = [len(b.first_lines) for b in here.backends]
+            tried = [len(b.first_lines) for b in service.backends]
             assert 1 <= sum(tried) <= 4 and max(tried) == 1
-            counts = await here.relay.counters()
+            counts = await service.relay.counters()
             assert counts["attempts"] == sum(tried) and counts["refused"] == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_silence_is_answered_before_the_client_gives_up(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with running_service(tmp_path, [None] * 3) as here:
-            device = await here.device()
+def test_silent_backends_give_an_answer_within_the_deadline(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_service(tmp_path, [None] * 3) as service:
+            device = await service.device()
             began = time.monotonic()
             device.open(d=700)
             assert re.match("BUSY|ERR", await device.line())
@@ -107,90 +109,90 @@
             assert time.monotonic() - began < 0.7 + BUSY_S
             assert await device.line() == ""
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_nonsense_ends_one_connection_and_never_the_program(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with running_service(tmp_path, ["UP r-1"]) as here:
-            standing = await here.device()
-            standing.open()
-            assert await standing.line() == "UP r-1"
+def test_malformed_input_ends_one_connection_and_never_the_program(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_service(tmp_path, ["UP r-1"]) as service:
+            established = await service.device()
+            established.open()
+            assert await established.line() == "UP r-1"
             for junk in (
                 b"\r\n",
                 b"OPEN\r\n",
                 b"GET / HTTP/1.1\r\n",
                 b"OPEN a b \xff\xfe\r\n",
-                OPEN.format(id=standing.id, d=1500, more="").encode() + b"\r\n",
+                OPEN.format(id=established.id, d=1500, more="").encode() + b"\r\n",
                 OPEN.format(id=next(Device.IDS), d=-5, more="").encode() + b"\r\n",
                 OPEN.format(id=next(Device.IDS), d=1500, more="").encode() + b"\r\none more\r\n",
             ):
-                bad = await here.device()
-                bad.writer.write(junk)
-                assert await bad.line() == "ERR" and await bad.line() == ""
-            overlong = await here.device()
+                malformed = await service.device()
+                malformed.writer.write(junk)
+                assert await malformed.line() == "ERR" and await malformed.line() == ""
+            overlong = await service.device()
             overlong.writer.write(b"x" * 5000)
             assert await overlong.rest() == b"ERR\r\n"
-            early = await here.device()
+            early = await service.device()
             early.writer.write(b"OPEN a b c=visit-ch")
             early.writer.close()
-            assert await standing.ask("still") == "re:still"
-            standing.writer.write(b"y" * 5000 + b"\r\n")
-            assert await standing.rest() == b"MOVE\r\n"
-            fresh = await here.device()
+            assert await established.ask("still") == "re:still"
+            established.writer.write(b"y" * 5000 + b"\r\n")
+            assert await established.rest() == b"MOVE\r\n"
+            fresh = await service.device()
             fresh.open()
             assert await fresh.line() == "UP r-1"
-            counts = await here.relay.counters()
+            counts = await service.relay.counters()
             assert counts["bad_lines"] == 9 and "exceptions" not in counts
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_dead_backend_ends_its_connections_at_once(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with running_service(tmp_path, ["UP r-1"]) as here:
-            device = await here.device()
+def test_a_reset_from_a_backend_closes_its_client_connection_at_once(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_service(tmp_path, ["UP r-1"]) as service:
+            device = await service.device()
             device.open()
             assert await device.line() == "UP r-1"
-            here.backends[0].writers[0].transport.abort()
+            service.backends[0].writers[0].transport.abort()
             began = time.monotonic()
             assert await device.rest() == b""
             assert time.monotonic() - began < 1.0 + BUSY_S
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_connection_from_before_goes_to_its_own_backend_only(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with running_service(tmp_path, ["UP r-0", "UP r-1", "UP r-2"]) as here:
+def test_a_request_that_names_its_backend_goes_to_that_backend_only(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_service(tmp_path, ["UP r-0", "UP r-1", "UP r-2"]) as service:
             for n in (1, 2, 1):
-                device = await here.device()
+                device = await service.device()
                 device.open(more=f",at=box-{n}")
                 assert await device.line() == f"UP r-{n}"
-            assert [len(b.first_lines) for b in here.backends] == [0, 2, 1]
+            assert [len(b.first_lines) for b in service.backends] == [0, 2, 1]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_not_ready_without_any_backend(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with running_service(tmp_path, [], wait=False) as here:
-            assert await (await here.device()).ask("PING") == "ERR"
+def test_a_relay_without_backends_is_not_ready(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_service(tmp_path, [], wait=False) as service:
+            assert await (await service.device()).ask("PING") == "ERR"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_planned_stop_moves_what_stands_between_whole_lines_and_answers_on(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with running_service(tmp_path, ["UP r-1"]) as here:
-            standing = [await here.device() for _ in range(20)]
-            for device in standing:
+def test_a_planned_stop_spreads_migrations_between_complete_lines_and_still_serves(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_service(tmp_path, ["UP r-1"]) as service:
+            established = [await service.device() for _ in range(20)]
+            for device in established:
                 device.open()
                 assert await device.line() == "UP r-1"
             began = time.monotonic()
-            here.relay.process.send_signal(signal.SIGTERM)
-            await here.relay.line("leaving")
-            late = await here.device()
+            service.relay.process.send_signal(signal.SIGTERM)
+            await service.relay.line("leaving")
+            late = await service.device()
             late.open()
             assert await late.line() == "UP r-1", "clients that the front still sends are served"
 
@@ -199,34 +201,36 @@
                 assert await device.line() == "MOVE" and await device.line() == ""
                 return time.monotonic() - began
 
-            times = sorted(await asyncio.gather(*(notified(d) for d in [*standing, late])))
+            times = sorted(await asyncio.gather(*(notified(d) for d in [*established, late])))
             assert times[0] > 0.6 and times[-1] - times[0] > 0.5, "spread over the time there is"
-            assert await here.relay.stop() == 0 and time.monotonic() - began < 3.7 + BUSY_S
-            assert any("counters" in line for line in here.relay.log)
+            assert await service.relay.stop() == 0 and time.monotonic() - began < 3.7 + BUSY_S
+            assert any("counters" in line for line in service.relay.log)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_watch_that_falls_silent_is_asked_for_again(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with running_service(tmp_path, ["UP r-1", "UP r-2"]) as here:
-            here.discovery.asked.clear()
-            here.discovery.silent = True
+def test_a_silent_watch_is_reopened(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_service(tmp_path, ["UP r-1", "UP r-2"]) as service:
+            service.discovery.asked.clear()
+            service.discovery.silent = True
             began = time.monotonic()
-            await soon(here.discovery.asked.wait())
+            await soon(service.discovery.asked.wait())
             assert 1.5 < time.monotonic() - began < 6.0
-            here.discovery.publish("box-0", "DRAINING")
-            await here.relay.line("backend box-0 is draining")
+            service.discovery.publish("box-0", "DRAINING")
+            await service.relay.line("backend box-0 is draining")
             for _ in range(6):
-                device = await here.device()
+                device = await service.device()
                 device.open()
                 assert await device.line() == "UP r-2"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_pushed_lists_are_watched_from_the_start_and_a_list_from_before_serves_nobody(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_pushed_endpoint_lists_are_watched_from_the_start_and_the_configured_list_serves_no_client(
+    tmp_path: Path,
+) -> None:
+    async def scenario() -> None:
         discovery, old, new = Discovery(), StandInBackend(lambda _: "UP r-old"), StandInBackend(lambda _: "UP r-new")
         discovery.add("old", await old.open())
         discovery.add("new", await new.open())
@@ -234,9 +238,9 @@
         discovery.members["old"]["phase"] = "DRAINING"  # the agent has it before the process starts
         discovery.held = True
         async with program(tmp_path, discovery, {**settings(), "discovery": "push"}, known=known) as relay:
-            here = RunningService([old, new], discovery, relay)
+            service = RunningService([old, new], discovery, relay)
             await soon(discovery.called.wait())
-            assert await (await here.device()).ask("PING") == "ERR", "the agent has not spoken yet"
+            assert await (await service.device()).ask("PING") == "ERR", "the agent has not spoken yet"
             discovery.release()
             await relay.line("serving")
             for watch in discovery.watches:
@@ -244,16 +248,16 @@
             await relay.line("lost")
             await relay.line("endpoint list from")
             for _ in range(6):
-                device = await here.device()
+                device = await service.device()
                 device.open()
                 assert await device.line() == "UP r-new"
             assert not old.first_lines
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_relay_without_sense_in_its_configuration_says_what_is_wrong(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_an_invalid_configuration_at_the_start_is_an_error_naming_the_setting(tmp_path: Path) -> None:
+    async def scenario() -> None:
         discovery = Discovery()
         try:
             async with program(tmp_path, discovery, {"grades": []}):
@@ -261,7 +265,7 @@
         except AssertionError as error:
             assert "settings: classes: at least one is needed" in str(error)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def replace_config(folder: Path, **changes: object) -> None:
@@ -269,21 +273,21 @@
     path.write_text(json.dumps({**json.loads(path.read_text()), **changes}))
 
 
-def test_a_new_configuration_moves_the_watch_at_once_and_nonsense_changes_nothing(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with running_service(tmp_path, ["UP r-0", "UP r-1"]) as here:
-            device = await here.device()
+def test_sighup_moves_the_watch_at_once_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_service(tmp_path, ["UP r-0", "UP r-1"]) as service:
+            device = await service.device()
             device.open()
             assert (await device.line()).startswith("UP")
-            relay = here.relay
+            relay = service.relay
             for nonsense in ("{", "[]", '{"settings": 3}', json.dumps({"settings": settings(), "limits": 4})):
-                whole = (tmp_path / "config.json").read_text()
+                valid = (tmp_path / "config.json").read_text()
                 (tmp_path / "config.json").write_text(nonsense)
                 relay.process.send_signal(signal.SIGHUP)
                 await relay.line("configuration not taken, the old one stays")
-                (tmp_path / "config.json").write_text(whole)
+                (tmp_path / "config.json").write_text(valid)
             for _ in range(2):  # to another address, and to one more
-                old, new = here.discovery, Discovery()
+                old, new = service.discovery, Discovery()
                 new.members, new.revision = old.members, 1
                 await new.open()
                 replace_config(tmp_path, discovery=f"127.0.0.1:{new.port}")
@@ -294,11 +298,11 @@
                 for writer in old.watches:  # what the old address still says is no news, nor is its end
                     writer.close()
                 assert len(old.watches) == watched, "the old address got a new connection"
-                here.discovery = new
-            here.discovery.publish("box-0", "DRAINING")
+                service.discovery = new
+            service.discovery.publish("box-0", "DRAINING")
             await relay.line("backend box-0 is draining")
             for _ in range(6):
-                fresh = await here.device()
+                fresh = await service.device()
                 fresh.open()
                 assert await fresh.line() == "UP r-1"
             assert await device.ask("still") == "re:still"
@@ -309,10 +313,10 @@
             relay.process.send_signal(signal.SIGHUP)
             assert await relay.stop() == 0, "a planned stop right after"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_an_answer_reaches_the_device_though_the_backend_resets_right_after_it(tmp_path: Path) -> None:
+def test_an_answer_followed_by_a_backend_reset_reaches_the_client(tmp_path: Path) -> None:
     class Breaking(StandInBackend):
         async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readline()
@@ -321,7 +325,7 @@
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
             writer.transport.abort()
 
-    async def play() -> None:
+    async def scenario() -> None:
         backend, discovery = Breaking(lambda line: None), Discovery()
         discovery.add("box-0", await backend.open())
         async with program(tmp_path, discovery, settings()) as relay:
@@ -341,4 +345,4 @@
             counts = await relay.counters()
             assert counts["stood"] >= 3, "the reset came after the answer"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -44,24 +44,24 @@
 }
 
 
-def broken(path: str, value: object) -> dict[str, Any]:
+def with_value(path: str, value: object) -> dict[str, Any]:
     document = copy.deepcopy(FILE)
-    at: Any = document
+    parent: Any = document
     *keys, last = path.split(".")
     for key in keys:
-        at = at[int(key) if key.isdigit() else key]
+        parent = parent[int(key) if key.isdigit() else key]
     if value is None:
-        del at[last]
+        del parent[last]
     else:
-        at[last] = value
+        parent[last] = value
     return document
 
 
 @pytest.mark.parametrize("value", [0, -1, True, "4", "", float("nan"), float("inf"), [], {}, 0.5])
 @pytest.mark.parametrize("path", ["grades.1.deadlineUs", "grades.0.aimUs", "permissions.maxAttempts"])
-def test_a_time_or_limit_that_is_no_number_above_0_is_named_and_rejected(path: str, value: object) -> None:
+def test_a_time_or_limit_that_is_no_number_above_0_is_rejected_with_its_path(path: str, value: object) -> None:
     with pytest.raises(SettingError) as error:
-        parse(broken(f"settings.{path}", value), {})
+        parse(with_value(f"settings.{path}", value), {})
     assert path.rpartition(".")[2] in str(error.value)
     assert error.value.field.replace("[", ".").replace("]", "") == f"settings.{path}"
 
@@ -81,36 +81,38 @@
         "settings.grades.1.semantics",
     ],
 )
-def test_a_file_that_lacks_a_key_of_the_one_before_is_incomplete(path: str) -> None:
-    missing = missing_key(broken(path, None), FILE)
+def test_a_file_that_lacks_a_key_of_the_previous_file_is_incomplete(path: str) -> None:
+    missing = missing_key(with_value(path, None), FILE)
     assert missing.replace("[", ".").replace("]", "") == path
     assert missing_key(FILE, FILE) == ""
-    more = broken("settings.grades", [*FILE["settings"]["grades"], {**FILE["settings"]["grades"][0], "name": "new"}])
+    more = with_value(
+        "settings.grades", [*FILE["settings"]["grades"], {**FILE["settings"]["grades"][0], "name": "new"}]
+    )
     assert (
         missing_key(more, FILE) == ""
-        and missing_key(broken("settings.permissions", 3), FILE) == "settings.permissions"
+        and missing_key(with_value("settings.permissions", 3), FILE) == "settings.permissions"
     )
 
 
-def test_a_class_keeps_its_number_while_a_connection_holds_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_class_keeps_its_number_while_a_connection_uses_it(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(request_classes, "MAX_CLASSES", 3)
     slow = replace(CLASS, deadline_us=9)
-    book = RequestClassTable().extended(("a", "b"), (CLASS, CLASS), ())
-    book = book.extended(("b", "a"), (CLASS, slow), {0, 1})
-    assert book.numbers() == {"b": 1, "a": 2} and book.rules == (CLASS, CLASS, slow)
-    assert book.extended(("a", "b"), (CLASS, CLASS), ()).numbers() == {"a": 0, "b": 1}, "told again: as before"
-    assert book.extended(("c", "b"), (CLASS, CLASS), {1, 2}).names == ("c", "b", "a"), "nobody holds the old a"
+    table = RequestClassTable().extended(("a", "b"), (CLASS, CLASS), ())
+    table = table.extended(("b", "a"), (CLASS, slow), {0, 1})
+    assert table.numbers() == {"b": 1, "a": 2} and table.rules == (CLASS, CLASS, slow)
+    assert table.extended(("a", "b"), (CLASS, CLASS), ()).numbers() == {"a": 0, "b": 1}, "told again: as before"
+    assert table.extended(("c", "b"), (CLASS, CLASS), {1, 2}).names == ("c", "b", "a"), "nobody holds the old a"
     with pytest.raises(TooManyClassesError):
-        book.extended(("c", "d"), (CLASS, CLASS), {0, 1, 2})
+        table.extended(("c", "d"), (CLASS, CLASS), {0, 1, 2})
 
 
 def test_open_connections_keep_the_rules_in_force_at_their_start() -> None:
     bench = Bench()
     old, _ = bench.arrive()
     changed = replace(SETTINGS, classes=(replace(CLASS, idempotency=Idempotency.NOT_IDEMPOTENT),), max_attempts=1)
-    book, merged = bench.core.prepare_settings(changed, ("visit-checkin",))
-    assert book.numbers() == {"visit-checkin": 1} and merged.classes[0] == CLASS
-    bench.core.apply_settings(book, merged, True)
+    table, merged = bench.core.prepare_settings(changed, ("visit-checkin",))
+    assert table.numbers() == {"visit-checkin": 1} and merged.classes[0] == CLASS
+    bench.core.apply_settings(table, merged, True)
     new, client = bench.arrive()
     assert isinstance(bench.events[-2], SettingsChanged), "told before the first request under them"
     for connection, most in ((old, 4), (new, 1)):
@@ -127,7 +129,7 @@
     assert client.calls == ["fail"]
 
 
-def test_the_module_counts_the_attempts_of_a_request_by_the_settings_at_its_start() -> None:
+def test_the_decision_module_limits_attempts_by_the_settings_at_the_start_of_the_request() -> None:
     def attempts(first: bool) -> int:
         b = Balancer(SETTINGS, 1)
         b.handle(0, EndpointListUpdate(tuple(Endpoint(f"s{n}") for n in range(9))))
@@ -148,49 +150,49 @@
     assert attempts(first=False) == 1 < attempts(first=True) <= 4
 
 
-def test_the_program_takes_new_classes_and_nothing_of_a_broken_file(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with running_service(tmp_path, ["UP r-1"], settings(), admin=True) as here:
-            relay = here.relay
+def test_sighup_applies_new_classes_and_applies_nothing_of_an_invalid_file(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_service(tmp_path, ["UP r-1"], settings(), admin=True) as service:
+            relay = service.relay
 
             async def reload_and_await(expected: str) -> None:
                 relay.process.send_signal(signal.SIGHUP)
                 await relay.line(expected)
 
-            old = await here.device()
+            old = await service.device()
             old.open()
             assert await old.line() == "UP r-1"
-            whole = (tmp_path / "config.json").read_text()
-            lame: dict[str, Any] = json.loads(whole)
-            lame["settings"]["grades"][0]["deadlineUs"] = True
-            for text, named in (
+            valid = (tmp_path / "config.json").read_text()
+            invalid: dict[str, Any] = json.loads(valid)
+            invalid["settings"]["grades"][0]["deadlineUs"] = True
+            for text, expected in (
                 ("", "not JSON"),
-                (whole[:300], "not JSON"),
-                (json.dumps(lame), r"grades\[0\].deadlineUs"),
-                (whole.replace('"discovery": "ask"', '"x": 1'), "settings.discovery: missing"),
+                (valid[:300], "not JSON"),
+                (json.dumps(invalid), r"grades\[0\].deadlineUs"),
+                (valid.replace('"discovery": "ask"', '"x": 1'), "settings.discovery: missing"),
             ):
                 (tmp_path / "config.json").write_text(text)
-                await reload_and_await(f"not taken, the old one stays: .*{named}")
-            (tmp_path / "config.json").write_text(whole)
+                await reload_and_await(f"not taken, the old one stays: .*{expected}")
+            (tmp_path / "config.json").write_text(valid)
             other = settings(maxAttempts=2)
             other["grades"] = [{**other["grades"][0], "name": "night-call"}, other["grades"][0]]
-            moved = Discovery()
-            moved.members = here.discovery.members
-            await moved.open()
-            replace_config(tmp_path, settings=other, discovery=f"127.0.0.1:{moved.port}")
+            new_discovery = Discovery()
+            new_discovery.members = service.discovery.members
+            await new_discovery.open()
+            replace_config(tmp_path, settings=other, discovery=f"127.0.0.1:{new_discovery.port}")
             await reload_and_await("classes night-call, roster-feed, 2 attempts")
-            await soon(moved.asked.wait())  # one file may change both
-            new, dropped = await here.device(), await here.device()
+            await soon(new_discovery.asked.wait())  # one file may change both
+            new, dropped = await service.device(), await service.device()
             new.write_line(new.OPEN.format(id=new.id, d=1500, more="").replace("visit-checkin", "night-call"))
             assert await new.line() == "UP r-1"
             dropped.open()
             assert await dropped.line() == "ERR"
             assert await old.ask("still") == "re:still"
-            figures = await relay.metrics()
-            assert figures["svc_conf_invalid_total"] == 4 and figures["svc_conf_loaded_total"] == 1
-            assert figures['svc_answered_total{group="night-call"}'] == 1
-            assert figures['svc_answered_total{group="visit-checkin"}'] == 1, "a dropped class keeps its counts"
-            assert figures['svc_errored_total{group="visit-checkin"}'] == 1
-            moved.server.close()
-
-    asyncio.run(play())
+            metrics = await relay.metrics()
+            assert metrics["svc_conf_invalid_total"] == 4 and metrics["svc_conf_loaded_total"] == 1
+            assert metrics['svc_answered_total{group="night-call"}'] == 1
+            assert metrics['svc_answered_total{group="visit-checkin"}'] == 1, "a dropped class keeps its counts"
+            assert metrics['svc_errored_total{group="visit-checkin"}'] == 1
+            new_discovery.server.close()
+
+    asyncio.run(scenario())
--- a/tests/test_signals_at_the_end.py
+++ b/tests/test_signals_at_the_end.py
@@ -16,10 +16,12 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM])
-def test_signals_up_to_the_very_end_leave_a_planned_stop_its_status(tmp_path: Path, number: signal.Signals) -> None:
+def test_signals_until_the_process_ends_do_not_change_the_status_of_a_planned_stop(
+    tmp_path: Path, number: signal.Signals
+) -> None:
     """Guards against a planned restart that looks like a crash: the interpreter drops its handlers as it ends."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with program(tmp_path, Discovery(), settings(deadline_ms=300)) as relay:
             relay.process.send_signal(signal.SIGTERM)
             async with asyncio.timeout(HANG_TIMEOUT_S):
@@ -31,4 +33,4 @@
                 await reading
             assert relay.process.returncode == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_signals_at_the_start.py
+++ b/tests/test_signals_at_the_start.py
@@ -30,10 +30,10 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGUSR1])
-def test_a_reload_signal_during_the_start_is_survived(tmp_path: Path, number: signal.Signals) -> None:
+def test_a_reload_or_counter_signal_during_the_start_is_ignored(tmp_path: Path, number: signal.Signals) -> None:
     """Guards against a start that looks like a crash: these signals end a process that has no handlers yet."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         environment = _environment(tmp_path, number)
         async with program(tmp_path, Discovery(), settings(deadline_ms=300), environment=environment) as relay:
             device = await LineDevice.connect(relay.ports[0])
@@ -41,7 +41,7 @@
             device.writer.close()
             assert await relay.stop() == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -57,7 +57,7 @@
     ("name", "attempts", "asked", "classes", "tenants"),
     [("lake-mild", 5, True, 2, 2), ("mill-strict", 1, False, 3, 4)],
 )
-def test_a_variant_is_read_by_the_programs_own_reader(
+def test_the_settings_of_each_deployment_variant_are_parsed(
     name: str, attempts: int, asked: bool, classes: int, tenants: int
 ) -> None:
     site = tomllib.loads((SITES / f"{name}.toml").read_text())
--- a/tests/test_stop_in_time.py
+++ b/tests/test_stop_in_time.py
@@ -14,7 +14,7 @@
 import pytest
 
 from gradefront.net.reactor import Reactor
-from gradefront.service import _on_signal
+from gradefront.service import _handle_signal
 from lab.stand_ins import Discovery, program, settings
 
 from .loop import Backend, Loop
@@ -24,8 +24,8 @@
 TICK_US = 4_000
 
 
-@pytest.mark.parametrize("steps_before", ["the last answers", "the end of resting clients", "the stop"])
-def test_a_loop_that_is_held_up_as_it_ends_is_gone_in_time(tmp_path: Path, steps_before: str) -> None:
+@pytest.mark.parametrize("step_held_up", ["the last answers", "the end of resting clients", "the stop"])
+def test_an_event_loop_held_up_during_the_stop_ends_before_sigkill(tmp_path: Path, step_held_up: str) -> None:
     """Guards against a process that is there still at SIGKILL: delays that were chained made each late step later."""
     loop = Loop(tmp_path, [Backend()])
     resting = loop.client()  # it never closes, so that the stop waits as long as it may
@@ -33,15 +33,15 @@
     began_us = loop.now_us
     loop.leave()
     held_up_us = {"the last answers": 450_000, "the end of resting clients": 350_000, "the stop": 200_000}
-    loop.wait(kill_us - held_up_us[steps_before] - TICK_US)
+    loop.wait(kill_us - held_up_us[step_held_up] - TICK_US)
     loop.now_us += HOLD_UP_US
     loop.until(lambda: loop.wait(TICK_US) or loop.stopped)
-    late_us = HOLD_UP_US if steps_before == "the stop" else 0
+    late_us = HOLD_UP_US if step_held_up == "the stop" else 0
     assert loop.stopped - began_us <= kill_us - MARGIN_US + late_us + 2 * TICK_US
     assert resting.read() == b"BUSY\r\n" and resting.ended and not resting.reset
 
 
-def test_a_signal_that_waits_for_the_loop_ends_the_relay_no_later(tmp_path: Path) -> None:
+def test_a_signal_that_waits_for_the_event_loop_does_not_delay_the_stop(tmp_path: Path) -> None:
     """Guards against a stop that is late by as long as its signal waited."""
     loop = Loop(tmp_path, [Backend()])
     resting = loop.client()
@@ -62,13 +62,13 @@
     torn_down = tmp_path / "torn down"
     environment = {"PYTHONPATH": str(tmp_path), "TORN_DOWN": str(torn_down)}
 
-    async def play() -> None:
-        given = settings(deadline_ms=300)
-        async with program(tmp_path, Discovery(), given, environment=environment) as relay:
+    async def scenario() -> None:
+        service_settings = settings(deadline_ms=300)
+        async with program(tmp_path, Discovery(), service_settings, environment=environment) as relay:
             assert await relay.stop() == 0
             assert "counters {" in relay.log[-1], "the last line of the log has left"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     assert not torn_down.exists()
     subprocess.run([sys.executable, "-c", ""], env={**os.environ, **environment}, check=True)
     assert torn_down.exists(), "another process leaves the mark"
@@ -88,7 +88,7 @@
     reactor, waited_us = HeldUpReactor(), list[int]()
     before = signal.getsignal(signal.SIGUSR2)
     try:
-        _on_signal(signal.SIGUSR2, waited_us.append, cast(Reactor, reactor))
+        _handle_signal(signal.SIGUSR2, waited_us.append, cast(Reactor, reactor))
         os.kill(os.getpid(), signal.SIGUSR2)
         time.sleep(0.02)
         reactor.calls[0]()
--- a/tests/test_stop_timeline.py
+++ b/tests/test_stop_timeline.py
@@ -19,7 +19,7 @@
 
 
 def test_each_step_of_a_stop_is_logged_with_its_time(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with program(tmp_path, Discovery(), settings(deadline_ms=300)) as relay:
             relay.process.send_signal(signal.SIGTERM)
             line = (await relay.line("planned stop, ms after the signal: handled")).string
@@ -27,12 +27,10 @@
             assert len(at_ms) == 3 and at_ms == sorted(at_ms)
             assert at_ms[0] >= 550, "the longest deadline and 0.25 s"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_connections_that_the_end_of_a_listener_resets_are_logged(
-    tmp_path: Path, caplog: pytest.LogCaptureFixture
-) -> None:
+def test_connections_reset_by_closing_a_listener_are_logged(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     loop = Loop(tmp_path, [Backend()])
     port = loop.relay.port
     address = ("127.0.0.1", port.getHost().port)
@@ -42,5 +40,5 @@
         port.stopListening()
         loop.step()
     assert "a listener ends with 3 connections that were not accepted" in caplog.text
-    for one in queued:
-        one.close()
+    for connection in queued:
+        connection.close()
--- a/tests/test_stored_form.py
+++ b/tests/test_stored_form.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gradefront.config import parse
-from gradefront.state.form import FormError, read, stored_rules, write
+from gradefront.state.form import SnapshotError, decode_snapshot, encode_snapshot, stored_rules
 from tests.helper import CLASS
 
 # As version 0.2.0 wrote it.
@@ -21,9 +21,9 @@
 NOW_US = 2_000_000
 
 
-def configured(**changes: object) -> dict[str, object]:
+def rules_from_settings(**changes: object) -> dict[str, object]:
     """The stored rules of the class that version 1 describes, as settings tell it."""
-    grade = {
+    request_class = {
         "name": "visit-checkin",
         "aimUs": 500_000,
         "deadlineUs": 2_000_000,
@@ -32,18 +32,18 @@
         "dedupWindowUs": 750_000,
         "points": 15,
     }
-    settings = {"grades": [grade | changes], "familyInfo": {"messageAimUs": [100_000]}}
+    settings = {"grades": [request_class | changes], "familyInfo": {"messageAimUs": [100_000]}}
     config = parse({"settings": settings, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2"}, {})
     return stored_rules(config.settings.classes[0])
 
 
-def test_a_description_of_version_1_is_read_and_written_with_the_same_bytes() -> None:
-    assert write(read(VERSION_1, NOW_US)) == VERSION_1
+def test_a_version_1_snapshot_decodes_and_encodes_to_the_same_bytes() -> None:
+    assert encode_snapshot(decode_snapshot(VERSION_1, NOW_US)) == VERSION_1
 
 
-def test_the_rules_of_a_description_equal_those_of_the_same_settings_only() -> None:
-    described = read(VERSION_1, NOW_US).class_rules
-    assert configured() == described
+def test_the_class_rules_of_a_snapshot_equal_only_those_of_the_same_settings() -> None:
+    snapshot_rules = decode_snapshot(VERSION_1, NOW_US).class_rules
+    assert rules_from_settings() == snapshot_rules
     for change in (
         {"aimUs": 500_001},
         {"deadlineUs": 2_000_001},
@@ -52,17 +52,17 @@
         {"dedupWindowUs": 0},
         {"points": 1},
     ):
-        assert configured(**change) != described, change
+        assert rules_from_settings(**change) != snapshot_rules, change
 
 
-def test_rules_have_the_stored_names_in_their_order() -> None:
+def test_stored_rules_have_the_stored_names_in_their_order() -> None:
     stored = json.loads(VERSION_1)["rules"]
     assert list(stored_rules(replace(CLASS))) == list(stored)
 
 
 @pytest.mark.parametrize("name", sorted(json.loads(VERSION_1)))
-def test_a_description_without_a_field_or_with_another_one_is_refused(name: str) -> None:
+def test_a_snapshot_with_a_missing_and_an_unknown_field_is_rejected(name: str) -> None:
     stored = json.loads(VERSION_1)
     stored[f"{name}_2"] = stored.pop(name)
-    with pytest.raises(FormError):
-        read(json.dumps(stored).encode(), NOW_US)
+    with pytest.raises(SnapshotError):
+        decode_snapshot(json.dumps(stored).encode(), NOW_US)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,7 +20,7 @@
 from gradefront.config import ConfigError, parse
 from gradefront.core.lifecycle_state import LifecycleState
 from gradefront.listening import inherited_listener
-from gradefront.state.form import ConnectionSnapshot, FormError, read, write
+from gradefront.state.form import ConnectionSnapshot, SnapshotError, decode_snapshot, encode_snapshot
 from gradefront.state.handover_sockets import SOCKET_NAME
 from lab.stand_ins import Discovery, LineDevice, Program, StandInBackend, program, settings, soon
 
@@ -29,12 +29,12 @@
 
 
 @pytest.mark.parametrize("fd", ["x", "-1", "٤", "4 "])
-def test_a_descriptor_that_is_no_number_is_named(fd: str) -> None:
+def test_a_socket_descriptor_that_is_no_number_is_an_error_naming_the_variable(fd: str) -> None:
     with pytest.raises(ConfigError, match="LB_SOCKET_FD"):
         parse(CONFIG.document, {"LB_SOCKET_FD": fd})
 
 
-def test_a_descriptor_that_does_not_listen_is_named() -> None:
+def test_a_descriptor_that_is_no_ipv4_listener_is_an_error_naming_it() -> None:
     with socket.socket() as plain, socket.socket(socket.AF_INET6) as six:
         six.listen()
         for fd in (plain.fileno(), six.fileno(), 999):
@@ -42,8 +42,8 @@
                 inherited_listener(fd)
 
 
-def test_a_new_process_says_yes_on_fresh_news_or_once_there_is_no_more_time() -> None:
-    for news_us, ready_us in ((1_000_000, 1_000_000), (9_000_000, 3_600_000)):
+def test_a_new_process_accepts_clients_after_a_fresh_endpoint_list_or_a_timeout() -> None:
+    for fresh_list_us, ready_us in ((1_000_000, 1_000_000), (9_000_000, 3_600_000)):
         bench = Bench()
         bench.core.lifecycle.state = LifecycleState.STARTING
         opened: list[int] = []
@@ -52,12 +52,12 @@
         began = bench.now
         bench.core.on_endpoint_list(EndpointListUpdate((Endpoint("box-1"),)))
         assert not bench.core.lifecycle.accepts_clients, "a list from before may name backends that have left"
-        bench.wait(min(news_us, 5_000_000))
+        bench.wait(min(fresh_list_us, 5_000_000))
         bench.core.lifecycle.on_fresh_endpoint_list()
         assert bench.core.lifecycle.accepts_clients and len(opened) == 1 and opened[0] - began <= ready_us
 
 
-def test_a_replaced_process_migrates_its_clients_from_the_start() -> None:
+def test_a_replaced_process_migrates_its_clients_evenly_from_the_start() -> None:
     bench = Bench()
     clients = [bench.standing()[1] for _ in range(30)]
     bench.core.lifecycle.leave(lambda: None, at_once=True)
@@ -72,11 +72,11 @@
     )
 
 
-def test_a_bad_descriptor_is_a_clear_error_at_the_start(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_a_bad_descriptor_ends_the_start_with_an_error_and_status_2(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with program(tmp_path, Discovery(), settings()):
             environment = {**os.environ, "LB_CONFIG": str(tmp_path / "config.json"), "LB_SOCKET_FD": "0"}
-            done = await asyncio.to_thread(
+            completed = await asyncio.to_thread(
                 subprocess.run,
                 [sys.executable, "-m", "gradefront"],
                 env=environment,
@@ -85,9 +85,13 @@
                 text=True,
                 timeout=30,
             )
-            assert done.returncode == 2 and "LB_SOCKET_FD: 0" in done.stderr and "Traceback" not in done.stderr
+            assert (
+                completed.returncode == 2
+                and "LB_SOCKET_FD: 0" in completed.stderr
+                and "Traceback" not in completed.stderr
+            )
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 SNAPSHOT = ConnectionSnapshot(
@@ -106,9 +110,9 @@
 )
 
 
-def test_a_description_is_read_as_it_was_written_and_nonsense_is_an_error() -> None:
-    assert read(write(SNAPSHOT), 2_000_000) == SNAPSHOT
-    good = json.loads(write(SNAPSHOT))
+def test_a_snapshot_decodes_as_encoded_and_malformed_ones_are_rejected() -> None:
+    assert decode_snapshot(encode_snapshot(SNAPSHOT), 2_000_000) == SNAPSHOT
+    good = json.loads(encode_snapshot(SNAPSHOT))
     for name, value in (
         ("version", 0),
         ("box", 3),
@@ -121,11 +125,11 @@
         ("rules", []),
         ("x", 1),
     ):
-        with pytest.raises(FormError):
-            read(json.dumps({**good, name: value}).encode(), 2_000_000)
-    for cut in range(0, len(write(SNAPSHOT)) - 1, 7):
-        with pytest.raises(FormError):
-            read(write(SNAPSHOT)[:cut], 2_000_000)
+        with pytest.raises(SnapshotError):
+            decode_snapshot(json.dumps({**good, name: value}).encode(), 2_000_000)
+    for cut in range(0, len(encode_snapshot(SNAPSHOT)) - 1, 7):
+        with pytest.raises(SnapshotError):
+            decode_snapshot(encode_snapshot(SNAPSHOT)[:cut], 2_000_000)
 
 
 class Upgrade:
@@ -147,13 +151,13 @@
         self.listener.close()
         self.backend.server.close()
 
-    async def start(self, name: str, given: dict[str, Any] | None = None) -> Program:
+    async def start(self, name: str, service_settings: dict[str, Any] | None = None) -> Program:
         (self.folder / name).mkdir()
         process = await self.stack.enter_async_context(
             program(
                 self.folder / name,
                 self.discovery,
-                given or settings(deadline_ms=4000),
+                service_settings or settings(deadline_ms=4000),
                 admin=True,
                 listener=self.listener,
                 shared=self.shared,
@@ -162,32 +166,32 @@
         await process.line("takes clients from descriptor")
         return process
 
-    async def standing(self, process: Program) -> LineDevice:
+    async def establish(self, process: Program) -> LineDevice:
         device = await LineDevice.connect(process.ports[0])
         device.open(d=4000)
         assert await device.line() == "UP r-1"
         return device
 
 
-def test_an_upgrade_under_load_rejects_nobody(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_an_upgrade_under_load_rejects_no_request(tmp_path: Path) -> None:
+    async def scenario() -> None:
         outcomes: Counter[str] = Counter()
 
         async def device(port: int) -> None:
             """Comes, is served until it is notified to move, comes again: an answer each time."""
             for _ in range(2):
-                one = await LineDevice.connect(port)
-                one.open(d=4000)
-                outcomes[await one.line()] += 1
-                outcomes[await one.line()] += 1
-                one.writer.close()
-
-        async with Upgrade(tmp_path, shared=False) as here:
-            given = settings(objective_ms=1000, deadline_ms=4000)
-            old = await here.start("old", given)
+                client = await LineDevice.connect(port)
+                client.open(d=4000)
+                outcomes[await client.line()] += 1
+                outcomes[await client.line()] += 1
+                client.writer.close()
+
+        async with Upgrade(tmp_path, shared=False) as upgrade:
+            service_settings = settings(objective_ms=1000, deadline_ms=4000)
+            old = await upgrade.start("old", service_settings)
             port = old.ports[0]
             devices = [asyncio.ensure_future(device(port)) for _ in range(20)]
-            new = await here.start("new", given)
+            new = await upgrade.start("new", service_settings)
             assert await new.call("PING") == await old.call("PING") == ["ok serving"]
             old.process.send_signal(signal.SIGTERM)
             for _ in range(20):
@@ -198,82 +202,82 @@
                 assert (await old.call("LAMEDUCK"))[:1] in ([], ["ok leaving"])
             assert await old.stop() == 0
             assert (await new.metrics())["svc_current"] >= 20
-            third = await here.start("third", given)  # an upgrade right after another
+            third = await upgrade.start("third", service_settings)  # an upgrade right after another
             assert await new.stop() == 0
             third.process.send_signal(signal.SIGTERM)
             assert await third.stop() == 0
             await soon(asyncio.gather(*devices))
             assert outcomes == {"UP r-1": 80, "MOVE": 80}
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_process_that_could_not_have_the_name_holds_its_clients_and_its_listener(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Upgrade(tmp_path) as here:
-            here.shared = tmp_path / "a folder in which no file can be made"
-            alone = await here.start("alone")
-            standing = await here.standing(alone)
+def test_a_process_without_a_handover_socket_drains_its_clients_and_keeps_accepting(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with Upgrade(tmp_path) as upgrade:
+            upgrade.shared = tmp_path / "a folder in which no file can be made"
+            alone = await upgrade.start("alone")
+            standing = await upgrade.establish(alone)
             alone.process.send_signal(signal.SIGTERM)
             await alone.line("leaving")
-            late = await here.standing(alone)  # nobody else reads the listener's queue
+            late = await upgrade.establish(alone)  # nobody else reads the listener's queue
             assert await late.line() == await standing.line() == "MOVE"
             for device in (late, standing):
                 device.writer.close()
             assert await soon(alone.process.wait()) == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_established_connections_go_to_the_next_process_and_nobody_moves(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_established_connections_are_handed_over_without_migrating_clients(tmp_path: Path) -> None:
+    async def scenario() -> None:
         (tmp_path / SOCKET_NAME).write_text("left by somebody")
-        async with Upgrade(tmp_path) as here:
-            old = await here.start("old")
-            devices = [await here.standing(old) for _ in range(30)]
+        async with Upgrade(tmp_path) as upgrade:
+            old = await upgrade.start("old")
+            devices = [await upgrade.establish(old) for _ in range(30)]
             for n, device in enumerate(devices):
                 device.writer.write(b"half a li")  # a line that one process begins to read
-                here.backend.writers[n].write(b"and ha")
-            new = await here.start("new")
+                upgrade.backend.writers[n].write(b"and ha")
+            new = await upgrade.start("new")
             assert await old.stop() == 0
             counts = await new.counters()
             assert counts["taken_over"] == counts["visits_now"] == 30 and "stood" not in counts
-            for device, writer in zip(devices, here.backend.writers, strict=True):
+            for device, writer in zip(devices, upgrade.backend.writers, strict=True):
                 device.writer.write(b"ne\r\n")
                 writer.write(b"lf back\r\n")
                 assert {await device.line(), await device.line()} == {"re:half a line", "and half back"}
             assert (await new.metrics())["svc_current"] == 30
             devices[0].writer.close()
-            await soon(here.backend.ended.wait())
-            here.backend.writers[1].close()
+            await soon(upgrade.backend.ended.wait())
+            upgrade.backend.writers[1].close()
             assert await devices[1].line() == ""
-            third = await here.start("third", settings(objective_ms=200, deadline_ms=4000))  # under other rules
+            third = await upgrade.start("third", settings(objective_ms=200, deadline_ms=4000))  # under other rules
             assert await new.stop() == 0
             assert [await device.line() for device in devices[2:]] == ["MOVE"] * 28
             assert (await third.counters())["visits_now"] == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_an_upgrade_in_the_midst_of_a_drain_keeps_what_still_stands(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Upgrade(tmp_path) as here:
-            old = await here.start("old")
-            device = await here.standing(old)
-            new = await here.start("new")
+def test_an_upgrade_during_a_drain_hands_over_the_established_connections(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with Upgrade(tmp_path) as upgrade:
+            old = await upgrade.start("old")
+            device = await upgrade.establish(old)
+            new = await upgrade.start("new")
             assert await old.call("LAMEDUCK") == ["ok lame duck"]
             assert await old.stop() == 0
             assert await new.call("PING") == ["ok serving"]
             assert await device.ask("still") == "re:still"
             assert (await new.counters())["visits_now"] == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_process_that_nobody_replaces_takes_clients_to_the_last(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Upgrade(tmp_path) as here:
-            alone = await here.start("alone")
+def test_a_stopping_process_without_successor_accepts_clients_until_the_end(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with Upgrade(tmp_path) as upgrade:
+            alone = await upgrade.start("alone")
             alone.process.send_signal(signal.SIGTERM)
             await alone.line("leaving: 0 connections to migrate")
             device = await LineDevice.connect(alone.ports[0])
@@ -281,67 +285,67 @@
             assert [await device.line(), await device.line()] == ["UP r-1", "MOVE"]
             assert await alone.stop() == 0 and not (tmp_path / SOCKET_NAME).exists()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_next_process_that_breaks_off_leaves_the_connections_where_they_are(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Upgrade(tmp_path) as here:
-            old = await here.start("old")
-            device = await here.standing(old)
+def test_a_receiver_that_closes_at_once_leaves_the_connections_to_the_sender(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with Upgrade(tmp_path) as upgrade:
+            old = await upgrade.start("old")
+            device = await upgrade.establish(old)
             (tmp_path / SOCKET_NAME).unlink()
-            with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as stranger:
-                stranger.bind(str(tmp_path / SOCKET_NAME))
-                stranger.listen()
+            with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as impostor:
+                impostor.bind(str(tmp_path / SOCKET_NAME))
+                impostor.listen()
                 old.process.send_signal(signal.SIGTERM)
-                call = await asyncio.to_thread(stranger.accept)
+                call = await asyncio.to_thread(impostor.accept)
                 call[0].close()  # before or after the first connection came to it: that one's sockets go with it
             assert await device.line() in ("MOVE", "")
             assert await old.stop() == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_next_process_that_dies_among_many_takes_only_what_it_had_been_given(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Upgrade(tmp_path) as here:
-            old = await here.start("old")
-            devices = [await here.standing(old) for _ in range(40)]
+def test_a_receiver_that_dies_during_the_handover_loses_only_connections_already_sent(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with Upgrade(tmp_path) as upgrade:
+            old = await upgrade.start("old")
+            devices = [await upgrade.establish(old) for _ in range(40)]
             (tmp_path / SOCKET_NAME).unlink()
-            with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as stranger:
-                stranger.bind(str(tmp_path / SOCKET_NAME))
-                stranger.listen()
+            with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as impostor:
+                impostor.bind(str(tmp_path / SOCKET_NAME))
+                impostor.listen()
                 old.process.send_signal(signal.SIGTERM)
 
-                def take_ten_and_die() -> None:
-                    call, _ = stranger.accept()
+                def receive_ten_and_close() -> None:
+                    call, _ = impostor.accept()
                     with call:
                         for _ in range(10):
                             for fd in socket.recv_fds(call, 1 << 16, 4)[1]:
                                 os.close(fd)
 
-                await asyncio.to_thread(take_ten_and_die)
+                await asyncio.to_thread(receive_ten_and_close)
             ends = Counter([await device.line() for device in devices])
             # Ten, and what lay in the socket unread; whoever was still here is told.
             assert set(ends) <= {"MOVE", ""} and 10 <= ends[""] <= 20 and ends["MOVE"] == 40 - ends[""]
             await old.line("nothing more can be handed over")
             assert await old.stop() == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_nonsense_from_a_process_before_ends_nothing_here(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Upgrade(tmp_path) as here:
-            new = await here.start("new")
+def test_malformed_handover_messages_are_counted_and_do_not_disturb_the_receiver(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with Upgrade(tmp_path) as upgrade:
+            new = await upgrade.start("new")
             with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as call, socket.socket() as other:
                 call.connect(str(tmp_path / SOCKET_NAME))
                 socket.send_fds(call, [b"{}"], [other.fileno()] * 2)
-                socket.send_fds(call, [write(SNAPSHOT)], [other.fileno()])
+                socket.send_fds(call, [encode_snapshot(SNAPSHOT)], [other.fileno()])
                 call.send(b"\0" * 60_000)
             await new.line("connections were handed over so far")
             counts = await new.counters()
             assert counts["taken_over_badly"] == 3 and counts["visits_now"] == 0
-            await here.standing(new)
+            await upgrade.establish(new)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
