--- a/gradefront/__init__.py
+++ b/gradefront/__init__.py
@@ -1,3 +1,3 @@
-"""gradefront: the relay between clients and the backends of one deployment."""
+"""gradefront: a relay that forwards client requests to the backends of one deployment."""
 
 __version__ = "0.2.0"
--- a/gradefront/__main__.py
+++ b/gradefront/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m gradefront`: serves with no verb, as the platform's `run` line has it; else the command line."""
+"""Entry point of `python -m gradefront`.
+
+Without arguments, as in the `run` line of the deployment, the relay serves; otherwise the command line runs.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,10 @@
 
 
 def main() -> int:
-    """Run; the exit status. The command line is imported only where it is used: it costs start-up time and memory."""
+    """Run the program and return its exit status.
+
+    The command line is imported only when it is used, because its import costs start-up time and memory.
+    """
     if len(sys.argv) == 1:
         from .early_signals import install_startup_handlers
 
--- a/gradefront/admin/__init__.py
+++ b/gradefront/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin interface for operators: its calls and the figures."""
+"""The admin interface for operators: commands and metrics."""
--- a/gradefront/admin/calls.py
+++ b/gradefront/admin/calls.py
@@ -1,4 +1,4 @@
-"""The calls of the admin interface. Their names, answers and figures are published in docs/operators/running.md."""
+"""The commands of the admin interface. docs/operators/running.md documents their names, answers and metrics."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def admin_commands(core: RelayCore) -> dict[str, CommandHandler]:
-    """For each call, the function that answers it."""
+    """Return the handler of each command."""
 
     def state(is_ok: bool) -> list[str]:
         return [f"{'ok' if is_ok else 'fail'} {core.lifecycle.state.value}"]
@@ -23,7 +23,7 @@
 
 
 def metric_lines(core: RelayCore) -> list[str]:
-    """The figures now, a line each."""
+    """Return the current metrics, one per line."""
     return render_metrics(
         core.counters,
         core.request_classes.names,
--- a/gradefront/admin/metrics.py
+++ b/gradefront/admin/metrics.py
@@ -1,4 +1,4 @@
-"""The figures in Prometheus' text format, rendered from the counters. No I/O."""
+"""Rendering of the counters as metrics in the Prometheus text format. No I/O."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from gradefront.core.counters import Counters
 
 PREFIX = "svc_"
-CLASS_LABEL = "group"  # names a request class
+CLASS_LABEL = "group"  # its value is the name of a request class
 COUNTERS_BY_CLASS = ("answered_total", "deferred_total", "errored_total")
 COUNTERS = ("sends_total", "conf_loaded_total", "conf_invalid_total")
 
 
 def escape_label(value: str) -> str:
-    """A label's value. Prevents names with quotes, backslashes or line ends from breaking the format."""
+    """Escape a label value, so that quotes, backslashes or line feeds in it do not break the format."""
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
 def render_metrics(counters: Counters, classes: Iterable[str], levels: Mapping[str, int]) -> list[str]:
-    """One line a figure: counts by class and in all, from 0 on, and present levels.
+    """Return one line per metric: counters by request class, total counters (also zeros) and current levels.
 
-    `classes` are all that were ever in force: a dropped one keeps its counts.
+    `classes` includes classes that have been removed from the settings: they keep their counts.
     """
     labels = {name: f'{CLASS_LABEL}="{escape_label(name)}"' for name in classes}
     return [
--- a/gradefront/admin/server.py
+++ b/gradefront/admin/server.py
@@ -1,6 +1,6 @@
-"""The server of the admin interface: a connection carries one call, a line, and gets one answer.
+"""The server of the admin interface: each connection sends one command, in one line, and gets one answer.
 
-Connections without a complete call are bounded in number, time and bytes, and can't lock out the next caller.
+Connections without a complete command are limited in number, time and bytes, and cannot block other callers.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 log = logging.getLogger("gradefront.admin")
 
 MAX_COMMAND_BYTES = 256
-COMMAND_TIMEOUT_US = 3_000_000  # from connecting to a complete call
-EVICTION_THRESHOLD = 12  # with more than this, the oldest is ended
-MIN_EVICTION_AGE_US = 250_000  # ... unless all came within this time: its line may be on its way
-MAX_CALLERS = 24  # whatever their age
+COMMAND_TIMEOUT_US = 3_000_000  # from the connect to the complete command
+EVICTION_THRESHOLD = 12  # with more connections than this, the oldest is closed
+MIN_EVICTION_AGE_US = 250_000  # ... unless it is less than this older than the newest: its command may be in flight
+MAX_CALLERS = 24  # further connections are closed at once
 
 CommandHandler = Callable[[], list[str]]
 
@@ -29,7 +29,7 @@
 class AdminProtocol(Lines):
     """The connection of one caller."""
 
-    delimiter = b"\n"  # with or without a CR before it
+    delimiter = b"\n"  # a preceding CR is optional
     MAX_LENGTH = MAX_COMMAND_BYTES
 
     def __init__(self, server: AdminServer) -> None:
@@ -37,27 +37,27 @@
         self.answered = False
 
     def connectionMade(self) -> None:
-        """Wait for the call, for a limited time."""
+        """Wait for the command, with a timeout."""
         self.arrived_us = self.server.core.clock()
         self.timeout = self.server.core.after(COMMAND_TIMEOUT_US, lambda: self.answer(["fail no call came"]))
         self.server.on_connected(self)
 
     def lineReceived(self, line: bytes) -> None:
-        """Answer the call. Prevents a fault in an answer from ending more than this connection."""
+        """Answer the command. An exception in a handler ends this connection only."""
         if self.answered:
             return
         try:
             self.answer(self.server.run_command(line))
-        except Exception:  # a fault stops at this one connection
-            log.exception("a call of the admin interface failed")
+        except Exception:  # a fault must affect this connection only
+            log.exception("an admin command failed")
             self.answer(["fail an error in the relay"])
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: ARG002 - Twisted's signature
-        """An overlong call."""
+        """Reject an overlong command."""
         self.answer(["fail an overlong call"])
 
     def answer(self, lines: list[str]) -> None:
-        """Send the answer and end; later answers are ignored."""
+        """Send the answer and close; later answers are ignored."""
         if self.answered:
             return
         self.answered = True
@@ -67,7 +67,7 @@
         self.finish(self.server.closing)
 
     def connectionLost(self, reason: Any = None) -> None:
-        """The caller left, or has its answer."""
+        """Forget the caller."""
         super().connectionLost(reason)
         self.answered = True
         self.timeout.cancel()
@@ -77,7 +77,7 @@
 class AdminServer(ServerFactory):
     """Accepts callers and answers their commands.
 
-    `commands` gives for each call a function that returns the lines of the answer.
+    `commands` maps each command to the function that returns the lines of its answer.
     """
 
     noisy = False
@@ -86,17 +86,17 @@
         self.core = core
         self.commands = commands
         self.closing = ConnectionCloser(core, MAX_CALLERS)
-        self.callers: dict[AdminProtocol, None] = {}  # in the order in which they came
+        self.callers: dict[AdminProtocol, None] = {}  # in order of connecting
 
     def buildProtocol(self, addr: object) -> AdminProtocol | None:  # noqa: ARG002 - Twisted's signature
-        """The protocol of a new caller; None, which ends it at once, where there are too many."""
+        """Return the protocol for a new caller, or None, which closes the connection, if there are too many."""
         if len(self.callers) >= MAX_CALLERS:
             self.core.counters.add("door_full")
             return None
         return AdminProtocol(self)
 
     def on_connected(self, caller: AdminProtocol) -> None:
-        """End the oldest caller where there are many."""
+        """Register a caller. Above EVICTION_THRESHOLD, close the oldest one to make room."""
         self.callers[caller] = None
         oldest = next(iter(self.callers))
         if len(self.callers) > EVICTION_THRESHOLD and caller.arrived_us - oldest.arrived_us > MIN_EVICTION_AGE_US:
@@ -107,14 +107,14 @@
             oldest.answer(["fail others wait"])
 
     def end(self) -> None:
-        """The process ends: answer the commands that have come, and whoever has made none."""
+        """Answer all callers, including those that have sent no command, because the process stops."""
         for caller in list(self.callers):
             caller.catch_up()
             caller.answer(["fail the relay ends"])
         self.closing.close_all()
 
     def run_command(self, line: bytes) -> list[str]:
-        """The lines of the answer to one call."""
+        """Run one command and return the lines of its answer."""
         self.core.counters.add("door_calls")
         answer = self.commands.get(line.removesuffix(b"\r").decode("ascii", "replace"))
         if answer is None:
--- a/gradefront/cli/__init__.py
+++ b/gradefront/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one module a group of verbs, imported when a verb of it runs."""
+"""The command line. The modules of the subcommands are imported only when one of them runs."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from gradefront import __version__
 from gradefront.config import ConfigError
 
-#: Module and help text of each verb. The text stands here so that --help imports no verb.
+#: Module and help text of each subcommand. The texts are here so that --help imports no subcommand.
 COMMANDS = {
-    "check": ("check", "Check all files of settings, whole."),
-    "completion": ("completion", "Print the completion for a shell."),
-    "conform": ("labs", "Run the conformance suite of a protocol."),
-    "demo": ("labs", "A relay, push boxes and devices on loopback, told as it happens."),
-    "ids": ("ids", "Make and read connection ids of QUIC."),
-    "serve": ("serve", "Serve, as with no verb at all."),
+    "check": ("check", "Check all settings files."),
+    "completion": ("completion", "Print the completion script for a shell."),
+    "conform": ("labs", "Run the conformance test suite of a protocol."),
+    "demo": ("labs", "Run a relay with backends and clients on loopback, and narrate it."),
+    "ids": ("ids", "Encode and decode QUIC connection ids."),
+    "serve": ("serve", "Serve, as without a subcommand."),
 }
-EXIT_BAD_INPUT = 2  # arguments or settings make no sense
-EXIT_ABORTED = 130  # as a shell reports SIGINT
+EXIT_BAD_INPUT = 2  # invalid arguments or settings
+EXIT_ABORTED = 130  # the status that a shell reports for SIGINT
 
 
 class LazyCommandGroup(click.Group):
-    """A group whose verbs are imported when they run."""
+    """A command group that imports a subcommand when it runs."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:  # noqa: ARG002 - click's signature
-        """The names of all verbs."""
+        """Return the names of all subcommands."""
         return sorted(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:  # noqa: ARG002 - click's signature
-        """The verb of a name, imported; None where there is none."""
+        """Import and return the subcommand `cmd_name`, or None if there is none."""
         if cmd_name not in COMMANDS:
             return None
         module = importlib.import_module(f"{__name__}.{COMMANDS[cmd_name][0]}")
@@ -39,8 +39,8 @@
         return subcommand
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:  # noqa: ARG002 - click's signature
-        """The list of verbs in --help."""
-        with formatter.section("Verbs"):
+        """Write the list of subcommands for --help."""
+        with formatter.section("Commands"):
             formatter.write_dl([(name, help_text) for name, (_, help_text) in sorted(COMMANDS.items())])
 
 
@@ -51,8 +51,8 @@
 Examples:
   LB_CONFIG=relay.json gradefront            serve
   gradefront check --config relay.json       check relay.json and deploy/quic.json
-  gradefront ids new-key                     a fresh key for ids
-  gradefront demo                            see it work, on loopback
+  gradefront ids new-key                     generate a key for connection ids
+  gradefront demo                            run a demonstration on loopback
 """,
 )
 @click.version_option(__version__, prog_name="gradefront")
@@ -61,7 +61,7 @@
 
 
 def run(arguments: list[str] | None = None) -> int:
-    """Run a command line; the exit status. Bad input gives one line on standard error and status 2."""
+    """Run a command line and return its exit status. Invalid input gives one line on standard error and status 2."""
     try:
         result: Any = gradefront.main(arguments, prog_name="gradefront", standalone_mode=False)
         return result if isinstance(result, int) else 0
--- a/gradefront/cli/check.py
+++ b/gradefront/cli/check.py
@@ -1,4 +1,4 @@
-"""`check`: every file of settings, as a start would read it."""
+"""`check`: validate all settings files in the way the relay does at its start."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     type=click.Path(path_type=Path),
     envvar="LB_CONFIG",
     required=True,
-    help="What the platform tells the relay.",
+    help="The relay's configuration file from the platform.",
 )
 @click.option(
     "--quic",
@@ -36,7 +36,7 @@
     envvar="GRADEFRONT_QUIC",
     default=FILE,
     show_default="deploy/quic.json",
-    help="The second front's file.",
+    help="The settings file of the QUIC front.",
 )
 @click.option(
     "--fleet",
@@ -44,12 +44,12 @@
     envvar="GRADEFRONT_FLEET",
     default=FLEET_FILE,
     show_default="deploy/fleet.json",
-    help="The fleet's file.",
+    help="The settings file of the fleet.",
 )
 def check(config: Path, quic: Path, fleet: Path) -> int:
-    """Check all files of settings, whole. Every error names file, field and value; status 2 then.
+    """Check all settings files. Each error names file, field and value, and gives exit status 2.
 
-    The second front's file is checked even where the front is off; the fleet's is, once it names keys."""
+    The file of the QUIC front is checked even if the front is off; that of the fleet if it is on or names keys."""
     errors: list[str] = []
     relay_config = None
     try:
@@ -67,39 +67,42 @@
 
 
 def _check_config(path: Path) -> Config:
-    """Raises ConfigError, which does not name the file."""
+    """Load and return the relay's configuration. Raises ConfigError, whose message does not name the file."""
     environment = {"LB_LISTEN": "127.0.0.1:0", **os.environ, "LB_CONFIG": str(path)}
     relay_config = load(environment)
-    click.echo(f"{path.name}: good; classes {', '.join(relay_config.class_names)}")
+    click.echo(f"{path.name}: valid; classes {', '.join(relay_config.class_names)}")
     return relay_config
 
 
 def _check_quic(path: Path, relay_config: Config | None) -> None:
-    """Raises ConfigError. Without a sound configuration of the relay, only that the file is an object is checked."""
+    """Check the settings of the QUIC front. Raises ConfigError.
+
+    Without a valid relay configuration, only check that the file is a JSON object.
+    """
     document = read_object(path)
     if document is None:
-        click.echo(f"{path.name}: there is none; the second front stays off")
+        click.echo(f"{path.name}: no such file; the QUIC front is off")
     elif relay_config:
         from gradefront.quic.config import parse
 
         quic_config = parse(document, relay_config, path)
         click.echo(
-            f"{path.name}: good; {'on' if document.get('on') else 'off'}, {len(quic_config.backends)} push boxes, "
-            f"{len(quic_config.forms)} configurations of ids"
+            f"{path.name}: valid; {'on' if document.get('on') else 'off'}, {len(quic_config.backends)} backends, "
+            f"{len(quic_config.forms)} connection id configurations"
         )
 
 
 def _check_fleet(path: Path, relay_config: Config | None) -> None:
-    """The same for the fleet's file, whose fields are checked once it is on or names keys."""
+    """Check the settings of the fleet, whose fields are checked if it is on or names keys. Raises ConfigError."""
     document = read_object(path)
     if document is None:
-        click.echo(f"{path.name}: there is none; the fleet stays off")
+        click.echo(f"{path.name}: no such file; the fleet is off")
     elif relay_config and not (document.get("on") or document.get("keys")):
-        click.echo(f"{path.name}: off, without keys")
+        click.echo(f"{path.name}: off, no keys")
     elif relay_config:
         from gradefront.fleet.settings import parse
 
         peers = parse(document, relay_config.name, path).peers
         if document.get("on") and not allowed(relay_config):
             raise ConfigError(f"{path.name}: {FORBIDDEN}")
-        click.echo(f"{path.name}: good; {'on' if document.get('on') else 'off'}, {len(peers)} peers")
+        click.echo(f"{path.name}: valid; {'on' if document.get('on') else 'off'}, {len(peers)} peers")
--- a/gradefront/cli/completion.py
+++ b/gradefront/cli/completion.py
@@ -1,4 +1,4 @@
-"""`completion`: the script with which a shell completes verbs."""
+"""`completion`: print the script with which a shell completes subcommands."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 )
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 def completion(shell: str) -> None:
-    """Print the completion for a shell."""
+    """Print the completion script for a shell."""
     kind = get_completion_class(shell)
     assert kind
     click.echo(kind(gradefront, {}, "gradefront", "_GRADEFRONT_COMPLETE").source())
--- a/gradefront/cli/ids.py
+++ b/gradefront/cli/ids.py
@@ -1,4 +1,4 @@
-"""`ids`: connection ids of draft-ietf-quic-load-balancers, made and read by hand."""
+"""`ids`: encode and decode connection ids of draft-ietf-quic-load-balancers."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class HexParam(click.ParamType[bytes]):
-    """Octets as hex digits. An error never repeats the text: it may be a key."""
+    """Octets as hex digits. An error message never contains the text, which may be a key."""
 
     name = "hex"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> bytes:
-        """The octets. Raises click's BadParameter."""
+        """Decode the hex digits. Raises click's BadParameter."""
         if isinstance(value, bytes):
             return value
         try:
@@ -38,28 +38,28 @@
 """
 )
 def ids() -> None:
-    """Make and read connection ids of QUIC."""
+    """Encode and decode QUIC connection ids."""
 
 
 @ids.command()
-@click.option("--key", type=HEX, help="16 octets; without it the plaintext form is read.")
-@click.option("--server-id-length", type=int, required=True, help="Octets of the server id, 1 to 15.")
-@click.option("--nonce-length", type=int, required=True, help="Octets of the nonce, 4 to 18.")
-@click.option("--noise", is_flag=True, help="The first octet's low five bits tell no length.")
+@click.option("--key", type=HEX, help="Key of 16 octets in hex; without it the id is read as plaintext.")
+@click.option("--server-id-length", type=int, required=True, help="Length of the server id in octets, 1 to 15.")
+@click.option("--nonce-length", type=int, required=True, help="Length of the nonce in octets, 4 to 18.")
+@click.option("--noise", is_flag=True, help="The low five bits of the first octet are random, not the length.")
 @click.argument("connection_id", type=HEX, metavar="CIDHEX")
 def decode(key: bytes | None, server_id_length: int, nonce_length: int, noise: bool, connection_id: bytes) -> None:
-    """Print what an id holds, as one JSON object: config_id, server_id and nonce."""
+    """Print the fields of a connection id as one JSON object: config_id, server_id and nonce."""
     if not connection_id:
         raise ValueError("CIDHEX: empty")
     config_id = connection_id[0] >> 5
     if config_id == UNROUTABLE:
-        raise ValueError("CIDHEX: of configuration 7, which names no push box")
+        raise ValueError("CIDHEX: configuration 7 identifies no backend")
     form = IdForm(config_id, server_id_length, nonce_length, not noise, key)
     if len(connection_id) != form.length:
-        raise ValueError(f"CIDHEX: has {len(connection_id)} octets, not {form.length}")
+        raise ValueError(f"CIDHEX: has {len(connection_id)} octets, expected {form.length}")
     decoded = form.decode(connection_id)
     if decoded is None:
-        raise ValueError(f"CIDHEX: tells a length of {connection_id[0] & 0x1F}, not {form.length - 1}")
+        raise ValueError(f"CIDHEX: encodes a length of {connection_id[0] & 0x1F}, expected {form.length - 1}")
     click.echo(
         json.dumps(
             {"config_id": decoded.config_id, "server_id": decoded.server_id.hex(), "nonce": decoded.nonce.hex()}
@@ -68,13 +68,13 @@
 
 
 @ids.command()
-@click.option("--key", type=HEX, help="16 octets; without it the plaintext form is made.")
-@click.option("--config-id", type=int, default=0, show_default=True, help="Configuration, 0 to 6.")
-@click.option("--server-id", type=HEX, required=True, help="The push box's server id.")
-@click.option("--nonce", type=HEX, help="The nonce; a fresh one of --nonce-length where none is given.")
-@click.option("--nonce-length", type=int, help="Octets of a fresh nonce.")
-@click.option("--server-id-length", type=int, help="Checked against --server-id, if given.")
-@click.option("--noise", is_flag=True, help="Fill the first octet's low five bits with noise.")
+@click.option("--key", type=HEX, help="Key of 16 octets in hex; without it the id is plaintext.")
+@click.option("--config-id", type=int, default=0, show_default=True, help="Number of the id configuration, 0 to 6.")
+@click.option("--server-id", type=HEX, required=True, help="Server id of the backend, in hex.")
+@click.option("--nonce", type=HEX, help="Nonce in hex; without it a random one of --nonce-length octets.")
+@click.option("--nonce-length", type=int, help="Length of a random nonce in octets.")
+@click.option("--server-id-length", type=int, help="Expected length of --server-id in octets.")
+@click.option("--noise", is_flag=True, help="Fill the low five bits of the first octet with random bits.")
 def encode(  # noqa: PLR0913 - click passes an argument for each option
     key: bytes | None,
     config_id: int,
@@ -84,15 +84,15 @@
     server_id_length: int | None,
     noise: bool,
 ) -> None:
-    """Print an id, as one JSON object: cid, config_id, server_id and nonce."""
+    """Print a connection id as one JSON object: cid, config_id, server_id and nonce."""
     if nonce is None:
         if nonce_length is None:
-            raise ValueError("--nonce: give one, or --nonce-length for a fresh one")
+            raise ValueError("--nonce: missing; give it, or --nonce-length for a random one")
         nonce = os.urandom(max(0, nonce_length))
     if nonce_length not in (None, len(nonce)):
-        raise ValueError(f"--nonce: has {len(nonce)} octets, not {nonce_length}")
+        raise ValueError(f"--nonce: has {len(nonce)} octets, expected {nonce_length}")
     if server_id_length not in (None, len(server_id)):
-        raise ValueError(f"--server-id: has {len(server_id)} octets, not {server_id_length}")
+        raise ValueError(f"--server-id: has {len(server_id)} octets, expected {server_id_length}")
     form = IdForm(config_id, len(server_id), len(nonce), not noise, key)
     click.echo(
         json.dumps(
@@ -108,5 +108,5 @@
 
 @ids.command("new-key")
 def new_key() -> None:
-    """Print a fresh key of 16 octets in hex. Keep it in a file that only its owner may read."""
+    """Print a random key of 16 octets in hex. Keep it in a file that only its owner may read."""
     click.echo(os.urandom(KEY_LENGTH).hex())
--- a/gradefront/cli/labs.py
+++ b/gradefront/cli/labs.py
@@ -1,4 +1,4 @@
-"""`demo` and `conform`: they run the lab in a process of its own, since gradefront never imports it."""
+"""`demo` and `conform`: run modules of lab/ in a separate process, since gradefront never imports lab."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 def _run_lab(module: str, arguments: list[str]) -> int:
-    """Run a module of the lab; its exit status. Raises ConfigError where a requirement is not installed."""
+    """Run a module of lab/ and return its exit status. Raises ConfigError if a requirement is not installed."""
     for requirement in ("lab", "aioquic"):
         if importlib.util.find_spec(requirement) is None:
             raise ConfigError(
-                f"{module}: needs '{requirement}'; install requirements-lab.txt, and run from the checkout"
+                f"{module}: requires '{requirement}'; install requirements-lab.txt and run from the checkout"
             )
     return subprocess.run([sys.executable, "-m", f"lab.{module}", *arguments], check=False).returncode
 
 
 @click.command()
 def demo() -> int:
-    """A relay, three backends and some devices on loopback, told as it happens; one backend drains, one is killed.
+    """Run a relay, three backends and some clients on loopback, and narrate it; one backend drains, one is killed.
 
-    It ends with the relay's counters, and status 0 if every device was served."""
+    Finally print the relay's counters. The exit status is 0 if every client was served."""
     return _run_lab("demo", [])
 
 
@@ -38,11 +38,11 @@
 """,
 )
 @click.argument("protocol", type=click.Choice(["quic"]))
-@click.option("--against", multiple=True, metavar="HOST:PORT", help="A front that runs already.")
-@click.option("--only", multiple=True, help="Cases whose name or section holds this text.")
-@click.option("--out", multiple=True, help="Where to write the table: .json or .md; more than once if wanted.")
+@click.option("--against", multiple=True, metavar="HOST:PORT", help="Test a running QUIC front at this address.")
+@click.option("--only", multiple=True, help="Run only cases whose name or section contains this text.")
+@click.option("--out", multiple=True, help="File for the result table, .json or .md; may be given several times.")
 def conform(protocol: str, against: tuple[str, ...], only: tuple[str, ...], out: tuple[str, ...]) -> int:
-    """Run the conformance suite of a protocol; status 1 where a case fails."""
+    """Run the conformance test suite of a protocol. The exit status is 1 if a case fails."""
     arguments = [
         f"--{name}={value}"
         for name, values in (("against", against), ("only", only), ("out", out))
--- a/gradefront/cli/serve.py
+++ b/gradefront/cli/serve.py
@@ -1,4 +1,4 @@
-"""`serve`: the same as no verb at all."""
+"""`serve`: serve, as without a subcommand."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 """
 )
 def serve() -> int:
-    """Serve until told to stop. LB_CONFIG names the relay's file; status 2 where it makes no sense."""
+    """Serve until a stop signal. LB_CONFIG names the configuration file; the exit status is 2 if it is invalid."""
     install_startup_handlers()
     from gradefront.service import serve as run
 
--- a/gradefront/config.py
+++ b/gradefront/config.py
@@ -1,7 +1,7 @@
-"""A relay's configuration: environment variables and the JSON file that one of them names.
+"""Configuration of a relay: environment variables, and the JSON file that LB_CONFIG names.
 
-The keys of the file and the variables are the platform's: they are mapped to the code's names here and in
-`balancer.simulator_wire`.
+The platform defines the names of the variables and of the keys in the file. This module and
+`balancer.simulator_wire` map them to the names used in the code.
 """
 
 from __future__ import annotations
@@ -19,21 +19,22 @@
 
 Address = tuple[str, int]
 
-CLASS_NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")  # in the settings, and in the first lines that name it
-PROCESSES_SHARING_LISTENER = 2  # one that leaves and one that takes over
-OPTIONAL_KEYS = ("aimStretch",)  # the platform leaves them out where they have no effect
+CLASS_NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")  # used in the settings and in the first line of a request
+PROCESSES_SHARING_LISTENER = 2  # during an upgrade: the stopping process and its successor
+OPTIONAL_KEYS = ("aimStretch",)  # the platform omits them from the file if they have no effect
 DEFAULT_SOCKETS = 1024
 MAX_PORT = 65_535
 
 
 class ConfigError(Exception):
-    """An invalid configuration; its text names the file or the setting at fault."""
+    """An invalid configuration. The message names the file or the setting at fault."""
 
 
 class SettingError(ConfigError):
-    """One setting that is missing or invalid.
+    """One missing or invalid setting.
 
-    `field` is the variable, or the key's path in the file; `problem` says what is wrong with it.
+    `field` is the name of the environment variable, or the path of the key in the file; `problem` describes the
+    fault.
     """
 
     def __init__(self, field: str, problem: str) -> None:
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True)
 class Config:
-    """One relay's configuration."""
+    """The configuration of one relay."""
 
     name: str
     listen: Address
@@ -58,12 +59,12 @@
     tenants: tuple[str, ...]
     report_names: tuple[str, ...]
     reports_message_latency: bool
-    initial_endpoints: dict[str, Any] = field(default_factory=dict)  # the endpoint list to begin with
-    file_discovery: Address | None = None  # what the file itself says, whatever the variable says
-    class_numbers: dict[str, int] = field(default_factory=dict)  # of the classes in force, by name
-    document: dict[str, Any] = field(default_factory=dict, repr=False)  # the file's object, but for the endpoint list
-    socket_fd: int | None = None  # a listener that the platform holds and every process of this relay inherits
-    admin: Address | None = None  # the admin interface; none where neither file nor variable gives one
+    initial_endpoints: dict[str, Any] = field(default_factory=dict)  # the key `known`, until discovery answers
+    file_discovery: Address | None = None  # the address in the file, even if LB_DISCOVERY overrides it
+    class_numbers: dict[str, int] = field(default_factory=dict)  # number of each class in force, by name
+    document: dict[str, Any] = field(default_factory=dict, repr=False)  # the file's JSON object without `known`
+    socket_fd: int | None = None  # a listener held by the platform; each process of this relay inherits it
+    admin: Address | None = None  # address of the admin interface; None: not configured
 
     def __post_init__(self) -> None:
         if not self.class_numbers:
@@ -71,7 +72,7 @@
 
 
 def parse_address(text: object, setting: str) -> Address:
-    """Read `HOST:PORT`, with an IPv6 host in brackets. Raises SettingError for the field `what`."""
+    """Parse `HOST:PORT`; an IPv6 host is in brackets. Raises SettingError with `setting` as its field."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
         raise SettingError(setting, f"'{text}' is not HOST:PORT")
@@ -79,7 +80,7 @@
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """Read the file that LB_CONFIG names; the other variables override it. Raises ConfigError."""
+    """Read the file that LB_CONFIG names; the other environment variables override its values. Raises ConfigError."""
     if "LB_CONFIG" not in environment:
         raise SettingError("LB_CONFIG", "not set; it names the relay's JSON file")
     path = Path(environment["LB_CONFIG"])
@@ -95,15 +96,15 @@
 
 
 def parse(document: dict[str, Any], environment: Mapping[str, str]) -> Config:
-    """The configuration that the file's object and the variables give.
+    """Build the configuration from the JSON object of the file and the environment variables.
 
-    Raises ConfigError, whatever is wrong: a file that is replaced under load may hold anything, and must not end a
-    relay that serves.
+    Raises ConfigError for every kind of invalid input: the file may be replaced with any content while the relay
+    serves, and must not end the process.
     """
     try:
         return _parse(document, environment)
     except (TypeError, ValueError, AttributeError, KeyError, OverflowError) as error:
-        raise ConfigError(f"not of the right form: {error}") from None
+        raise ConfigError(f"invalid structure: {error}") from None
 
 
 def _parse(document: dict[str, Any], environment: Mapping[str, str]) -> Config:
@@ -123,7 +124,7 @@
         settings = replace(settings, processes=PROCESSES_SHARING_LISTENER)
     sockets = int(limits.get("sockets", DEFAULT_SOCKETS))
     if sockets < 1:
-        raise SettingError("limits.sockets", f"'{sockets}' is not above 0")
+        raise SettingError("limits.sockets", f"'{sockets}' must be at least 1")
     return Config(
         name=environment.get("LB_NAME") or str(document.get("name", "relay")),
         listen=parse_address(environment.get("LB_LISTEN") or document.get("listen"), "LB_LISTEN"),
@@ -146,7 +147,7 @@
 
 
 def _names(info: dict[str, Any], key: str) -> tuple[str, ...]:
-    """The names under a key whose entries are names, or objects that have one."""
+    """Return the names in the list under `key`, whose entries are names or objects with a `name`."""
     return tuple(str(entry.get("name") if isinstance(entry, dict) else entry) for entry in info.get(key) or ())
 
 
@@ -154,7 +155,7 @@
     if not text:
         return None
     if not (text.isascii() and text.isdigit()):
-        raise SettingError("LB_SOCKET_FD", f"'{text}' is not the number of a descriptor")
+        raise SettingError("LB_SOCKET_FD", f"'{text}' is not a descriptor number")
     return int(text)
 
 
@@ -164,19 +165,19 @@
     try:
         return int(str(value), 16)
     except ValueError:
-        raise SettingError("seed", f"'{value}' is neither a number nor hex digits") from None
+        raise SettingError("seed", f"'{value}' is neither an integer nor hex digits") from None
 
 
 def _check_settings(info: dict[str, Any]) -> None:
-    """Reject what no relay may take: class names that lines can't carry, times and limits that are not above 0."""
+    """Raise SettingError for class names that a request line cannot carry and for times and limits below 1."""
     seen = set[str]()
     for index, request_class in enumerate(info.get("grades") or ()):
         path = f"settings.grades[{index}]"
         name = request_class.get("name")
         if not isinstance(name, str) or not CLASS_NAME.fullmatch(name):
-            raise SettingError(f"{path}.name", f"{name!r} is no name of a class")
+            raise SettingError(f"{path}.name", f"{name!r} is not a valid class name")
         if name in seen:
-            raise SettingError(f"{path}.name", f"'{name}' stands twice")
+            raise SettingError(f"{path}.name", f"'{name}' is used by two classes")
         seen.add(name)
         for key in ("aimUs", "deadlineUs"):
             _require_positive(request_class.get(key), f"{path}.{key}")
@@ -189,13 +190,13 @@
 def _require_positive(value: object, path: str, whole: bool = False) -> None:
     is_number = isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value)
     if not is_number or value < 1 or (whole and value != int(value)):  # type: ignore[operator, call-overload]
-        raise SettingError(path, f"{value!r} is not a number above 0")
+        raise SettingError(path, f"{value!r} is not a number of at least 1")
 
 
 def missing_key(document: Any, before: Any, parent: str = "") -> str:
-    """The path of a key that the object `before` had and `document` lacks, or "".
+    """Return the path of the first key that `before` has and `document` lacks, or "".
 
-    Prevents a truncated or half-written file from being applied: what it leaves out would silently be a default.
+    Prevents a truncated or half-written file from being applied: each missing key would silently get its default.
     """
     for key, value in before.items():
         if key in OPTIONAL_KEYS:
@@ -209,7 +210,10 @@
 
 
 def _missing_below(key: str, value: Any, before: Any, path: str) -> str:
-    """The same within the value of one key; the classes of a list need the keys that all classes had before."""
+    """Search the value of one key like `missing_key`.
+
+    Each request class needs the keys that all classes had before.
+    """
     if isinstance(before, dict):
         return missing_key(value, before, path) if isinstance(value, dict) else path
     if key == "grades" and isinstance(value, list):
--- a/gradefront/early_signals.py
+++ b/gradefront/early_signals.py
@@ -1,19 +1,19 @@
-"""Signals that come while the program is imported: it takes some tenths of a second until `serve` handles them."""
+"""Handlers for signals received during the imports, which take some tenths of a second before `serve` runs."""
 
 from __future__ import annotations
 
 import os
 import signal
 
-#: The file is read after the imports in any case, and there is nothing to count yet.
+#: Reload and counter log: the configuration is read after the imports anyway, and there are no counts yet.
 IGNORED_SIGNALS = (signal.SIGHUP, signal.SIGUSR1)
-#: Nothing is held yet, so nothing has to be ended in order.
+#: The process has no connections yet, so it can exit without a graceful shutdown.
 EXIT_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 EXIT_OK = 0
 
 
 def install_startup_handlers() -> None:
-    """Handle signals until the service sets its own handlers."""
+    """Install handlers that apply until the service installs its own."""
     for number in IGNORED_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
     for number in EXIT_SIGNALS:
--- a/gradefront/listening.py
+++ b/gradefront/listening.py
@@ -1,4 +1,4 @@
-"""The listener for clients: the relay's own, or one that the platform holds and successive processes share."""
+"""The listening socket for clients: opened by the relay, or inherited from the platform and shared by processes."""
 
 from __future__ import annotations
 
@@ -15,30 +15,32 @@
 
 log = logging.getLogger("gradefront")
 
-BACKLOG = 512  # connections that wait to be accepted
+BACKLOG = 512  # connections in the listen queue
 
 
 def inherited_listener(fd: int) -> socket.socket:
-    """The listener that the platform holds under descriptor `fd`, under a descriptor of this process.
+    """Return a duplicate of the listening socket that the platform passes as descriptor `fd`.
 
-    Raises SettingError where `fd` is no listening IPv4 TCP socket.
+    Raises SettingError if `fd` is not a listening IPv4 TCP socket.
     """
     try:
         listener = socket.socket(fileno=os.dup(fd))
         if listener.family != socket.AF_INET or not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
             listener.close()
-            raise OSError("not a TCP socket that listens")
+            raise OSError("not a listening IPv4 TCP socket")
     except OSError as error:
         raise SettingError("LB_SOCKET_FD", f"{fd}: {error.strerror or error}") from None
-    # All holders of a listener share this flag. Prevents blocking on a client that another process has accepted.
+    # All processes that share the listener share this flag. Prevents accept() from blocking if another process has
+    # accepted the client.
     listener.setblocking(False)
     return listener
 
 
 class ClientListener:
-    """Where clients connect, and, beside other processes of this relay, where their connections are handed over.
+    """Accepts clients, and receives established connections from earlier processes of this relay.
 
-    `port` is None until clients are accepted, `handover_receiver` unless the listener is inherited and TMPDIR is set.
+    `port` is None until clients are accepted. `handover_receiver` is None unless the listener is inherited and TMPDIR
+    is set.
     """
 
     def __init__(
@@ -58,7 +60,7 @@
         self.port = self.reactor.listenTCP(port, self.front, BACKLOG, host)
 
     def listen_on_inherited(self) -> None:
-        """Accept clients on the inherited listener, beside the process that already does."""
+        """Accept clients on the inherited listener, concurrently with the process that does so already."""
         assert self.inherited
         self.port = self.reactor.adoptStreamPort(self.inherited.fileno(), socket.AF_INET, self.front)
         if "TMPDIR" in os.environ:
@@ -66,28 +68,28 @@
                 self.front.core, self.front, self.reactor, Path(os.environ["TMPDIR"])
             )
             self.handover_receiver.open()
-        log.info("relay %s takes clients from descriptor %d", self.relay_name, self.inherited.fileno())
+        log.info("relay %s accepts clients on inherited descriptor %d", self.relay_name, self.inherited.fileno())
 
     def is_replaced(self) -> bool:
-        """Whether another process may accept the clients that this one leaves in the listener's queue."""
+        """Whether a newer process may accept the clients that this one leaves in the listen queue."""
         return self.inherited is not None and not (self.handover_receiver and self.handover_receiver.is_newest())
 
     def stop(self) -> None:
-        """Accept no more clients."""
+        """Stop accepting clients."""
         if self.port:
             self.port.stopListening()
 
     def drop_new_handshakes(self) -> None:
-        """Let no further client begin to connect; those whose handshake is under way are accepted."""
+        """Drop new TCP handshakes; clients whose handshake is in progress can still connect."""
         if self.port:
             self.port.drop_new_handshakes()
 
     def accept_last_and_close(self) -> None:
-        """Accept those that wait, then no more. The queue of an inherited listener stays with the platform."""
+        """Accept the queued clients, then close. The queue of an inherited listener remains, held by the platform."""
         if self.port:
             self.port.accept_last_and_close()
 
     def close_handover(self) -> None:
-        """Take over no more connections."""
+        """Stop receiving connections from other processes."""
         if self.handover_receiver:
             self.handover_receiver.close()
--- a/gradefront/reload.py
+++ b/gradefront/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: a replaced configuration file is applied completely or not at all."""
+"""Configuration reload on SIGHUP: a changed file is applied completely or not at all."""
 
 from __future__ import annotations
 
@@ -23,28 +23,31 @@
 
 log = logging.getLogger("gradefront")
 
-FIXED_AT_START = ("name", "listen", "admin")  # a change waits for the next start
+FIXED_AT_START = ("name", "listen", "admin")  # changes take effect at the next start
 
 
 @dataclass(frozen=True)
 class _Prepared:
-    """A configuration that was read and checked, and is not in force yet."""
+    """A configuration that has been read and validated but not yet applied."""
 
     config: Config
     request_classes: RequestClassTable
     settings: Settings
     quic: QuicConfig | None
-    deferred: list[str]  # changed fields that wait for the next start
+    deferred: list[str]  # changed fields that take effect at the next start
 
 
 def _discovery_address(loaded: Config, current: Config) -> Address:
-    """The address to watch. LB_DISCOVERY gives that of the start: once the file names another, the file decides."""
+    """Return the discovery address to watch.
+
+    At the start LB_DISCOVERY overrides the file; once the address in the file changes, the file takes precedence.
+    """
     file_address = loaded.file_discovery
     return file_address if file_address and file_address != current.file_discovery else current.discovery
 
 
 class ConfigReloader:
-    """Owns the configuration in force, and replaces it in all parts at once."""
+    """Holds the current configuration and replaces it in all parts of the relay at once."""
 
     def __init__(
         self,
@@ -62,19 +65,19 @@
         self.quic = quic
 
     def reload(self) -> None:
-        """Read the file anew. Where it is invalid, that is logged and the old configuration stays."""
+        """Read the configuration file again. If it is invalid, log the error and keep the current configuration."""
         try:
             prepared = self._prepare()
         except (ConfigError, TooManyClassesError) as error:
-            log.error("configuration not taken, the old one stays: %s", error)
+            log.error("configuration not applied, the current one stays in force: %s", error)
             self.core.counters.add("conf_invalid_total")
             return
         if prepared.deferred:
-            log.warning("taken at the next start only: %s", ", ".join(prepared.deferred))
+            log.warning("changed settings that take effect at the next start only: %s", ", ".join(prepared.deferred))
         self._apply(prepared)
 
     def _prepare(self) -> _Prepared:
-        """Read and check the files; changes nothing. Raises ConfigError and TooManyClassesError."""
+        """Read and validate the files without applying them. Raises ConfigError and TooManyClassesError."""
         current = self.config
         loaded = load(os.environ)
         if missing := missing_key(loaded.document, current.document):
@@ -100,7 +103,7 @@
             self.core.apply_settings(prepared.request_classes, settings, config.reports_message_latency)
             log.info("settings: classes %s, %d attempts", ", ".join(config.class_names), settings.max_attempts)
         self.core.counters.add("conf_loaded_total")
-        log.info("configuration taken; discovery at %s:%d", *config.discovery)
+        log.info("configuration applied; discovery at %s:%d", *config.discovery)
         if discovery_moved:
             self.endpoint_watch.go_to(config.discovery)
         if self.quic and prepared.quic:
--- a/gradefront/service.py
+++ b/gradefront/service.py
@@ -1,4 +1,4 @@
-"""The relay as a process: its parts, its signals, and `serve`."""
+"""The relay process: assembly of its parts, signal handling, and `serve`."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
 
 
 class Relay:
-    """One relay: the core, the fronts that clients come to, and what starts, reconfigures and ends them.
+    """One relay: the core, the listeners for clients, and the parts that start, reconfigure and stop them.
 
-    `clock` gives Unix time in microseconds; without it the system's is used. Raises ConfigError where a setting is
+    `clock` returns Unix time in microseconds and defaults to the system clock. Raises ConfigError if a setting is
     invalid, and CannotListenError.
     """
 
@@ -60,7 +60,8 @@
             config, core, reactor, system_clock.stepped
         )
         inherited = inherited_listener(config.socket_fd) if config.socket_fd is not None else None
-        # The configured list may send clients to backends that drain, as another process or the agent knows already.
+        # The configured endpoint list may contain draining backends that another process of this relay, or the agent
+        # that pushes the list, already knows about.
         awaits_fresh_list = inherited is not None or self.endpoint_watch.pushed
         if awaits_fresh_list:
             core.lifecycle.await_endpoint_list()
@@ -74,7 +75,9 @@
         self.admin_server = startup.start_admin_server(config, core, reactor)
         if not inherited:
             self.client_listener.listen()
-        if awaits_fresh_list:  # others spread their first poll, since a whole fleet may start and ask one service
+        if (
+            awaits_fresh_list
+        ):  # otherwise first polls are spread: a whole fleet may start and poll one service at once
             self.endpoint_watch.watch()
         self._reloader = ConfigReloader(config, self.front, self.endpoint_list, self.endpoint_watch, self.quic)
         self._shutdown = Shutdown(
@@ -83,7 +86,7 @@
 
     @property
     def port(self) -> Any:
-        """The port that accepts clients; None before an inherited listener is read."""
+        """The port that accepts clients; None until an inherited listener is in use."""
         return self.client_listener.port
 
     def log_counters(self) -> None:
@@ -96,21 +99,21 @@
         log.info("counters %s", self.core.counters.line(**levels))
 
     def reload(self) -> None:
-        """Read the configuration file anew; established connections go on."""
+        """Reload the configuration file; established connections are kept."""
         self._reloader.reload()
 
     def leave(self, waited_us: int = 0) -> None:
-        """Begin a planned restart, by a signal that came `waited_us` ago."""
+        """Begin a planned stop requested by a signal received `waited_us` ago."""
         self._shutdown.begin(waited_us)
 
     def log_end(self) -> None:
-        """Log the counters and the steps of the stop: the reactor has ended."""
+        """Log the steps of the stop and the counters, after the reactor has stopped."""
         self._shutdown.timeline.record("reactor ended")
         self._shutdown.timeline.log()
         self.log_counters()
 
 
-#: What a signal does, given the microseconds that it has waited for the reactor.
+#: The handler of each signal; its second argument is the microseconds that the signal waited for the reactor.
 HANDLED_SIGNALS: dict[signal.Signals, Callable[[Relay, int], None]] = {
     signal.SIGTERM: Relay.leave,
     signal.SIGINT: Relay.leave,
@@ -120,7 +123,7 @@
 
 
 def _handle_signal(number: signal.Signals, handler: Callable[[int], None], reactor: Reactor) -> None:
-    """Have the reactor do it, once it runs, with the microseconds that the signal has waited."""
+    """Have the reactor call `handler`, once it runs, with the microseconds that the signal has waited for it."""
 
     def on_signal(*_: object) -> None:
         received_ns = time.monotonic_ns()
@@ -130,13 +133,16 @@
 
 
 def _ignore_signals() -> None:
-    """Guards a planned stop's status: the interpreter drops its handlers as it ends, and a signal would kill it."""
+    """Ignore all handled signals.
+
+    The interpreter drops its handlers as it exits: a signal would then kill the process and change its exit status.
+    """
     for number in HANDLED_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
 
 
 def _end_process(status: int) -> NoReturn:
-    """End without the interpreter's teardown, which would take a good part of the time that is left until SIGKILL."""
+    """Exit without the interpreter's teardown, which would take a good part of the time left until SIGKILL."""
     logging.shutdown()
     sys.stdout.flush()
     sys.stderr.flush()
@@ -146,8 +152,8 @@
 def _log_settings(config: Config) -> None:
     settings = config.settings
     log.info("settings: %s; message latency reported: %s", settings, config.reports_message_latency)
-    log.info(  # a line of its own: collectors cut long ones
-        "slow start: %d relays, capacity from %.2f, warm after %.1f s, overloaded by %.1f times it in %.2f s",
+    log.info(  # a separate line: log collectors truncate long ones
+        "slow start: %d relays, initial capacity %.2f, warm-up %.1f s, overload at %.1f times capacity within %.2f s",
         settings.fleet_size,
         settings.initial_capacity,
         settings.warm_up_us / US_PER_S,
@@ -179,13 +185,14 @@
 
 
 def serve() -> int:
-    """Serve until a signal ends the process, with status 0. Returns 2 where the configuration is invalid."""
+    """Serve until a signal ends the process with status 0. Return 2 if the configuration is invalid."""
     reactor = cast(Reactor, cast(Any, RelayReactor)())
     cast(Any, installReactor)(reactor)
     relay: Relay
-    # Before the file is read: a signal that arrives meanwhile waits for the reactor instead of ending the process.
-    for number, handler in HANDLED_SIGNALS.items():
-        _handle_signal(number, lambda waited_us, handler=handler: handler(relay, waited_us), reactor)  # type: ignore[misc]
+    # Installed before the configuration is read: a signal received meanwhile waits for the reactor instead of ending
+    # the process.
+    for number, func in HANDLED_SIGNALS.items():
+        _handle_signal(number, lambda waited_us, func=func: func(relay, waited_us), reactor)  # type: ignore[misc]
     logging.basicConfig(
         stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s %(message)s"
     )
@@ -195,7 +202,7 @@
         print(f"gradefront: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIG
     gc.collect()
-    gc.freeze()  # start-up objects stay; collecting them again and again would cost scarce CPU
+    gc.freeze()  # the start-up objects are permanent, and scanning them in each collection costs scarce CPU
     reactor.run(installSignalHandlers=False)
     _ignore_signals()
     relay.log_end()
--- a/gradefront/settings/__init__.py
+++ b/gradefront/settings/__init__.py
@@ -1,1 +1,4 @@
-"""The operators' own files, read and checked. `typed` imports msgspec: import it only where it is needed."""
+"""Reading and validation of the operators' settings files.
+
+`typed` imports msgspec: import it only where it is needed.
+"""
--- a/gradefront/settings/files.py
+++ b/gradefront/settings/files.py
@@ -1,4 +1,4 @@
-"""The operators' JSON files, and the secret keys in files that they name."""
+"""Reads the operators' JSON files, and secret keys from the key files that they name."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 from gradefront.config import ConfigError
 
-FORBIDDEN_KEY_FILE_MODE = 0o077  # nobody but the owner may read or write a file of keys
+FORBIDDEN_KEY_FILE_MODE = 0o077  # permission bits of group and others: only the owner may access a key file
 MAX_KEY_FILE_CHARACTERS = 4_096
 
 
 def read_object(path: Path) -> dict[str, Any] | None:
-    """The file's object; None where there is no file. Raises ConfigError."""
+    """Return the JSON object in the file, or None if the file does not exist. Raises ConfigError."""
     try:
         document = json.loads(path.read_bytes())
     except FileNotFoundError:
@@ -23,14 +23,14 @@
     except (OSError, ValueError) as error:
         raise ConfigError(f"{path.name}: {error}") from None
     if not isinstance(document, dict):
-        raise ConfigError(f"{path.name}: not an object")
+        raise ConfigError(f"{path.name}: not a JSON object")
     return document
 
 
 def parse_hex(text: str, setting: str, length: int = 0) -> bytes:
-    """Octets from hex; with `length`, just so many.
+    """Decode hex digits; a non-zero `length` is the required number of octets.
 
-    Raises ValueError, which names `setting` and never repeats the text: it might be a key.
+    Raises ValueError, whose message names `setting` but never contains the text, which may be a key.
     """
     try:
         value = bytes.fromhex(text)
@@ -42,12 +42,12 @@
 
 
 def read_key(text: str, file: str, length: int, setting: str, folder: Path) -> bytes:
-    """A key of `length` octets: `text`, or what `file` in `folder` holds, which only its owner may read.
+    """Return the key of `length` octets given in hex as `text`, or stored in `file` in `folder`.
 
-    Raises ValueError, which names `setting`.
+    Only the owner of the file may have access to it. Raises ValueError, whose message names `setting`.
     """
     if bool(text) is bool(file):
-        raise ValueError(f"{setting}: needs one of key and key_file")
+        raise ValueError(f"{setting}: exactly one of key and key_file is required")
     if text:
         return parse_hex(text, f"{setting}.key", length)
     path = folder / file
@@ -55,7 +55,7 @@
         with path.open() as key_file:
             mode = os.fstat(key_file.fileno()).st_mode
             if not stat.S_ISREG(mode) or mode & FORBIDDEN_KEY_FILE_MODE:
-                raise ValueError(f"{setting}.key_file: '{file}': others may read it; its mode must be 600")
+                raise ValueError(f"{setting}.key_file: '{file}': not a private regular file; its mode must be 600")
             return parse_hex(key_file.read(MAX_KEY_FILE_CHARACTERS).strip(), f"{setting}.key_file: '{file}'", length)
     except OSError as error:
         raise ValueError(f"{setting}.key_file: '{file}': {error.strerror}") from None
--- a/gradefront/settings/typed.py
+++ b/gradefront/settings/typed.py
@@ -1,4 +1,4 @@
-"""An operator's JSON object as its type, with errors that name field and value."""
+"""Conversion of operators' JSON objects to typed values, with errors that name field and value."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 T = TypeVar("T")
 
 SECRET_FIELDS = ("key", "reset_key", "iv")
-MAX_SHOWN_CHARACTERS = 59  # of a value in an error
+MAX_SHOWN_CHARACTERS = 59  # longest value that an error message repeats
 
 
 def convert(document: Any, target_type: type[T], prefix: str = "") -> T:
-    """An object as a value of `target_type`; `prefix` is the path at which it stands in its file.
+    """Convert a JSON object to `target_type`. `prefix` is the path of the object in its file.
 
-    Raises ValueError, which begins with the field's path.
+    Raises ValueError, whose message begins with the path of the invalid field.
     """
     try:
         return msgspec.convert(document, target_type)
@@ -25,7 +25,7 @@
         value = _printable_value(document, path)
         for pattern, problem in (
             ("missing required field", "missing"),
-            ("contains unknown field", "there is no such field"),
+            ("contains unknown field", "unknown field"),
         ):
             if pattern in text:
                 path, text, value = ".".join(filter(None, (path, text.split("`")[1]))), problem, None
@@ -34,7 +34,10 @@
 
 
 def _printable_value(document: Any, path: str) -> object:
-    """The value at a path of msgspec's; None unless it is plain, short and no secret."""
+    """Return the value at a msgspec path if an error message may repeat it, or None.
+
+    It must be a number or text, short, and not a secret.
+    """
     value = document
     for part in path.replace("[", ".").replace("]", "").split("."):
         if isinstance(value, dict):
--- a/gradefront/shutdown.py
+++ b/gradefront/shutdown.py
@@ -1,4 +1,4 @@
-"""The planned end of a relay, from SIGTERM to the stop of the reactor."""
+"""Graceful shutdown of a relay, from SIGTERM to the stop of the reactor."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 log = logging.getLogger("gradefront")
 
-EMPTY_CHECK_US = 100_000  # between checks whether a replaced process still has connections
-CLOSED_CHECK_US = 8_000  # between checks whether peers have closed or read their answers
-# After the last answers:
-DROP_HANDSHAKES_US = 50_000  # no further client begins to connect
-REJECT_PRE_REQUEST_US = 100_000  # clients without a request are rejected, and the listener is closed
-MIN_HANDSHAKE_US = 50_000  # at least, between these two: a round trip for handshakes under way
-STOP_US = 250_000  # the process ends, whoever has not closed by then; 0.2 s before SIGKILL
-FORCED_STOP_US = 350_000  # ... even where a client has not read its answer yet; 0.1 s before SIGKILL
+EMPTY_CHECK_US = 100_000  # interval at which a replaced process checks whether it still has connections
+CLOSED_CHECK_US = 8_000  # interval of the checks whether peers have closed or have read their answers
+# Time after the last answers of each step of the shutdown:
+DROP_HANDSHAKES_US = 50_000  # new TCP handshakes are dropped
+REJECT_PRE_REQUEST_US = 100_000  # pre-request connections are rejected, and the listener is closed
+MIN_HANDSHAKE_US = 50_000  # least time between these two: a round trip for handshakes in progress
+STOP_US = 250_000  # the process stops, even if peers have not closed; 0.2 s before SIGKILL
+FORCED_STOP_US = 350_000  # the process stops, even if a client has not read its answer; 0.1 s before SIGKILL
 
 
 class Shutdown:
-    """Ends a relay: hands connections over to a process that replaces it, and closes the others in order."""
+    """Stops a relay: hands its connections over to its successor, and closes the others without resets."""
 
-    def __init__(  # noqa: PLR0913 - it ends all parts of the process
+    def __init__(  # noqa: PLR0913 - it stops all parts of the process
         self,
         front: ClientProtocolFactory,
         listener: ClientListener,
@@ -53,39 +53,45 @@
         self.pre_request_rejected = False
 
     def begin(self, waited_us: int = 0) -> None:
-        """A planned restart, by a signal that came `waited_us` ago. A second signal changes nothing."""
+        """Begin the shutdown, requested by a signal received `waited_us` ago. A repeated signal has no effect."""
         if self.core.lifecycle.state in (LifecycleState.LEAVING, LifecycleState.STOPPING, LifecycleState.STOPPED):
             return
         self.timeline.begin(self.core.clock() - waited_us)
         if not self.listener.is_replaced():
-            # This process goes on reading the listener, and holds its connections, to the last.
+            # No successor: this process accepts clients and keeps its connections until the end of the shutdown.
             self.core.lifecycle.leave(self._close_connections, waited_us=waited_us)
             return
-        self.listener.stop()  # what waits in the listener's queue belongs to the new process
+        self.listener.stop()  # the successor accepts the clients in the listen queue
         receiver = self.listener.handover_receiver
         handover_socket = connect_to_newest(receiver.path) if receiver else None
         self.listener.close_handover()
         if handover_socket:
-            log.info("connections go to the process that takes over")
+            log.info("handing established connections over to the successor process")
             HandoverSender(self.core, self.front, handover_socket).step()
         self.core.lifecycle.leave(self._close_connections, at_once=handover_socket is None, waited_us=waited_us)
         self._stop_when_empty()
 
     def _stop_when_empty(self) -> None:
-        """End early: no client connects here any more, and the new process needs time, memory and descriptors."""
+        """Stop early once no connections are left.
+
+        Clients no longer connect to this process, and its successor needs the CPU time, memory and descriptors.
+        """
         if self.front.open_connections or self.core.connections:
             self.core.after(EMPTY_CHECK_US, self._stop_when_empty)
         else:
             self.core.lifecycle.stop(self._close_connections)
 
     def _close_connections(self) -> None:
-        """All requests are answered. Close in order: a client without a request may send one in this very moment."""
+        """Close the remaining connections step by step, after all requests have been answered.
+
+        The steps take time because a pre-request client may be sending its request at this moment.
+        """
         due_us = self.core.lifecycle.stop_due_us
         self.timeline.record("last answers", due_us)
         self.listener.close_handover()
         if self.fleet:
             self.fleet.leave()
-        # From when this was due, not from when it ran: SIGKILL does not wait for a late loop.
+        # Counted from when this step was due, not from when it ran: a late event loop does not delay SIGKILL.
         began_us = min(due_us, self.core.clock())
         self.core.at(
             began_us + DROP_HANDSHAKES_US, partial(self._drop_new_handshakes, began_us + REJECT_PRE_REQUEST_US)
@@ -95,13 +101,16 @@
         self._stop_when_closed()
 
     def _drop_new_handshakes(self, reject_pre_request_us: int) -> None:
-        """Let no further client connect. Late, it moves the end of the listener: handshakes under way need a time."""
+        """Drop new TCP handshakes.
+
+        If this step runs late, the listener closes later too, because handshakes in progress need time to complete.
+        """
         self.timeline.record("no new handshakes")
         self.listener.drop_new_handshakes()
         self.core.at(max(reject_pre_request_us, self.core.clock() + MIN_HANDSHAKE_US), self._reject_pre_request)
 
     def _reject_pre_request(self) -> None:
-        """Reject clients without a request, also those that still wait to be accepted. Once, whoever comes first."""
+        """Reject pre-request clients, including those in the listen queue. Only the first call has an effect."""
         if self.pre_request_rejected:
             return
         self.pre_request_rejected = True
@@ -110,7 +119,7 @@
         self.front.end_rest()
 
     def _stop_when_closed(self) -> None:
-        """Wait for the peers to close, so that no close resets what they have not read yet."""
+        """Stop once all peers have closed, so that no close resets data that they have not read yet."""
         port = self.listener.port
         if self.front.open_connections or self.front.upstreams or (port and port.connected):
             self.core.after(CLOSED_CHECK_US, self._stop_when_closed)
@@ -118,7 +127,7 @@
             self._stop()
 
     def _stop_when_sent(self) -> None:
-        """Wait no longer for peers to close, only for those that have not read their answer."""
+        """Stop once all clients have read their answers, without waiting for peers to close."""
         if self.front.closing.unsent:
             self.core.after(CLOSED_CHECK_US, self._stop_when_sent)
         else:
@@ -139,7 +148,7 @@
             self.reactor.stop()
 
     def _close_admin_interface(self) -> None:
-        """Answer the calls that have come. Prevents a close from resetting callers that wait to be accepted."""
+        """Answer the commands received so far, after accepting queued callers, which the close would reset."""
         if self.admin_port:
             self.admin_port.accept_last_and_close()
             self.admin_port.factory.end()
--- a/gradefront/startup.py
+++ b/gradefront/startup.py
@@ -1,5 +1,4 @@
-"""Builds the parts of a relay, one function a part. `Relay` calls them in the order in which they depend on each
-other."""
+"""Functions that each build one part of a relay. `Relay` calls them in dependency order."""
 
 from __future__ import annotations
 
@@ -29,11 +28,14 @@
     from .quic.config import QuicConfig
     from .quic.front import QuicFront
 
-ADMIN_BACKLOG = 64  # connections that wait to be accepted
+ADMIN_BACKLOG = 64  # connections in the listen queue
 
 
 def build_core(config: Config, driver: Driver, clock: Callable[[], int]) -> RelayCore:
-    """The relay core with its decision module, driven by `driver`. `clock` gives Unix time in microseconds."""
+    """Build the relay core with its decision module, driven by `driver`.
+
+    `clock` returns Unix time in microseconds.
+    """
     driver.core = core = RelayCore(
         Balancer(config.settings, config.seed),
         config.settings,
@@ -48,9 +50,9 @@
 def build_endpoint_watch(
     config: Config, core: RelayCore, reactor: Reactor, clock_stepped: Callable[[], bool]
 ) -> tuple[EndpointList, EndpointWatch]:
-    """The endpoint list, and the watch that keeps it; health checks go to the addresses that it names.
+    """Build the endpoint list, the watch that keeps it current, and the health checker for its addresses.
 
-    `clock_stepped` says whether the wall clock has been stepped since the start.
+    `clock_stepped` returns whether the wall clock has been stepped since the start.
     """
     endpoint_list = EndpointList(config, core, clock_stepped)
     core.endpoint_watcher = endpoint_watch = EndpointWatch(reactor, core, endpoint_list, config.discovery)
@@ -59,7 +61,7 @@
 
 
 def apply_known_endpoints(config: Config, endpoint_list: EndpointList) -> None:
-    """Begin with the endpoint list that the configuration gives. Raises SettingError."""
+    """Apply the endpoint list in the configuration as the initial one. Raises SettingError."""
     try:
         endpoint_list.apply(config.initial_endpoints, complete=True)
     except ValueError as error:
@@ -69,21 +71,21 @@
 def build_client_factory(
     config: Config, core: RelayCore, endpoint_list: EndpointList, reactor: Reactor
 ) -> ClientProtocolFactory:
-    """What serves each client, with its way to backends."""
+    """Build the protocol factory for clients, with the connector that opens connections to backends."""
     upstreams = ConnectionCloser(core, config.sockets // DESCRIPTOR_SHARE)
     connector = LineBackendConnector(reactor, endpoint_list.address, upstreams)
     return ClientProtocolFactory(config, core, connector, upstreams)
 
 
 def build_quic_front(config: Config, quic: QuicConfig, core: RelayCore, reactor: Reactor) -> QuicFront:
-    """The QUIC front. Imported only where it is on: its libraries cost start-up time and memory."""
+    """Build the QUIC front. It is imported only if enabled: its libraries cost start-up time and memory."""
     from .quic.front import QuicFront
 
     return QuicFront(config, quic, core, reactor)
 
 
 def start_fleet(fleet: FleetConfig, core: RelayCore, reactor: Reactor) -> FleetPort:
-    """The port that gossips with other relays. Imported only where it is on. Raises ConfigError."""
+    """Open the UDP port that gossips with other relays. It is imported only if enabled. Raises ConfigError."""
     from .net.fleet_port import FleetPort
 
     port = FleetPort(fleet, core)
@@ -95,11 +97,11 @@
 
 
 def start_admin_server(config: Config, core: RelayCore, reactor: Reactor) -> Any:
-    """The listening port of the admin interface; None where none is configured. Raises SettingError."""
+    """Open the listening port of the admin interface; None if none is configured. Raises SettingError."""
     if not config.admin:
         return None
     host, port = config.admin
     try:
         return reactor.listenTCP(port, AdminServer(core, admin_commands(core)), ADMIN_BACKLOG, host)
     except CannotListenError as error:
-        raise SettingError("LB_ADMIN", f"the operators' door: {error}") from None
+        raise SettingError("LB_ADMIN", f"the admin interface cannot listen: {error}") from None
--- a/gradefront/state/form.py
+++ b/gradefront/state/form.py
@@ -1,7 +1,7 @@
-"""The stored form in which a connection is described to the next process: versioned, bounded, checked. No I/O.
+"""Serialised snapshots of connections for the handover to another process: versioned, bounded, validated. No I/O.
 
-Stored names and bytes are fixed: processes of different versions hand over to each other. The code's own names are
-mapped to them here only.
+The stored names and bytes are fixed, because processes of different program versions hand over to each other. Only
+this module maps them to the names used in the code.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from gradefront.net.lines import MAX_LINE
 
 VERSION = 1
-MAX_SNAPSHOT_BYTES = 24_576  # two unfinished lines and the rest fit many times over
-MAX_TIME_DIFFERENCE_US = 60_000_000  # from now; silence is detected long before
+MAX_SNAPSHOT_BYTES = 24_576  # several times the size of two partial lines and the other fields
+MAX_TIME_DIFFERENCE_US = 60_000_000  # most distance of a time from now; silent connections are ended long before
 
-#: The field of `ConnectionSnapshot` that each stored name stands for.
+#: Field of `ConnectionSnapshot` for each stored name.
 STORED_NAMES = {
     "id": "id",
     "klass": "request_class",
@@ -40,7 +40,10 @@
 
 
 class SnapshotError(Exception):
-    """An invalid description. `field` is the stored name, "" where it is the whole description."""
+    """An invalid snapshot.
+
+    `field` is the stored name of the invalid field, or "" if the whole snapshot is invalid.
+    """
 
     def __init__(self, text: str, field: str = "") -> None:
         super().__init__(text)
@@ -49,26 +52,24 @@
 
 @dataclass(frozen=True)
 class ConnectionSnapshot:
-    """One established connection, but for its two sockets. Times are Unix time in microseconds."""
+    """One established connection without its two sockets. Times are Unix time in microseconds."""
 
-    id: str  # of the client's connection
+    id: str  # connection id that the client sent
     request_class: str
-    class_rules: dict[str, Any]  # those in force when it came, as `stored_rules` gives them
+    class_rules: dict[str, Any]  # the rules in force when the request was received, in the form of `stored_rules`
     idempotency_key: str
     sticky_group: str
     tenant: int
     backend: str
-    load: float  # us of work a second, as last reported; 0: not reported
+    load: float  # last load report: microseconds of work per second; 0: not reported
     last_received_us: int
-    awaiting_reply_us: tuple[int, ...]  # when each message was sent that awaits a reply
-    partial_client_line: (
-        bytes  # what the client has sent of a line without an end; a field of the form, so the name stays
-    )
-    partial_backend_line: bytes  # the same of the backend
+    awaiting_reply_us: tuple[int, ...]  # send time of each message that awaits a reply
+    partial_client_line: bytes  # incomplete line received from the client
+    partial_backend_line: bytes  # incomplete line received from the backend
 
 
 def stored_rules(rules: RequestClass) -> dict[str, Any]:
-    """A class's rules under the stored names."""
+    """Return the rules of a request class under their stored names."""
     return {
         "aim_us": rules.latency_objective_us,
         "deadline_us": rules.deadline_us,
@@ -81,7 +82,7 @@
 
 
 def encode_snapshot(snapshot: ConnectionSnapshot) -> bytes:
-    """The description of one connection."""
+    """Serialise the snapshot of one connection."""
     stored: dict[str, Any] = {name: getattr(snapshot, field) for name, field in STORED_NAMES.items()}
     for name in STORED_BYTES:
         stored[name] = base64.b64encode(stored[name]).decode()
@@ -90,33 +91,36 @@
 
 
 def decode_snapshot(data: bytes, now_us: int) -> ConnectionSnapshot:
-    """The connection described.
+    """Parse and validate the snapshot of one connection.
 
-    Raises SnapshotError. Prevents a description by another version, or half of one, from becoming a connection.
+    Raises SnapshotError. Prevents a truncated snapshot, or one of another format version, from becoming a connection.
     """
     try:
         snapshot = _parse(json.loads(data))
     except (ValueError, TypeError, KeyError, AttributeError) as error:
-        raise SnapshotError(f"not of the form: {error!r}") from None
+        raise SnapshotError(f"malformed snapshot: {error!r}") from None
     _check_types(snapshot)
     for name, time_us in _times(snapshot):
         if (
             not isinstance(time_us, int)
             or not now_us - MAX_TIME_DIFFERENCE_US <= time_us <= now_us + MAX_TIME_DIFFERENCE_US
         ):
-            raise SnapshotError(f"a time that makes no sense: {time_us!r}", name)
+            raise SnapshotError(f"time out of range: {time_us!r}", name)
     return snapshot
 
 
 def _parse(stored: Any) -> ConnectionSnapshot:
-    """Raises SnapshotError, and ValueError, TypeError, KeyError or AttributeError if `stored` is no snapshot."""
+    """Convert a decoded JSON value to a snapshot.
+
+    Raises SnapshotError, or ValueError, TypeError, KeyError or AttributeError if `stored` is not a snapshot at all.
+    """
     version = stored.pop("version")
     if version != VERSION:
-        raise SnapshotError(f"version {version!r}, not {VERSION}", "version")
+        raise SnapshotError(f"version is {version!r}, expected {VERSION}", "version")
     for name in STORED_BYTES:
         stored[name] = base64.b64decode(stored[name], validate=True)
         if len(stored[name]) > MAX_LINE:
-            raise SnapshotError(f"{name}: {len(stored[name])} bytes", name)
+            raise SnapshotError(f"{name}: {len(stored[name])} bytes, longer than a line may be", name)
     stored["asked_us"] = tuple(stored["asked_us"])
     if unknown := stored.keys() - STORED_NAMES.keys():
         names = ", ".join(sorted(unknown))
@@ -127,18 +131,18 @@
 def _check_types(snapshot: ConnectionSnapshot) -> None:
     for name in STORED_TEXTS:
         if not isinstance(getattr(snapshot, STORED_NAMES[name]), str):
-            raise SnapshotError(f"{name}: not text", name)
+            raise SnapshotError(f"{name}: not a string", name)
     if not isinstance(snapshot.class_rules, dict):
-        raise SnapshotError("rules, tenant: not of the form", "rules")
+        raise SnapshotError("rules: not an object", "rules")
     if not isinstance(snapshot.tenant, int):
-        raise SnapshotError("rules, tenant: not of the form", "tenant")
+        raise SnapshotError("tenant: not an integer", "tenant")
     load = snapshot.load
     if not isinstance(load, (int, float)) or not (math.isfinite(load) and load >= 0):
-        raise SnapshotError(f"load: {load!r}", "load")
+        raise SnapshotError(f"load: {load!r} is not a finite number of at least 0", "load")
 
 
 def _times(snapshot: ConnectionSnapshot) -> Iterator[tuple[str, object]]:
-    """Each time with its stored name."""
+    """Yield the stored name and value of each time."""
     yield "heard_us", snapshot.last_received_us
     for time_us in snapshot.awaiting_reply_us:
         yield "asked_us", time_us
--- a/gradefront/state/handover_receiver.py
+++ b/gradefront/state/handover_receiver.py
@@ -1,4 +1,4 @@
-"""The receiving side of a handover: the newest process takes over the connections of those before it."""
+"""The receiving side of a handover: the newest process adopts the connections of earlier processes."""
 
 from __future__ import annotations
 
@@ -29,31 +29,31 @@
 
 log = logging.getLogger("gradefront.handover")
 
-MAX_MESSAGES = 16  # read from one sender in one go
-MAX_LAST_READS = 64  # of MAX_MESSAGES, at the end; more than a socket's buffer holds
+MAX_MESSAGES = 16  # read from one sender per event
+MAX_LAST_READS = 64  # reads of MAX_MESSAGES each at close; more messages than a socket buffer holds
 SOCKETS_PER_CONNECTION = 2  # the client's and the backend's
 
 
 class AdoptedClient(ClientProtocol):
-    """A client's connection that was handed over: its request is behind it."""
+    """An adopted client connection, whose request has already been accepted."""
 
     def connectionMade(self) -> None:
-        """Count the connection; it has no deadline for a request."""
+        """Count the connection. It gets no timeout for its request line."""
         self.arrived_us = self.front.core.clock()
-        self.timeout = self.front.core.after(0, lambda: None)  # nothing to time: `_close` cancels a timer in any case
+        self.timeout = self.front.core.after(0, lambda: None)  # placeholder: `_close` always cancels a timer
         self.front.open_connections += 1
 
 
 class AdoptedBackend(BackendProtocol):
-    """A backend's connection that was handed over."""
+    """An adopted backend connection."""
 
     def connectionMade(self) -> None:
-        """Send nothing: the first line was sent by the process before."""
+        """Send nothing: the previous process has sent the first line."""
         self.stage = RequestStage.SENT
 
 
 class _SenderConnection:
-    """The connection from one process that hands over, as the reactor reads it."""
+    """Reactor reader for the Unix socket connection from one sending process."""
 
     def __init__(self, receiver: HandoverReceiver, sock: socket.socket) -> None:
         self.receiver = receiver
@@ -68,29 +68,29 @@
         return "handover"
 
     def doRead(self) -> None:
-        """Read some messages, each complete and with its sockets."""
+        """Read up to MAX_MESSAGES messages, each a complete snapshot with its sockets."""
         for _ in range(MAX_MESSAGES):
             try:
                 data, fds, flags, _ = socket.recv_fds(self.sock, MAX_SNAPSHOT_BYTES, SOCKETS_PER_CONNECTION)
             except BlockingIOError:
                 return
             except OSError as error:
-                log.warning("the process before broke off: %s", error)
+                log.warning("handover connection from the previous process failed: %s", error)
                 data, fds, flags = b"", [], 0
             if not data and not fds:
                 self.receiver.on_sender_done(self)
                 return
             try:
                 self.receiver.adopt(data, fds, bool(flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC)))
-            except Exception:  # a fault stops at this one connection
-                log.exception("a connection that was handed over failed")
+            except Exception:  # a fault must affect this connection only
+                log.exception("adopting a connection failed")
                 self.receiver.core.counters.add("exceptions")
             finally:
-                for fd in fds:  # the reactor has duplicates
+                for fd in fds:  # the reactor works on duplicates
                     os.close(fd)
 
     def read_last(self) -> None:
-        """Refuse further messages, read those that were sent, and end."""
+        """Refuse further messages, read those already sent, and close."""
         refuse_more(self.sock)
         for _ in range(MAX_LAST_READS):
             if self not in self.receiver.senders:
@@ -104,7 +104,7 @@
 
 
 class HandoverReceiver:
-    """Takes over the connections of processes before this one, which call at the Unix socket in `folder`."""
+    """Adopts the connections of earlier processes, which connect to the Unix socket in `folder`."""
 
     def __init__(self, core: RelayCore, front: ClientProtocolFactory, reactor: Reactor, folder: Path) -> None:
         self.core = core
@@ -116,18 +116,18 @@
         self.inode = 0
 
     def open(self) -> None:
-        """Hold the name from now on. A folder in which that fails is no reason not to serve."""
+        """Bind the socket name. If that fails, log it and go on: the relay can serve without a handover."""
         try:
             self.listener, self.inode = listen_as_newest(self.path)
         except OSError as error:
-            log.warning("no handover in %s: %s", self.path.parent, error)
+            log.warning("serving without handover: cannot listen in %s: %s", self.path.parent, error)
             return
         self.reactor.addReader(self)
 
     def close(self) -> None:
-        """Take over what was sent and nothing more; free the name if it is still this process's.
+        """Adopt the connections already sent, refuse more, and unlink the socket name if this process still holds it.
 
-        Guards connections that were sent and not read: their sockets would be closed with those of the handover.
+        Unread messages must be processed: closing the handover socket would close the sockets attached to them.
         """
         if self.listener:
             was_newest = self.is_newest()
@@ -137,15 +137,15 @@
             self.listener.close()
             self.listener = None
             if was_newest:
-                with suppress(OSError):  # a name without a listener does no harm: senders are refused
+                with suppress(OSError):  # a name without a listener is harmless: senders are refused
                     self.path.unlink(missing_ok=True)
         for sender in list(self.senders):
             sender.read_last()
 
     def is_newest(self) -> bool:
-        """Whether no newer process holds the name; True also where that can't be known.
+        """Return whether no newer process holds the socket name; True also if that cannot be determined.
 
-        Prevents requests in the listener's queue from being left to a process that does not exist.
+        Prevents requests in the listen queue from being left to a successor that does not exist.
         """
         if self.listener is None:
             return True
@@ -162,17 +162,17 @@
         return "handover"
 
     def doRead(self) -> None:
-        """Accept the senders that wait."""
+        """Accept the queued senders."""
         if self.listener:
             self._accept_waiting(self.listener)
 
     def _accept_waiting(self, listener: socket.socket) -> None:
-        with suppress(OSError):  # none waits any more
+        with suppress(OSError):  # the queue is empty
             while True:
                 self._add_sender(listener.accept()[0])
 
     def _add_sender(self, sock: socket.socket) -> None:
-        """Read a sender from now on, if it runs under the same user."""
+        """Start reading from a sender if it runs as the same user and MAX_SENDERS is not exceeded."""
         if not is_same_user(sock) or len(self.senders) >= MAX_SENDERS:
             sock.close()
             return
@@ -186,25 +186,26 @@
         self.close()
 
     def on_sender_done(self, sender: _SenderConnection) -> None:
-        """A process has handed over all that it could."""
+        """Close the connection of a sender that has finished or failed."""
         if sender in self.senders:
             self.senders.remove(sender)
             self.reactor.removeReader(sender)
             sender.sock.close()
-            log.info("%d connections were handed over so far", self.core.counters.counts["taken_over"])
+            log.info("handover closed; %d connections adopted so far", self.core.counters.counts["taken_over"])
 
     def adopt(self, data: bytes, fds: list[int], truncated: bool) -> None:
-        """Take one connection over.
+        """Adopt one connection.
 
-        Where its description is invalid its sockets are closed; where its class has other rules here, it is migrated.
+        If its snapshot is invalid, its sockets are closed. If this process has other rules for its request class, the
+        client is migrated.
         """
         core = self.core
         try:
             if truncated or len(fds) != SOCKETS_PER_CONNECTION:
-                raise SnapshotError(f"{len(fds)} sockets{', cut short' if truncated else ''}")
+                raise SnapshotError(f"{len(fds)} sockets{', truncated message' if truncated else ''}")
             snapshot = decode_snapshot(data, core.clock())
         except SnapshotError as error:
-            log.warning("a connection can't be taken over: %s", error)
+            log.warning("cannot adopt a connection: %s", error)
             core.counters.add("taken_over_badly")
             return
         class_numbers = self.front.config.class_numbers
@@ -223,7 +224,7 @@
         for fd, protocol in zip(fds, (client, upstream.line), strict=True):
             os.set_blocking(fd, False)
             self.reactor.adoptStreamConnection(fd, socket.AF_INET, SingleProtocolFactory(protocol))
-        with suppress(InvalidLineError):  # an id known here already is no reason to end it
+        with suppress(InvalidLineError):  # a duplicate id is no reason to close the connection
             self.front.new_id(client.id)
         client.start_forwarding(upstream)
         core.counters.add("taken_over")
@@ -236,7 +237,7 @@
     def _establish(
         self, snapshot: ConnectionSnapshot, request_class: int, client: AdoptedClient
     ) -> tuple[Connection, Attempt]:
-        """Have the core count the connection as established."""
+        """Register the connection as established in the core."""
         request = ConnectRequest(
             0,
             None,
--- a/gradefront/state/handover_sender.py
+++ b/gradefront/state/handover_sender.py
@@ -1,7 +1,7 @@
-"""The sending side of a handover: a process that is replaced sends its connections to the newest one.
+"""The sending side of a handover: a replaced process sends its connections to the newest one.
 
-Each connection is one message: its description and its two sockets (SCM_RIGHTS). What can't be handed over is
-migrated, as without a handover.
+One message carries the snapshot of one connection and its two sockets (SCM_RIGHTS). Connections that cannot be handed
+over are migrated, as without a handover.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 log = logging.getLogger("gradefront.handover")
 
 STEP_US = 20_000
-STEP_CONNECTIONS = 4  # a step: the next process takes each up in about a millisecond of its part of a core
+STEP_CONNECTIONS = 4  # per step: the receiver needs about 1 ms of its CPU share to adopt one
 
 
 class HandoverSender:
-    """Hands this process's connections to the next one, over the connected Unix socket `sock`."""
+    """Hands the connections of this process over to the newest one, through the connected Unix socket `sock`."""
 
     def __init__(self, core: RelayCore, front: ClientProtocolFactory, sock: socket.socket) -> None:
         self.core = core
@@ -33,7 +33,7 @@
         self.sock: socket.socket | None = sock
 
     def step(self) -> None:
-        """Hand some over; again after a pause while any client is left."""
+        """Hand over up to STEP_CONNECTIONS connections; repeat every STEP_US while any client is left."""
         sent = 0
         for connection in list(self.core.connections.values()):
             if self.sock is None or sent == STEP_CONNECTIONS:
@@ -45,13 +45,13 @@
             self.close()
 
     def close(self) -> None:
-        """Hand nothing more over."""
+        """Stop handing over connections."""
         if self.sock:
             self.sock.close()
         self.sock = None
 
     def _hand_over(self, sock: socket.socket, connection: Connection) -> bool:
-        """Whether the connection went; False also where it can go in a later step only."""
+        """Hand one connection over. Return False if that is impossible, or possible only in a later step."""
         client, upstream = connection.client, _upstream(connection)
         if upstream is None or upstream.line is None:
             return False
@@ -68,7 +68,7 @@
             client.take_bytes(snapshot.partial_client_line)
             upstream.line.take_bytes(snapshot.partial_backend_line)
             if not isinstance(error, BlockingIOError):
-                log.warning("nothing more can be handed over: %s", error)
+                log.warning("handover to the newest process failed; no more connections are handed over: %s", error)
                 self.close()
             return False
         close_own_descriptor(client_transport)
@@ -79,7 +79,7 @@
         return True
 
     def _snapshot(self, connection: Connection, from_client: bytes, from_backend: bytes) -> ConnectionSnapshot:
-        """The description of an established connection, with what each side has begun to send of a line."""
+        """Build the snapshot of an established connection, including the partial line received from each side."""
         client, attempt, request = connection.client, connection.attempt, connection.connect_request
         assert attempt and isinstance(client, ClientProtocol)
         return ConnectionSnapshot(
@@ -99,7 +99,7 @@
 
 
 def _upstream(connection: Connection) -> LineBackendConnection | None:
-    """The open backend connection of an established connection, if it has one whose socket can be handed over."""
+    """Return the open backend connection of an established connection, or None if it cannot be handed over."""
     attempt = connection.attempt
     if connection.state is not ConnectionState.ESTABLISHED or attempt is None:
         return None
--- a/gradefront/state/handover_sockets.py
+++ b/gradefront/state/handover_sockets.py
@@ -1,7 +1,7 @@
-"""The sockets of a handover: the Unix socket between two processes, and the transports that change hands.
+"""Socket operations of a handover: the Unix socket between two processes, and the transports that are handed over.
 
-The process that accepts clients listens on a Unix socket in the folder that successive processes share. The newest
-one holds the name.
+The process that accepts clients listens on a Unix socket in a folder that the processes of a relay share. The socket
+name belongs to the newest process.
 """
 
 from __future__ import annotations
@@ -17,24 +17,27 @@
 log = logging.getLogger("gradefront.handover")
 
 SOCKET_NAME = "gradefront.handover"
-MAX_SENDERS = 4  # processes that hand over at a time
-CONNECT_TIMEOUT_S = 0.1  # to a listener on this machine, which answers at once or not at all
-PEER_CREDENTIALS = struct.Struct("3i")  # process, user, group
+MAX_SENDERS = 4  # processes that may hand over concurrently
+CONNECT_TIMEOUT_S = 0.1  # for a listener on this machine, which accepts at once or not at all
+PEER_CREDENTIALS = struct.Struct("3i")  # struct ucred: process, user and group id
 
 
 class SingleProtocolFactory:
-    """A factory of one protocol, for a connection that exists already."""
+    """A protocol factory that returns one given protocol, for an existing connection."""
 
     def __init__(self, protocol: Any) -> None:
         self.protocol = protocol
 
     def buildProtocol(self, addr: object) -> Any:  # noqa: ARG002 - Twisted's signature
-        """The protocol."""
+        """Return the protocol."""
         return self.protocol
 
 
 def listen_as_newest(path: Path) -> tuple[socket.socket, int]:
-    """Listen under the name `path`, in place of the process before; the listener and its inode. Raises OSError."""
+    """Listen at `path`, replacing the socket of the previous process.
+
+    Return the listener and the inode of its name. Raises OSError.
+    """
     temporary_path = path.with_name(f"{path.name}.{os.getpid()}")
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
@@ -44,7 +47,7 @@
         listener.listen(MAX_SENDERS)
         listener.setblocking(False)
         inode = temporary_path.stat().st_ino
-        temporary_path.replace(path)  # in one step: a sender finds the process before or this one
+        temporary_path.replace(path)  # atomic: a sender connects to the previous process or to this one
     except OSError:
         listener.close()
         raise
@@ -52,13 +55,13 @@
 
 
 def connect_to_newest(path: Path) -> socket.socket | None:
-    """A connection to the process that holds the name `path`; None where nobody answers."""
+    """Connect to the process that listens at `path`; return None if there is none."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     sock.settimeout(CONNECT_TIMEOUT_S)
     try:
         sock.connect(str(path))
     except OSError as error:
-        log.info("nobody takes connections over: %s", error)
+        log.info("no process accepts a handover: %s", error)
         sock.close()
         return None
     sock.setblocking(False)
@@ -66,13 +69,13 @@
 
 
 def refuse_more(sock: socket.socket) -> None:
-    """Have the kernel refuse what peers send or connect from now on; what came before can still be read."""
-    with suppress(OSError):  # its peer is gone
+    """Have the kernel refuse further data and connections from peers; data already received can still be read."""
+    with suppress(OSError):  # the peer has closed
         sock.shutdown(socket.SHUT_RD)
 
 
 def is_same_user(sock: socket.socket) -> bool:
-    """Whether the process at the other end runs under this process's user."""
+    """Return whether the peer process runs as the same user as this process."""
     _, user, _ = PEER_CREDENTIALS.unpack(
         sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
     )
@@ -80,7 +83,10 @@
 
 
 def close_own_descriptor(transport: Any) -> None:
-    """Close this process's descriptor alone: a shutdown, or a lingering close, would end the connection itself."""
+    """Close only this process's descriptor.
+
+    A shutdown() or a lingering close would end the connection that the other process now holds.
+    """
     transport.unregisterProducer()
     transport.stopReading()
     transport.stopWriting()
@@ -89,7 +95,10 @@
 
 
 def has_sent_all(transport: Any) -> bool:
-    """Whether the kernel has all that was written. Only Twisted's transport itself knows."""
+    """Try to flush the transport; return whether the kernel has all written data.
+
+    Twisted exposes this only through private attributes of the transport.
+    """
     if transport.dataBuffer or transport._tempDataBuffer:
         transport.doWrite()
     unsent = transport.dataBuffer or transport._tempDataBuffer
--- a/gradefront/stop_timeline.py
+++ b/gradefront/stop_timeline.py
@@ -1,4 +1,7 @@
-"""When each step of a planned stop was due and when it ran, for the log: tells a late loop from a step that waits."""
+"""Due time and actual time of each step of a planned stop, for the log.
+
+The two times distinguish a late event loop from a step that waits for peers.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,10 @@
 
 
 class StopStep(NamedTuple):
-    """One step. Times are of the clock, in microseconds; `due_us` is None for what has no set time."""
+    """One step of a stop.
+
+    Times are clock readings in microseconds; `due_us` is None for a step without a due time.
+    """
 
     name: str
     at_us: int
@@ -20,7 +26,7 @@
 
 
 class StopTimeline:
-    """The steps of one planned stop, counted from the signal that began it."""
+    """The steps of one planned stop, with times relative to the signal that requested it."""
 
     def __init__(self, clock: Callable[[], int]) -> None:
         self.clock = clock
@@ -28,16 +34,16 @@
         self.steps: list[StopStep] = []
 
     def begin(self, signalled_us: int) -> None:
-        """The reactor handles the signal, which came at `signalled_us`."""
+        """Record that the reactor now handles the signal, which was received at `signalled_us`."""
         self.signalled_us = signalled_us
         self.record("handled", signalled_us)
 
     def record(self, name: str, due_us: int | None = None) -> None:
-        """A step runs now."""
+        """Record that a step runs now."""
         self.steps.append(StopStep(name, self.clock(), due_us))
 
     def log(self) -> None:
-        """Log the steps so far as one line; nothing where no stop has begun."""
+        """Log the steps so far as one line; log nothing if no stop has begun."""
         if self.steps:
             log.info(
                 "planned stop, ms after the signal: %s", ", ".join(self._format_step(step) for step in self.steps)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The admin interface and the figures."""
+"""Tests of the admin interface and the metrics."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class RecordingTransport(StringTransport):
-    """A transport that records."""
+    """A transport that records what is written to it."""
 
     def flush(self) -> bool:
         return True
@@ -42,7 +42,7 @@
 
 
 class AdminHarness:
-    """An admin server and its callers."""
+    """An admin server whose connections the test drives directly."""
 
     def __init__(self) -> None:
         self.bench = Bench()
@@ -113,7 +113,7 @@
         assert len(harness.server.callers) <= MAX_CALLERS
     harness.bench.wait(COMMAND_TIMEOUT_US + 10_000)
     assert all(connection.wire.value().startswith(b"fail") for connection in harness.server.callers), (
-        "silence ends too"
+        "callers that send nothing are answered and closed"
     )
 
 
@@ -141,7 +141,7 @@
             device.open()
             assert await device.line() == "UP r-1"
             silent = await LineDevice.connect(relay.admin_port)
-            mute = await service.device()  # a crowd of these is not what the relay serves
+            mute = await service.device()  # pre-request connections do not count in the metrics
             metrics = await relay.metrics()
             assert metrics['svc_answered_total{group="visit-checkin"}'] == metrics["svc_sends_total"] == 1
             assert metrics['svc_answered_total{group="roster-feed"}'] == metrics["svc_cluster_unhealthy"] == 0
@@ -149,9 +149,9 @@
             assert await relay.call("LAMEDUCK") == await relay.call("LAMEDUCK") == ["ok lame duck"]
             assert await relay.call("PING") == ["fail lame duck"]
             assert await (await service.device()).ask("PING") == "ERR"
-            for _ in range(3):  # new settings in the midst of a drain, in quick succession
+            for _ in range(3):  # several reloads in quick succession during a drain
                 relay.process.send_signal(signal.SIGHUP)
-            await relay.line("configuration taken")
+            await relay.line("configuration applied")
             assert 1 <= (await relay.metrics())["svc_conf_loaded_total"] <= 3
             assert await relay.call("PING") == ["fail lame duck"]
             assert await device.ask("still") == "re:still"
@@ -184,7 +184,7 @@
             )
             assert (
                 completed.returncode == 2
-                and "operators' door" in completed.stderr
+                and "LB_ADMIN: the admin interface cannot listen" in completed.stderr
                 and "Traceback" not in completed.stderr
             )
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, in this process where it can be and as a program where start-up is the matter."""
+"""Tests of the command line, run in the test process; only the test of the imports starts a program."""
 
 from __future__ import annotations
 
@@ -89,7 +89,11 @@
     assert status == 2 and "quic.json: most_waiting: " in printed and "-1" in printed
     os.chmod(tmp_path / "ids.key", 0o644)
     status, printed = check()
-    assert status == 2 and "ids[0].key_file: 'ids.key': others may read it" in printed and KEY not in printed
+    assert (
+        status == 2
+        and "ids[0].key_file: 'ids.key': not a private regular file; its mode must be 600" in printed
+        and KEY not in printed
+    )
     relay.write_text(json.dumps({**document, "seed": "nothex"}))
     status, printed = check()
     assert status == 2 and "relay.json: seed: 'nothex'" in printed
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""What the platform asks of `run`, as far as it can be held without its bench."""
+"""Tests of the platform's requirements on the `run` line, as far as they can be checked without the platform."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 def test_run_execs_a_dynamically_linked_program_in_a_single_process() -> None:
     assert DEPLOY["run"].startswith("exec ") and not set(";&|") & set(DEPLOY["run"])
-    assert b"/ld-linux" in Path(sys.executable).resolve().read_bytes(), "no loader is named"
+    assert b"/ld-linux" in Path(sys.executable).resolve().read_bytes(), "the interpreter is not dynamically linked"
     assert set(DEPLOY) >= {"build", "run", "sim", "policy", "node"}
     assert all((ROOT / path).exists() for path in (*DEPLOY["policy"], *DEPLOY["node"]))
 
--- a/tests/test_handover_end.py
+++ b/tests/test_handover_end.py
@@ -1,4 +1,4 @@
-"""The end of a process that takes connections over: what was sent to it and not read yet."""
+"""Tests of closing the receiving side of a handover while sent connections are still unread."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Sender:
-    """A process that hands one established connection over."""
+    """A process that hands established connections over."""
 
     def __init__(self, folder: Path, now_us: int) -> None:
         self.snapshot = replace(SNAPSHOT, last_received_us=now_us, awaiting_reply_us=())
@@ -25,7 +25,7 @@
         self.sock.connect(str(folder / SOCKET_NAME))
 
     def send(self) -> Peer:
-        """Sends a connection. Returns its client's end."""
+        """Send a connection. Return the client's end of it."""
         client, relay_side = _tcp_pair()
         self.backend, backend_side = _tcp_pair()
         with relay_side, backend_side:
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("is_accepted", [False, True], ids=["in the queue", "unread"])
 def test_a_connection_sent_as_the_receiver_closes_is_adopted_or_refused(tmp_path: Path, is_accepted: bool) -> None:
-    """Guards against clients that are cut off: their sockets lay unread as the receiving process closed."""
+    """Guards against lost clients: closing the handover socket closed the sockets in unread messages."""
     loop = Loop(tmp_path, [Backend()])
     receiver = HandoverReceiver(loop.core, loop.relay.front, loop.reactor, tmp_path)
     receiver.open()
@@ -52,6 +52,8 @@
     receiver.close()
     assert loop.core.counters.counts["taken_over"] == 3
     loop.until(lambda: all(client.read() for client in clients))
-    assert all(client.got == b"MOVE\r\n" and not client.reset for client in clients), "their class has other rules"
+    assert all(client.got == b"MOVE\r\n" and not client.reset for client in clients), (
+        "clients whose class has other rules in this process are migrated"
+    )
     with pytest.raises(OSError):
         sender.send()
--- a/tests/test_moments_stop.py
+++ b/tests/test_moments_stop.py
@@ -1,4 +1,4 @@
-"""Rare moments at the end of a relay: what comes in the instant in which it stops."""
+"""Tests of races at the stop of a relay: events that arrive at the moment of a state transition."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def stopping(loop: Loop) -> None:
-    """SIGTERM, and the clock at the moment from which nothing new is begun."""
+    """Stop the relay and advance the clock until it is in state STOPPING, in which nothing new begins."""
     loop.leave()
     lifecycle = loop.core.lifecycle
     loop.wait(lifecycle.kill_us - 500_000, 20_000)
@@ -47,7 +47,7 @@
     stopping(loop)
     port = loop.relay.port
     address = ("127.0.0.1", port.getHost().port) if port.connected else None
-    assert address, "the listener stands until its queue is empty"
+    assert address, "the listener is open until its queue is empty"
     loop.order.held.add(port.fileno())
     queued = Peer(socket.create_connection(address, HANG_TIMEOUT_S))
     queued.line("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=visit-checkin,d=900,g=5c0f6e1a2b3d4c59")
@@ -81,7 +81,7 @@
     client, _ = loop.standing(backend)
     side = loop.side(client)
     lifecycle = loop.core.lifecycle
-    loop.order.held.add(side.wire.fileno())  # its line lies unread
+    loop.order.held.add(side.wire.fileno())  # keeps the line from the client unread
     loop.leave()
     loop.wait(lifecycle.kill_us - 460_000, 20_000)
     client.line("a message")
@@ -118,7 +118,7 @@
     loop = Loop(tmp_path, [backend], settings(deadline_ms=800))
     established = [loop.standing(backend) for _ in range(10)]
     clients = [client for client, _ in established]
-    loop.core.lifecycle.lame_duck()  # a drain of 3.2 s; SIGKILL may come 1.5 s after SIGTERM
+    loop.core.lifecycle.lame_duck()  # a drain takes 3.2 s, but SIGKILL may follow 1.5 s after SIGTERM
     loop.wait(200_000)
     began = loop.now_us
     loop.leave()
@@ -129,7 +129,9 @@
             loop.leave()
         notified.append(sum(b"MOVE" in c.read() for c in clients))
     assert loop.stopped - began <= 1_500_000 - 150_000
-    assert max(b - a for a, b in zip(notified, notified[1:], strict=False)) <= 4, "spread over the time that there is"
+    assert max(b - a for a, b in zip(notified, notified[1:], strict=False)) <= 4, (
+        "migrations are spread over the available time"
+    )
     assert all(c.read().endswith(b"MOVE\r\n") and not c.reset for c in clients)
 
 
@@ -149,7 +151,7 @@
     (tmp_path / "config.json").write_text(json.dumps(document) if scenario != "a broken file" else "{")
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
     if scenario == "an old file":
-        loop.relay.reload()  # in the turn in which the signal comes
+        loop.relay.reload()  # in the same turn of the event loop as the signal
     began, kill_us = loop.now_us, loop.core.lifecycle.kill_us
     loop.leave()
     if "file" in scenario:
@@ -198,7 +200,7 @@
 
 
 def test_an_admin_command_in_the_listen_queue_at_the_stop_is_answered(tmp_path: Path) -> None:
-    """Guards against a reset in place of an answer: the interface was closed over the callers in its queue."""
+    """Guards against a reset instead of an answer: the admin listener was closed with callers in its queue."""
     loop = Loop(tmp_path, [Backend()], admin="127.0.0.1:0")
     stopping(loop)
     port = loop.relay.admin_server
--- a/tests/test_quic_recovery.py
+++ b/tests/test_quic_recovery.py
@@ -164,7 +164,7 @@
                     file["ids"] = ids_of(*forms)
                     (tmp_path / "quic.json").write_text(json.dumps(file))
                     relay.process.send_signal(signal.SIGHUP)
-                    await relay.line("configuration taken")
+                    await relay.line("configuration applied")
 
                 talking = [asyncio.ensure_future(talk(p)) for p in phones]
                 await take(OLD, NEW)
@@ -200,7 +200,7 @@
                 file["boxes"][moved.name]["address"] = f"127.0.0.1:{moved.port}"
                 (tmp_path / "quic.json").write_text(json.dumps(file))
                 relay.process.send_signal(signal.SIGHUP)
-                await relay.line("configuration taken")
+                await relay.line("configuration applied")
                 assert all(await asyncio.gather(*(p.ask() for p in phones)))
 
     asyncio.run(play())
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as shown and prints what it says."""
+"""Test that the example in the README runs and prints the output that the README shows."""
 
 from __future__ import annotations
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The program on the platform's protocol: started for real and spoken to over sockets."""
+"""Tests of the relay as a real process, through the platform's protocol over sockets."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class RunningService:
-    """Backends, discovery, the program, and devices that come to it."""
+    """A running relay with stand-ins for backends, discovery service and clients."""
 
     def __init__(self, backends: list[StandInBackend], discovery: Discovery, relay: Program) -> None:
         self.backends, self.discovery, self.relay = backends, discovery, relay
@@ -79,7 +79,7 @@
         async with running_service(
             tmp_path, ["BUSY", "UP r-1"], settings(objective_ms=30, deadline_ms=4000)
         ) as service:
-            while not service.backends[0].first_lines:  # the first pick is random: come until it was the full one
+            while not service.backends[0].first_lines:  # the choice is random: repeat until the busy one is asked
                 device = await service.device()
                 device.open(d=4000)
                 assert await device.line() == "UP r-1"
@@ -89,7 +89,7 @@
             device.open()
             answer = await device.line()
             assert re.fullmatch(r"BUSY( \d+)?", answer) and time.monotonic() - began < 1.5 + BUSY_S
-            assert await device.line() == "", "both sides close after the answer"
+            assert await device.line() == "", "the relay closes the connection after the answer"
             tried = [len(b.first_lines) for b in service.backends]
             assert 1 <= sum(tried) <= 4 and max(tried) == 1
             counts = await service.relay.counters()
@@ -105,7 +105,7 @@
             began = time.monotonic()
             device.open(d=700)
             assert re.match("BUSY|ERR", await device.line())
-            # The core's own tests check the margin to the millisecond; here a busy machine gets its share.
+            # Tests of the core check the margin exactly; BUSY_S allows for a busy machine.
             assert time.monotonic() - began < 0.7 + BUSY_S
             assert await device.line() == ""
 
@@ -194,7 +194,7 @@
             await service.relay.line("leaving")
             late = await service.device()
             late.open()
-            assert await late.line() == "UP r-1", "clients that the front still sends are served"
+            assert await late.line() == "UP r-1", "clients that the load balancer still sends are served"
 
             async def notified(device: Device) -> float:
                 assert await device.ask("before") == "re:before"
@@ -202,7 +202,7 @@
                 return time.monotonic() - began
 
             times = sorted(await asyncio.gather(*(notified(d) for d in [*established, late])))
-            assert times[0] > 0.6 and times[-1] - times[0] > 0.5, "spread over the time there is"
+            assert times[0] > 0.6 and times[-1] - times[0] > 0.5, "migrations are spread over the available time"
             assert await service.relay.stop() == 0 and time.monotonic() - began < 3.7 + BUSY_S
             assert any("counters" in line for line in service.relay.log)
 
@@ -235,12 +235,12 @@
         discovery.add("old", await old.open())
         discovery.add("new", await new.open())
         known = json.loads(json.dumps(discovery.list()))
-        discovery.members["old"]["phase"] = "DRAINING"  # the agent has it before the process starts
+        discovery.members["old"]["phase"] = "DRAINING"  # the agent knows this before the process starts
         discovery.held = True
         async with program(tmp_path, discovery, {**settings(), "discovery": "push"}, known=known) as relay:
             service = RunningService([old, new], discovery, relay)
             await soon(discovery.called.wait())
-            assert await (await service.device()).ask("PING") == "ERR", "the agent has not spoken yet"
+            assert await (await service.device()).ask("PING") == "ERR", "the agent has not sent a list yet"
             discovery.release()
             await relay.line("serving")
             for watch in discovery.watches:
@@ -261,7 +261,7 @@
         discovery = Discovery()
         try:
             async with program(tmp_path, discovery, {"grades": []}):
-                raise RuntimeError("it started")
+                raise RuntimeError("the relay started with an invalid configuration")
         except AssertionError as error:
             assert "settings: classes: at least one is needed" in str(error)
 
@@ -284,9 +284,9 @@
                 valid = (tmp_path / "config.json").read_text()
                 (tmp_path / "config.json").write_text(nonsense)
                 relay.process.send_signal(signal.SIGHUP)
-                await relay.line("configuration not taken, the old one stays")
+                await relay.line("configuration not applied, the current one stays in force")
                 (tmp_path / "config.json").write_text(valid)
-            for _ in range(2):  # to another address, and to one more
+            for _ in range(2):  # move to another address twice
                 old, new = service.discovery, Discovery()
                 new.members, new.revision = old.members, 1
                 await new.open()
@@ -295,9 +295,9 @@
                 relay.process.send_signal(signal.SIGHUP)
                 await soon(new.asked.wait())
                 old.server.close()
-                for writer in old.watches:  # what the old address still says is no news, nor is its end
+                for writer in old.watches:  # the close of the old watches must not cause an error or a reconnect
                     writer.close()
-                assert len(old.watches) == watched, "the old address got a new connection"
+                assert len(old.watches) == watched, "the relay reconnected to the old address"
                 service.discovery = new
             service.discovery.publish("box-0", "DRAINING")
             await relay.line("backend box-0 is draining")
@@ -311,7 +311,7 @@
             assert "list_errors" not in counts
             replace_config(tmp_path, limits={"sockets": 300})
             relay.process.send_signal(signal.SIGHUP)
-            assert await relay.stop() == 0, "a planned stop right after"
+            assert await relay.stop() == 0, "a planned stop right after a reload"
 
     asyncio.run(scenario())
 
@@ -321,7 +321,7 @@
         async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readline()
             writer.write(b"UP r-1\r\n")
-            linger = struct.pack("ii", 1, 0)  # the end is a reset
+            linger = struct.pack("ii", 1, 0)  # close() sends a reset
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
             writer.transport.abort()
 
@@ -332,7 +332,7 @@
             await soon(discovery.asked.wait())
             loop = asyncio.get_running_loop()
             for n in range(40):
-                with socket.socket() as device:  # asyncio's streams throw away what came before a reset
+                with socket.socket() as device:  # asyncio streams discard data received before a reset
                     device.setblocking(False)
                     await loop.sock_connect(device, ("127.0.0.1", relay.ports[0]))
                     line = OPEN.format(id=next(Device.IDS), d=1500, more="") + "\r\n"
@@ -343,6 +343,6 @@
                             answer += part
                 assert answer == b"UP r-1\r\n" or answer.startswith((b"BUSY", b"ERR")), f"device {n} got {answer!r}"
             counts = await relay.counters()
-            assert counts["stood"] >= 3, "the reset came after the answer"
+            assert counts["stood"] >= 3, "too few requests were accepted before the reset"
 
     asyncio.run(scenario())
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -1,4 +1,7 @@
-"""Settings that change while the relay serves: what is applied, what is rejected, and what keeps old rules."""
+"""Tests of settings that change while the relay serves.
+
+They cover what is applied, what is rejected, and which connections keep their previous rules.
+"""
 
 from __future__ import annotations
 
@@ -45,6 +48,7 @@
 
 
 def with_value(path: str, value: object) -> dict[str, Any]:
+    """Return a copy of FILE with another value at `path`; None deletes the key."""
     document = copy.deepcopy(FILE)
     parent: Any = document
     *keys, last = path.split(".")
@@ -100,8 +104,12 @@
     table = RequestClassTable().extended(("a", "b"), (CLASS, CLASS), ())
     table = table.extended(("b", "a"), (CLASS, slow), {0, 1})
     assert table.numbers() == {"b": 1, "a": 2} and table.rules == (CLASS, CLASS, slow)
-    assert table.extended(("a", "b"), (CLASS, CLASS), ()).numbers() == {"a": 0, "b": 1}, "told again: as before"
-    assert table.extended(("c", "b"), (CLASS, CLASS), {1, 2}).names == ("c", "b", "a"), "nobody holds the old a"
+    assert table.extended(("a", "b"), (CLASS, CLASS), ()).numbers() == {"a": 0, "b": 1}, (
+        "without connections, the classes are numbered from 0 again"
+    )
+    assert table.extended(("c", "b"), (CLASS, CLASS), {1, 2}).names == ("c", "b", "a"), (
+        "no connection uses the old class a"
+    )
     with pytest.raises(TooManyClassesError):
         table.extended(("c", "d"), (CLASS, CLASS), {0, 1, 2})
 
@@ -114,16 +122,20 @@
     assert table.numbers() == {"visit-checkin": 1} and merged.classes[0] == CLASS
     bench.core.apply_settings(table, merged, True)
     new, client = bench.arrive()
-    assert isinstance(bench.events[-2], SettingsChanged), "told before the first request under them"
+    assert isinstance(bench.events[-2], SettingsChanged), (
+        "the decision module is notified before the first request under the new settings"
+    )
     for connection, most in ((old, 4), (new, 1)):
         for _ in range(6):
             bench.order(StartAttempt(connection.number, "box-1", 500_000))
             if not bench.attempts[-1].is_over:
                 bench.attempts[-1].end(Cause.BROKEN)
         assert connection.attempts == most
-    assert old.may_be_rejected, "safe, by its own rules"
+    assert old.may_be_rejected, "the class was idempotent when this request started"
     new.connect_request = replace(new.connect_request, request_class=1)
-    assert not new.may_be_rejected, "what may have run and must not run twice is no invitation to come again"
+    assert not new.may_be_rejected, (
+        "a request that may have run and is not idempotent must not be retried by the client"
+    )
     bench.core.lifecycle.lame_duck()
     bench.wait(3_700_000)
     assert client.calls == ["fail"]
@@ -172,7 +184,7 @@
                 (valid.replace('"discovery": "ask"', '"x": 1'), "settings.discovery: missing"),
             ):
                 (tmp_path / "config.json").write_text(text)
-                await reload_and_await(f"not taken, the old one stays: .*{expected}")
+                await reload_and_await(f"configuration not applied, the current one stays in force: .*{expected}")
             (tmp_path / "config.json").write_text(valid)
             other = settings(maxAttempts=2)
             other["grades"] = [{**other["grades"][0], "name": "night-call"}, other["grades"][0]]
@@ -181,7 +193,7 @@
             await new_discovery.open()
             replace_config(tmp_path, settings=other, discovery=f"127.0.0.1:{new_discovery.port}")
             await reload_and_await("classes night-call, roster-feed, 2 attempts")
-            await soon(new_discovery.asked.wait())  # one file may change both
+            await soon(new_discovery.asked.wait())  # one reload may change classes and discovery
             new, dropped = await service.device(), await service.device()
             new.write_line(new.OPEN.format(id=new.id, d=1500, more="").replace("visit-checkin", "night-call"))
             assert await new.line() == "UP r-1"
@@ -191,7 +203,7 @@
             metrics = await relay.metrics()
             assert metrics["svc_conf_invalid_total"] == 4 and metrics["svc_conf_loaded_total"] == 1
             assert metrics['svc_answered_total{group="night-call"}'] == 1
-            assert metrics['svc_answered_total{group="visit-checkin"}'] == 1, "a dropped class keeps its counts"
+            assert metrics['svc_answered_total{group="visit-checkin"}'] == 1, "a removed class keeps its counts"
             assert metrics['svc_errored_total{group="visit-checkin"}'] == 1
             new_discovery.server.close()
 
--- a/tests/test_signals_at_the_start.py
+++ b/tests/test_signals_at_the_start.py
@@ -1,4 +1,4 @@
-"""Signals in the first moments of a start, while the program is being imported."""
+"""Tests of signals during the start, while the program is being imported."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from lab.stand_ins import HANG_TIMEOUT_S, Discovery, LineDevice, program, settings
 
-#: A module that Python imports at its start: the process gets a signal as it begins to import the service.
+#: A sitecustomize module, which Python imports first: it signals the process when the import of the service begins.
 SIGNALLED_IMPORT = """
 import os, sys
 class Signalled:
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGUSR1])
 def test_a_reload_or_counter_signal_during_the_start_is_ignored(tmp_path: Path, number: signal.Signals) -> None:
-    """Guards against a start that looks like a crash: these signals end a process that has no handlers yet."""
+    """Guards against a start that looks like a crash: without handlers, these signals kill the process."""
 
     async def scenario() -> None:
         environment = _environment(tmp_path, number)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,7 @@
-"""The two variants of the deployment, read without the bench: nothing in the program is fitted to one deployment."""
+"""Tests that the relay parses the settings of both deployment variants, without the platform.
+
+They guard against code that fits one deployment only.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 
 def platform_settings(site: dict[str, Any]) -> dict[str, Any]:
-    """The settings that a relay of the site is given, in the platform's form."""
+    """Return the settings of a relay at the site, in the platform's format."""
     tier, allow, rules = site["tier"][0], site["allow"], site["rules"]
     return {
         "grades": [
--- a/tests/test_stop_in_time.py
+++ b/tests/test_stop_in_time.py
@@ -1,4 +1,7 @@
-"""A planned stop that is held up: the time until SIGKILL counts from the signal, not from when the loop is ready."""
+"""Tests of a planned stop that is delayed.
+
+The time until SIGKILL counts from the signal, not from when the event loop handles it.
+"""
 
 from __future__ import annotations
 
@@ -19,16 +22,16 @@
 
 from .loop import Backend, Loop
 
-HOLD_UP_US = 150_000  # the longest that the operators' pages name
-MARGIN_US = 200_000  # before SIGKILL, where every client has been sent its answer
+HOLD_UP_US = 150_000  # the longest delay in the operators' documentation
+MARGIN_US = 200_000  # time left before SIGKILL if all clients have been sent their answers
 TICK_US = 4_000
 
 
 @pytest.mark.parametrize("step_held_up", ["the last answers", "the end of resting clients", "the stop"])
 def test_an_event_loop_held_up_during_the_stop_ends_before_sigkill(tmp_path: Path, step_held_up: str) -> None:
-    """Guards against a process that is there still at SIGKILL: delays that were chained made each late step later."""
+    """Guards against a process still running at SIGKILL: chained delays made each late step delay the next ones."""
     loop = Loop(tmp_path, [Backend()])
-    resting = loop.client()  # it never closes, so that the stop waits as long as it may
+    resting = loop.client()  # never closes, so that the stop takes as long as it may
     kill_us = loop.core.lifecycle.kill_us
     began_us = loop.now_us
     loop.leave()
@@ -42,7 +45,7 @@
 
 
 def test_a_signal_that_waits_for_the_event_loop_does_not_delay_the_stop(tmp_path: Path) -> None:
-    """Guards against a stop that is late by as long as its signal waited."""
+    """Guards against a stop that is delayed by the time for which its signal waited."""
     loop = Loop(tmp_path, [Backend()])
     resting = loop.client()
     kill_us = loop.core.lifecycle.kill_us
@@ -57,7 +60,7 @@
 
 
 def test_a_planned_stop_ends_without_the_interpreters_teardown(tmp_path: Path) -> None:
-    """Guards against a process that is there still at SIGKILL: the teardown takes up to 0.2 s on a busy machine."""
+    """Guards against a process still running at SIGKILL: the teardown takes up to 0.2 s on a busy machine."""
     (tmp_path / "sitecustomize.py").write_text(f"import atexit, os\n{TEARDOWN_MARK}\n")
     torn_down = tmp_path / "torn down"
     environment = {"PYTHONPATH": str(tmp_path), "TORN_DOWN": str(torn_down)}
@@ -66,16 +69,16 @@
         service_settings = settings(deadline_ms=300)
         async with program(tmp_path, Discovery(), service_settings, environment=environment) as relay:
             assert await relay.stop() == 0
-            assert "counters {" in relay.log[-1], "the last line of the log has left"
+            assert "counters {" in relay.log[-1], "the last log line was lost"
 
     asyncio.run(scenario())
     assert not torn_down.exists()
     subprocess.run([sys.executable, "-c", ""], env={**os.environ, **environment}, check=True)
-    assert torn_down.exists(), "another process leaves the mark"
+    assert torn_down.exists(), "the marker does not work: a process with a teardown left none"
 
 
 class HeldUpReactor:
-    """A reactor that takes calls, and makes them when the test says so."""
+    """A reactor that records calls from threads; the test runs them."""
 
     def __init__(self) -> None:
         self.calls: list[Any] = []
--- a/tests/test_stop_timeline.py
+++ b/tests/test_stop_timeline.py
@@ -1,4 +1,4 @@
-"""What the log tells of a planned stop: the time of each step, and connections that the listener's end resets."""
+"""Tests of the log of a planned stop: the time of each step, and connections reset by closing the listener."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
             line = (await relay.line("planned stop, ms after the signal: handled")).string
             at_ms = [int(ms) for _, ms in STEP.findall(line)]
             assert len(at_ms) == 3 and at_ms == sorted(at_ms)
-            assert at_ms[0] >= 550, "the longest deadline and 0.25 s"
+            assert at_ms[0] >= 550, "last answers before the longest deadline plus 0.25 s"
 
     asyncio.run(scenario())
 
--- a/tests/test_stored_form.py
+++ b/tests/test_stored_form.py
@@ -1,4 +1,4 @@
-"""The stored form of a connection that is handed over: its bytes are fixed, whatever the code's own names are."""
+"""Tests of the stored form of connection snapshots, whose bytes do not depend on the names used in the code."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from gradefront.state.form import SnapshotError, decode_snapshot, encode_snapshot, stored_rules
 from tests.helper import CLASS
 
-# As version 0.2.0 wrote it.
+# As written by release 0.2.0.
 VERSION_1 = (
     b'{"id":"c-17","klass":"visit-checkin","rules":{"aim_us":500000,"deadline_us":2000000,"repeat":"keyed",'
     b'"scope":"zone","dedup_window_us":750000,"worth":15.0,"message_aim_us":100000},"key":"k1","group":"g4",'
@@ -22,7 +22,7 @@
 
 
 def rules_from_settings(**changes: object) -> dict[str, object]:
-    """The stored rules of the class that version 1 describes, as settings tell it."""
+    """Return the stored rules of the request class in VERSION_1, parsed from settings with `changes`."""
     request_class = {
         "name": "visit-checkin",
         "aimUs": 500_000,
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A process replaces another under load, both on a listener that the platform holds."""
+"""Tests of upgrades: a process replaces another under load, both using a listener that the platform holds."""
 
 from __future__ import annotations
 
@@ -51,7 +51,9 @@
         bench.core.lifecycle.await_endpoint_list()
         began = bench.now
         bench.core.on_endpoint_list(EndpointListUpdate((Endpoint("box-1"),)))
-        assert not bench.core.lifecycle.accepts_clients, "a list from before may name backends that have left"
+        assert not bench.core.lifecycle.accepts_clients, (
+            "the configured endpoint list may name backends that have left"
+        )
         bench.wait(min(fresh_list_us, 5_000_000))
         bench.core.lifecycle.on_fresh_endpoint_list()
         assert bench.core.lifecycle.accepts_clients and len(opened) == 1 and opened[0] - began <= ready_us
@@ -133,11 +135,11 @@
 
 
 class Upgrade:
-    """An old and a new process of one relay, with what a folder of earlier ones holds."""
+    """Successive processes of one relay that share a listener and a folder for the handover socket."""
 
     def __init__(self, folder: Path, shared: bool = True) -> None:
         self.folder = folder
-        self.shared = folder if shared else None  # where processes meet
+        self.shared = folder if shared else None  # the folder of the handover socket
         self.backend, self.discovery = StandInBackend(lambda line: "UP r-1"), Discovery()
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=512)
         self.stack = AsyncExitStack()
@@ -163,7 +165,7 @@
                 shared=self.shared,
             )
         )
-        await process.line("takes clients from descriptor")
+        await process.line("accepts clients on inherited descriptor")
         return process
 
     async def establish(self, process: Program) -> LineDevice:
@@ -178,7 +180,7 @@
         outcomes: Counter[str] = Counter()
 
         async def device(port: int) -> None:
-            """Comes, is served until it is notified to move, comes again: an answer each time."""
+            """Connect twice; each time the request is accepted and the connection is later migrated."""
             for _ in range(2):
                 client = await LineDevice.connect(port)
                 client.open(d=4000)
@@ -197,8 +199,8 @@
             for _ in range(20):
                 devices.append(asyncio.ensure_future(device(port)))
                 await asyncio.sleep(0)
-            old.process.send_signal(signal.SIGHUP)  # and calls out of turn, in the midst of it
-            with suppress(OSError):  # it may be gone already
+            old.process.send_signal(signal.SIGHUP)  # a reload and an admin command while it is leaving
+            with suppress(OSError):  # the process may have exited already
                 assert (await old.call("LAMEDUCK"))[:1] in ([], ["ok leaving"])
             assert await old.stop() == 0
             assert (await new.metrics())["svc_current"] >= 20
@@ -220,7 +222,7 @@
             standing = await upgrade.establish(alone)
             alone.process.send_signal(signal.SIGTERM)
             await alone.line("leaving")
-            late = await upgrade.establish(alone)  # nobody else reads the listener's queue
+            late = await upgrade.establish(alone)  # no other process reads the listen queue
             assert await late.line() == await standing.line() == "MOVE"
             for device in (late, standing):
                 device.writer.close()
@@ -231,12 +233,12 @@
 
 def test_established_connections_are_handed_over_without_migrating_clients(tmp_path: Path) -> None:
     async def scenario() -> None:
-        (tmp_path / SOCKET_NAME).write_text("left by somebody")
+        (tmp_path / SOCKET_NAME).write_text("a leftover file")
         async with Upgrade(tmp_path) as upgrade:
             old = await upgrade.start("old")
             devices = [await upgrade.establish(old) for _ in range(30)]
             for n, device in enumerate(devices):
-                device.writer.write(b"half a li")  # a line that one process begins to read
+                device.writer.write(b"half a li")  # partial lines that the old process has read
                 upgrade.backend.writers[n].write(b"and ha")
             new = await upgrade.start("new")
             assert await old.stop() == 0
@@ -299,7 +301,7 @@
                 impostor.listen()
                 old.process.send_signal(signal.SIGTERM)
                 call = await asyncio.to_thread(impostor.accept)
-                call[0].close()  # before or after the first connection came to it: that one's sockets go with it
+                call[0].close()  # if it has received the first connection already, that connection is lost
             assert await device.line() in ("MOVE", "")
             assert await old.stop() == 0
 
@@ -326,9 +328,9 @@
 
                 await asyncio.to_thread(receive_ten_and_close)
             ends = Counter([await device.line() for device in devices])
-            # Ten, and what lay in the socket unread; whoever was still here is told.
+            # The ten received and those unread in the socket are lost; all others are migrated.
             assert set(ends) <= {"MOVE", ""} and 10 <= ends[""] <= 20 and ends["MOVE"] == 40 - ends[""]
-            await old.line("nothing more can be handed over")
+            await old.line("handover to the newest process failed; no more connections are handed over")
             assert await old.stop() == 0
 
     asyncio.run(scenario())
@@ -343,7 +345,7 @@
                 socket.send_fds(call, [b"{}"], [other.fileno()] * 2)
                 socket.send_fds(call, [encode_snapshot(SNAPSHOT)], [other.fileno()])
                 call.send(b"\0" * 60_000)
-            await new.line("connections were handed over so far")
+            await new.line("handover closed; 0 connections adopted so far")
             counts = await new.counters()
             assert counts["taken_over_badly"] == 3 and counts["visits_now"] == 0
             await upgrade.establish(new)
