--- a/gradefront/admin/server.py
+++ b/gradefront/admin/server.py
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import ServerFactory
 
 from gradefront.core.relay import RelayCore
-from gradefront.net.base import Lines
+from gradefront.net.base import LineProtocol
 from gradefront.net.closing import ConnectionCloser
 
 log = logging.getLogger("gradefront.admin")
@@ -26,7 +26,7 @@
 CommandHandler = Callable[[], list[str]]
 
 
-class AdminProtocol(Lines):
+class AdminProtocol(LineProtocol):
     """The connection of one caller."""
 
     delimiter = b"\n"  # a preceding CR is optional
@@ -39,7 +39,7 @@
     def connectionMade(self) -> None:
         """Wait for the command, with a timeout."""
         self.arrived_us = self.server.core.clock()
-        self.timeout = self.server.core.after(COMMAND_TIMEOUT_US, lambda: self.answer(["fail no call came"]))
+        self.timeout = self.server.core.call_later(COMMAND_TIMEOUT_US, lambda: self.answer(["fail no call came"]))
         self.server.on_connected(self)
 
     def lineReceived(self, line: bytes) -> None:
@@ -109,7 +109,7 @@
     def end(self) -> None:
         """Answer all callers, including those that have sent no command, because the process stops."""
         for caller in list(self.callers):
-            caller.catch_up()
+            caller.read_available()
             caller.answer(["fail the relay ends"])
         self.closing.close_all()
 
--- a/gradefront/net/endpoint_watch.py
+++ b/gradefront/net/endpoint_watch.py
@@ -60,7 +60,7 @@
             log.warning("the agent's watch is lost: %s; calling again", why)
         self.failures += 1
         # At once, but at a pace: an agent that refuses, or ends each call, is called until it is back.
-        self.core.after(max(0, self.called_us + self.retry_us - self.core.clock()), self.watch)
+        self.core.call_later(max(0, self.called_us + self.retry_us - self.core.clock()), self.watch)
 
     def watch(self) -> None:
         """Start a watch unless one is open: a retry that was set for a watch that has since been replaced must not
@@ -71,10 +71,10 @@
     def read_pending(self) -> None:
         """Read what lies unread on the watch: a drain announced a moment ago counts for what is sent now."""
         call = self.call
-        if call and not call.ended and call.line and call.line.connected:
-            call.line.catch_up()
+        if call and not call.ended and call.line_protocol and call.line_protocol.connected:
+            call.line_protocol.read_available()
 
-    def go_to(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Discovery has moved. The old watch ends now: nothing late from it counts, and its end is not reported.
         Revisions mean nothing at the new address, so the complete list is requested."""
         self.address = address
--- a/gradefront/reload.py
+++ b/gradefront/reload.py
@@ -52,14 +52,14 @@
     def __init__(
         self,
         config: Config,
-        front: ClientProtocolFactory,
+        client_factory: ClientProtocolFactory,
         endpoint_list: EndpointList,
         endpoint_watch: EndpointWatch,
         quic: QuicFront | None,
     ) -> None:
         self.config = config
-        self.core = front.core
-        self.front = front
+        self.core = client_factory.core
+        self.client_factory = client_factory
         self.endpoint_list = endpoint_list
         self.endpoint_watch = endpoint_watch
         self.quic = quic
@@ -86,7 +86,7 @@
         config = replace(
             loaded,
             settings=settings,
-            class_numbers=request_classes.numbers(),
+            class_numbers=request_classes.active_numbers_by_name(),
             discovery=_discovery_address(loaded, current),
             seed=current.seed,
             **{name: getattr(current, name) for name in FIXED_AT_START},
@@ -98,14 +98,14 @@
     def _apply(self, prepared: _Prepared) -> None:
         config, settings = prepared.config, prepared.settings
         discovery_moved = config.discovery != self.config.discovery
-        self.config = self.front.config = self.endpoint_list.config = config
+        self.config = self.client_factory.config = self.endpoint_list.config = config
         if (prepared.request_classes, settings) != (self.core.request_classes, self.core.settings):
             self.core.apply_settings(prepared.request_classes, settings, config.reports_message_latency)
             log.info("settings: classes %s, %d attempts", ", ".join(config.class_names), settings.max_attempts)
         self.core.counters.add("conf_loaded_total")
         log.info("configuration applied; discovery at %s:%d", *config.discovery)
         if discovery_moved:
-            self.endpoint_watch.go_to(config.discovery)
+            self.endpoint_watch.change_address(config.discovery)
         if self.quic and prepared.quic:
             self.quic.config = config
             self.quic.configure(prepared.quic)
--- a/gradefront/shutdown.py
+++ b/gradefront/shutdown.py
@@ -35,15 +35,15 @@
 
     def __init__(  # noqa: PLR0913 - it stops all parts of the process
         self,
-        front: ClientProtocolFactory,
+        client_factory: ClientProtocolFactory,
         listener: ClientListener,
         endpoint_watch: EndpointWatch,
         fleet: FleetPort | None,
         admin_port: Any,
         reactor: Reactor,
     ) -> None:
-        self.core = front.core
-        self.front = front
+        self.core = client_factory.core
+        self.client_factory = client_factory
         self.listener = listener
         self.endpoint_watch = endpoint_watch
         self.fleet = fleet
@@ -67,7 +67,7 @@
         self.listener.close_handover()
         if handover_socket:
             log.info("handing established connections over to the successor process")
-            HandoverSender(self.core, self.front, handover_socket).step()
+            HandoverSender(self.core, self.client_factory, handover_socket).step()
         self.core.lifecycle.leave(self._close_connections, at_once=handover_socket is None, waited_us=waited_us)
         self._stop_when_empty()
 
@@ -76,8 +76,8 @@
 
         Clients no longer connect to this process, and its successor needs the CPU time, memory and descriptors.
         """
-        if self.front.open_connections or self.core.connections:
-            self.core.after(EMPTY_CHECK_US, self._stop_when_empty)
+        if self.client_factory.open_connections or self.core.connections:
+            self.core.call_later(EMPTY_CHECK_US, self._stop_when_empty)
         else:
             self.core.lifecycle.stop(self._close_connections)
 
@@ -93,11 +93,11 @@
             self.fleet.leave()
         # Counted from when this step was due, not from when it ran: a late event loop does not delay SIGKILL.
         began_us = min(due_us, self.core.clock())
-        self.core.at(
+        self.core.call_at(
             began_us + DROP_HANDSHAKES_US, partial(self._drop_new_handshakes, began_us + REJECT_PRE_REQUEST_US)
         )
-        self.core.at(began_us + STOP_US, self._stop_when_sent)
-        self.core.at(began_us + FORCED_STOP_US, self._stop)
+        self.core.call_at(began_us + STOP_US, self._stop_when_sent)
+        self.core.call_at(began_us + FORCED_STOP_US, self._stop)
         self._stop_when_closed()
 
     def _drop_new_handshakes(self, reject_pre_request_us: int) -> None:
@@ -107,7 +107,7 @@
         """
         self.timeline.record("no new handshakes")
         self.listener.drop_new_handshakes()
-        self.core.at(max(reject_pre_request_us, self.core.clock() + MIN_HANDSHAKE_US), self._reject_pre_request)
+        self.core.call_at(max(reject_pre_request_us, self.core.clock() + MIN_HANDSHAKE_US), self._reject_pre_request)
 
     def _reject_pre_request(self) -> None:
         """Reject pre-request clients, including those in the listen queue. Only the first call has an effect."""
@@ -115,21 +115,21 @@
             return
         self.pre_request_rejected = True
         self.timeline.record("clients without a request rejected")
-        self.listener.accept_last_and_close()
-        self.front.end_rest()
+        self.listener.accept_pending_and_close()
+        self.client_factory.reject_pre_request()
 
     def _stop_when_closed(self) -> None:
         """Stop once all peers have closed, so that no close resets data that they have not read yet."""
         port = self.listener.port
-        if self.front.open_connections or self.front.upstreams or (port and port.connected):
-            self.core.after(CLOSED_CHECK_US, self._stop_when_closed)
+        if self.client_factory.open_connections or self.client_factory.upstreams or (port and port.connected):
+            self.core.call_later(CLOSED_CHECK_US, self._stop_when_closed)
         else:
             self._stop()
 
     def _stop_when_sent(self) -> None:
         """Stop once all clients have read their answers, without waiting for peers to close."""
-        if self.front.closing.unsent:
-            self.core.after(CLOSED_CHECK_US, self._stop_when_sent)
+        if self.client_factory.closing.unsent_count:
+            self.core.call_later(CLOSED_CHECK_US, self._stop_when_sent)
         else:
             self._stop()
 
@@ -138,11 +138,12 @@
             self._reject_pre_request()
             port = self.listener.port
             self.timeline.record(
-                f"stopped with {self.front.open_connections} clients, {len(self.front.upstreams)} connections to"
-                f" backends, listener {'open' if port and port.connected else 'closed'}"
+                f"stopped with {self.client_factory.open_connections} clients,"
+                f" {len(self.client_factory.upstreams)} connections to backends,"
+                f" listener {'open' if port and port.connected else 'closed'}"
             )
-            self.front.closing.close_all()
-            self.front.upstreams.close_all()
+            self.client_factory.closing.close_all()
+            self.client_factory.upstreams.close_all()
             self.endpoint_watch.close()
             self._close_admin_interface()
             self.reactor.stop()
@@ -150,5 +151,5 @@
     def _close_admin_interface(self) -> None:
         """Answer the commands received so far, after accepting queued callers, which the close would reset."""
         if self.admin_port:
-            self.admin_port.accept_last_and_close()
+            self.admin_port.accept_pending_and_close()
             self.admin_port.factory.end()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -29,7 +29,7 @@
     def flush(self) -> bool:
         return True
 
-    def catch_up(self) -> bool:
+    def read_available(self) -> bool:
         return False
 
     def abortConnection(self) -> None:
@@ -62,8 +62,8 @@
         assert connection
         for part in parts:
             cast(Any, connection).dataReceived(part)
-        answer = cast(bytes, connection.wire.value())
-        assert connection.wire.disconnecting == bool(answer)
+        answer = cast(bytes, connection.tcp.value())
+        assert connection.tcp.disconnecting == bool(answer)
         connection.connectionLost()
         return answer
 
@@ -112,7 +112,7 @@
         harness.bench.wait(300_000)
         assert len(harness.server.callers) <= MAX_CALLERS
     harness.bench.wait(COMMAND_TIMEOUT_US + 10_000)
-    assert all(connection.wire.value().startswith(b"fail") for connection in harness.server.callers), (
+    assert all(connection.tcp.value().startswith(b"fail") for connection in harness.server.callers), (
         "callers that send nothing are answered and closed"
     )
 
@@ -128,7 +128,7 @@
         "svc_conf_invalid_total 0",
         "svc_current 0",
     ]
-    counters.add_of_class("answered_total", 'q"\\\n')
+    counters.add_for_class("answered_total", 'q"\\\n')
     assert render_metrics(counters, ['q"\\\n', 'q"\\\n'], {})[0] == 'svc_answered_total{group="q\\"\\\\\\n"} 1'
 
 
--- a/tests/test_handover_end.py
+++ b/tests/test_handover_end.py
@@ -43,7 +43,7 @@
 def test_a_connection_sent_as_the_receiver_closes_is_adopted_or_refused(tmp_path: Path, is_accepted: bool) -> None:
     """Guards against lost clients: closing the handover socket closed the sockets in unread messages."""
     loop = Loop(tmp_path, [Backend()])
-    receiver = HandoverReceiver(loop.core, loop.relay.front, loop.reactor, tmp_path)
+    receiver = HandoverReceiver(loop.core, loop.relay.client_factory, loop.reactor, tmp_path)
     receiver.open()
     sender = Sender(tmp_path, loop.now_us)
     if is_accepted:
@@ -52,7 +52,7 @@
     receiver.close()
     assert loop.core.counters.counts["taken_over"] == 3
     loop.until(lambda: all(client.read() for client in clients))
-    assert all(client.got == b"MOVE\r\n" and not client.reset for client in clients), (
+    assert all(client.received == b"MOVE\r\n" and not client.reset for client in clients), (
         "clients whose class has other rules in this process are migrated"
     )
     with pytest.raises(OSError):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -61,7 +61,7 @@
 
 def test_a_replaced_process_migrates_its_clients_evenly_from_the_start() -> None:
     bench = Bench()
-    clients = [bench.standing()[1] for _ in range(30)]
+    clients = [bench.establish()[1] for _ in range(30)]
     bench.core.lifecycle.leave(lambda: None, at_once=True)
     migrated = []
     for _ in range(22):
