--- a/gradefront/admin/server.py
+++ b/gradefront/admin/server.py
@@ -116,8 +116,8 @@
     def run_command(self, line: bytes) -> list[str]:
         """Run one command and return the lines of its answer."""
         self.core.counters.add("door_calls")
-        answer = self.commands.get(line.removesuffix(b"\r").decode("ascii", "replace"))
-        if answer is None:
+        handler = self.commands.get(line.removesuffix(b"\r").decode("ascii", "replace"))
+        if handler is None:
             self.core.counters.add("door_unknown")
             return [f"fail the calls are {', '.join(self.commands)}"]
-        return answer()
+        return handler()
--- a/gradefront/state/handover_receiver.py
+++ b/gradefront/state/handover_receiver.py
@@ -40,9 +40,8 @@
     def connectionMade(self) -> None:
         """Count the connection. It gets no timeout for its request line."""
         self.arrived_us = self.client_factory.core.clock()
-        self.timeout = self.client_factory.core.call_later(
-            0, lambda: None
-        )  # placeholder: `_close` always cancels a timer
+        # A placeholder: `_close` always cancels a timer.
+        self.timeout = self.client_factory.core.call_later(0, lambda: None)
         self.client_factory.open_connections += 1
 
 
--- a/tests/test_moments_stop.py
+++ b/tests/test_moments_stop.py
@@ -27,7 +27,7 @@
 def test_a_request_read_in_state_stopping_is_answered_busy_and_never_forwarded(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
-    resting = loop.client()
+    idle = loop.client()
     loop.leave()
     loop.wait(700_000, 20_000)
     late = loop.client()
@@ -38,7 +38,7 @@
     loop.wait(400_000)
     assert not backend.has_pending, "a request read after the shutdown was forwarded"
     assert loop.stopped and late.read() == b"BUSY\r\n" and late.ended and not late.reset
-    assert resting.read() and resting.ended and not resting.reset
+    assert idle.read() and idle.ended and not idle.reset
 
 
 def test_a_request_in_the_listen_queue_at_the_stop_is_answered(tmp_path: Path) -> None:
@@ -99,7 +99,7 @@
     loop.leave()
     lifecycle = loop.core.lifecycle
     loop.wait(lifecycle.kill_us - 600_000, 20_000)
-    resting, asking = loop.client(), loop.client()
+    idle, asking = loop.client(), loop.client()
     loop.order.held.add(loop.protocol_of(asking).tcp.fileno())
     side = loop.protocol_of(asking)
     loop.wait(300_000)
@@ -108,7 +108,7 @@
         wait_ready(side.tcp.socket)
     loop.order.held.clear()
     loop.until(lambda: loop.wait(4_000) or loop.stopped)
-    for peer in (resting, asking):
+    for peer in (idle, asking):
         assert peer.read() == b"BUSY\r\n" and peer.ended and not peer.reset
     assert loop.stopped - loop.now_us <= 0 and not backend.has_pending
 
@@ -177,7 +177,7 @@
 
 def test_an_admin_answer_in_flight_at_the_stop_arrives_complete(tmp_path: Path) -> None:
     loop = Loop(tmp_path, [Backend()], admin="127.0.0.1:0")
-    resting = loop.client()
+    idle = loop.client()
     loop.leave()
     loop.until(lambda: loop.wait(10_000) or not loop.relay.port.connected)
     before = set(loop.reactor.getReaders())
@@ -189,7 +189,7 @@
     loop.order.held = {admin_transport.fileno()}
     caller.send(b"more than was asked for\r\n")
     wait_ready(admin_transport.socket)
-    resting.close()
+    idle.close()
     loop.until(lambda: not loop.relay.client_factory.open_connections)
     loop.wait(20_000)
     loop.order.held.clear()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -105,7 +105,7 @@
             began = time.monotonic()
             device.open(d=700)
             assert re.match("BUSY|ERR", await device.line())
-            # Tests of the core check the margin exactly; BUSY_S allows for a busy machine.
+            # Tests of the core check the margin to the millisecond; BUSY_S allows for a busy machine.
             assert time.monotonic() - began < 0.7 + BUSY_S
             assert await device.line() == ""
 
--- a/tests/test_stop_in_time.py
+++ b/tests/test_stop_in_time.py
@@ -27,33 +27,33 @@
 TICK_US = 4_000
 
 
-@pytest.mark.parametrize("step_held_up", ["the last answers", "the end of resting clients", "the stop"])
+@pytest.mark.parametrize("step_held_up", ["the last answers", "the rejection of idle clients", "the stop"])
 def test_an_event_loop_held_up_during_the_stop_ends_before_sigkill(tmp_path: Path, step_held_up: str) -> None:
     """Guards against a process still running at SIGKILL: chained delays made each late step delay the next ones."""
     loop = Loop(tmp_path, [Backend()])
-    resting = loop.client()  # never closes, so that the stop takes as long as it may
+    idle = loop.client()  # never closes, so that the stop takes as long as it may
     kill_us = loop.core.lifecycle.kill_us
     began_us = loop.now_us
     loop.leave()
-    held_up_us = {"the last answers": 450_000, "the end of resting clients": 350_000, "the stop": 200_000}
+    held_up_us = {"the last answers": 450_000, "the rejection of idle clients": 350_000, "the stop": 200_000}
     loop.wait(kill_us - held_up_us[step_held_up] - TICK_US)
     loop.now_us += HOLD_UP_US
     loop.until(lambda: loop.wait(TICK_US) or loop.stopped)
     late_us = HOLD_UP_US if step_held_up == "the stop" else 0
     assert loop.stopped - began_us <= kill_us - MARGIN_US + late_us + 2 * TICK_US
-    assert resting.read() == b"BUSY\r\n" and resting.ended and not resting.reset
+    assert idle.read() == b"BUSY\r\n" and idle.ended and not idle.reset
 
 
 def test_a_signal_that_waits_for_the_event_loop_does_not_delay_the_stop(tmp_path: Path) -> None:
     """Guards against a stop that is delayed by the time for which its signal waited."""
     loop = Loop(tmp_path, [Backend()])
-    resting = loop.client()
+    idle = loop.client()
     kill_us = loop.core.lifecycle.kill_us
     signalled_us = loop.now_us - HOLD_UP_US
     loop.relay.leave(HOLD_UP_US)
     loop.until(lambda: loop.wait(20_000) or loop.stopped)
     assert loop.stopped - signalled_us <= kill_us - MARGIN_US + 20_000
-    assert resting.read() == b"BUSY\r\n" and not resting.reset
+    assert idle.read() == b"BUSY\r\n" and not idle.reset
 
 
 TEARDOWN_MARK = "atexit.register(lambda: open(os.environ['TORN_DOWN'], 'w').close())"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -219,12 +219,12 @@
         async with Upgrade(tmp_path) as upgrade:
             upgrade.shared = tmp_path / "a folder in which no file can be made"
             alone = await upgrade.start("alone")
-            standing = await upgrade.establish(alone)
+            established = await upgrade.establish(alone)
             alone.process.send_signal(signal.SIGTERM)
             await alone.line("leaving")
             late = await upgrade.establish(alone)  # no other process reads the listen queue
-            assert await late.line() == await standing.line() == "MOVE"
-            for device in (late, standing):
+            assert await late.line() == await established.line() == "MOVE"
+            for device in (late, established):
                 device.writer.close()
             assert await soon(alone.process.wait()) == 0
 
