--- a/gradefront/cli/serve.py
+++ b/gradefront/cli/serve.py
@@ -1,10 +1,10 @@
-"""`serve`: the same as no verb at all."""
+"""`serve`: serve, as without a subcommand."""
 
 from __future__ import annotations
 
 import click
 
-from gradefront.early_signals import handle_until_served
+from gradefront.early_signals import install_startup_handlers
 
 
 @click.command(
@@ -14,8 +14,8 @@
 """
 )
 def serve() -> int:
-    """Serve until told to stop. LB_CONFIG names the relay's file; status 2 where it makes no sense."""
-    handle_until_served()
+    """Serve until a stop signal. LB_CONFIG names the configuration file; the exit status is 2 if it is invalid."""
+    install_startup_handlers()
     from gradefront.service import serve as run
 
     return run()
--- a/gradefront/early_signals.py
+++ b/gradefront/early_signals.py
@@ -1,20 +1,20 @@
-"""Signals that come while the program is imported: it takes some tenths of a second until `serve` handles them."""
+"""Handlers for signals received during the imports, which take some tenths of a second before `serve` runs."""
 
 from __future__ import annotations
 
 import os
 import signal
 
-#: The file is read after the imports in any case, and there is nothing to count yet.
-NOTHING_TO_DO = (signal.SIGHUP, signal.SIGUSR1)
-#: Nothing is held yet, so nothing has to be ended in order.
-ENDS_AT_ONCE = (signal.SIGTERM, signal.SIGINT)
+#: Reload and counter log: the configuration is read after the imports anyway, and there are no counts yet.
+IGNORED_SIGNALS = (signal.SIGHUP, signal.SIGUSR1)
+#: The process has no connections yet, so it can exit without a graceful shutdown.
+EXIT_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 EXIT_OK = 0
 
 
-def handle_until_served() -> None:
-    """Handle signals until the service sets its own handlers."""
-    for number in NOTHING_TO_DO:
+def install_startup_handlers() -> None:
+    """Install handlers that apply until the service installs its own."""
+    for number in IGNORED_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
-    for number in ENDS_AT_ONCE:
+    for number in EXIT_SIGNALS:
         signal.signal(number, lambda *_: os._exit(EXIT_OK))
--- a/tests/test_moments_stop.py
+++ b/tests/test_moments_stop.py
@@ -1,4 +1,4 @@
-"""Rare moments at the end of a relay: what comes in the instant in which it stops."""
+"""Tests of races at the stop of a relay: events that arrive at the moment of a state transition."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def stopping(loop: Loop) -> None:
-    """SIGTERM, and the clock at the moment from which nothing new is begun."""
+    """Stop the relay and advance the clock until it is in state STOPPING, in which nothing new begins."""
     loop.leave()
     lifecycle = loop.core.lifecycle
     loop.wait(lifecycle.kill_us - 500_000, 20_000)
@@ -24,10 +24,10 @@
         loop.wait(4_000)
 
 
-def test_a_request_read_after_the_last_answers_is_answered_and_never_sent(tmp_path: Path) -> None:
+def test_a_request_read_in_state_stopping_is_answered_busy_and_never_forwarded(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
-    resting = loop.client()
+    idle = loop.client()
     loop.leave()
     loop.wait(700_000, 20_000)
     late = loop.client()
@@ -38,16 +38,16 @@
     loop.wait(400_000)
     assert not backend.has_pending, "a request read after the shutdown was forwarded"
     assert loop.stopped and late.read() == b"BUSY\r\n" and late.ended and not late.reset
-    assert resting.read() and resting.ended and not resting.reset
+    assert idle.read() and idle.ended and not idle.reset
 
 
-def test_a_request_in_the_listeners_queue_at_the_end_is_answered(tmp_path: Path) -> None:
+def test_a_request_in_the_listen_queue_at_the_stop_is_answered(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     stopping(loop)
     port = loop.relay.port
     address = ("127.0.0.1", port.getHost().port) if port.connected else None
-    assert address, "the listener stands until its queue is empty"
+    assert address, "the listener is open until its queue is empty"
     loop.order.held.add(port.fileno())
     queued = Peer(socket.create_connection(address, HANG_TIMEOUT_S))
     queued.send_line("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=visit-checkin,d=900,g=5c0f6e1a2b3d4c59")
@@ -57,7 +57,7 @@
     assert loop.stopped and not backend.has_pending
 
 
-def test_an_attempt_that_connects_after_the_shutdown_writes_nothing(tmp_path: Path) -> None:
+def test_an_attempt_that_connects_in_state_stopping_sends_nothing(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     loop.leave()
@@ -75,13 +75,13 @@
     assert b"OPEN" not in at_backend.read() and at_backend.ended
 
 
-def test_what_stands_is_notified_though_a_line_of_it_comes_in_that_instant(tmp_path: Path) -> None:
+def test_an_established_client_is_migrated_though_a_line_of_it_is_still_unread(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client, _ = loop.establish(backend)
     side = loop.protocol_of(client)
     lifecycle = loop.core.lifecycle
-    loop.order.held.add(side.tcp.fileno())  # its line lies unread
+    loop.order.held.add(side.tcp.fileno())  # keeps the line from the client unread
     loop.leave()
     loop.wait(lifecycle.kill_us - 460_000, 20_000)
     client.send_line("a message")
@@ -93,13 +93,13 @@
     assert loop.stopped
 
 
-def test_a_client_without_a_request_until_the_end_is_ended_in_order(tmp_path: Path) -> None:
+def test_pre_request_connections_are_rejected_at_the_stop_without_a_reset(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     loop.leave()
     lifecycle = loop.core.lifecycle
     loop.wait(lifecycle.kill_us - 600_000, 20_000)
-    resting, asking = loop.client(), loop.client()
+    idle, asking = loop.client(), loop.client()
     loop.order.held.add(loop.protocol_of(asking).tcp.fileno())
     side = loop.protocol_of(asking)
     loop.wait(300_000)
@@ -108,17 +108,17 @@
         wait_ready(side.tcp.socket)
     loop.order.held.clear()
     loop.until(lambda: loop.wait(4_000) or loop.stopped)
-    for peer in (resting, asking):
+    for peer in (idle, asking):
         assert peer.read() == b"BUSY\r\n" and peer.ended and not peer.reset
     assert loop.stopped - loop.now_us <= 0 and not backend.has_pending
 
 
-def test_signals_that_come_twice_or_late_change_nothing(tmp_path: Path) -> None:
+def test_repeated_stop_signals_during_a_drain_neither_speed_up_nor_delay_the_stop(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend], settings(deadline_ms=800))
-    ends = [loop.establish(backend) for _ in range(10)]
-    clients = [client for client, _ in ends]
-    loop.core.lifecycle.lame_duck()  # a drain of 3.2 s; SIGKILL may come 1.5 s after SIGTERM
+    established = [loop.establish(backend) for _ in range(10)]
+    clients = [client for client, _ in established]
+    loop.core.lifecycle.lame_duck()  # a drain takes 3.2 s, but SIGKILL may follow 1.5 s after SIGTERM
     loop.wait(200_000)
     began = loop.now_us
     loop.leave()
@@ -129,35 +129,37 @@
             loop.leave()
         notified.append(sum(b"MOVE" in c.read() for c in clients))
     assert loop.stopped - began <= 1_500_000 - 150_000
-    assert max(b - a for a, b in zip(notified, notified[1:], strict=False)) <= 4, "spread over the time that there is"
+    assert max(b - a for a, b in zip(notified, notified[1:], strict=False)) <= 4, (
+        "migrations are spread over the available time"
+    )
     assert all(c.read().endswith(b"MOVE\r\n") and not c.reset for c in clients)
 
 
-@pytest.mark.parametrize("before", ["no list", "a drain ended", "an old file", "a new file", "a broken file"])
-def test_a_stop_at_an_odd_moment_answers_all_and_ends_in_time(
-    tmp_path: Path, before: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("scenario", ["no list", "a drain ended", "an old file", "a new file", "a broken file"])
+def test_a_stop_during_a_reload_or_drain_or_without_backends_answers_all_in_time(
+    tmp_path: Path, scenario: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     backend = Backend()
-    loop = Loop(tmp_path, [backend] if before != "no list" else [])
+    loop = Loop(tmp_path, [backend] if scenario != "no list" else [])
     client = loop.client()
-    ends = loop.establish(backend) if before != "no list" else None
-    if before == "a drain ended":
+    established = loop.establish(backend) if scenario != "no list" else None
+    if scenario == "a drain ended":
         loop.core.lifecycle.lame_duck()
         loop.wait(300_000, 20_000)
         loop.core.lifecycle.rejoin()
-    document = {**loop.config, "settings": settings(deadline_ms=1000)} if before == "a new file" else loop.config
-    (tmp_path / "config.json").write_text(json.dumps(document) if before != "a broken file" else "{")
+    document = {**loop.config, "settings": settings(deadline_ms=1000)} if scenario == "a new file" else loop.config
+    (tmp_path / "config.json").write_text(json.dumps(document) if scenario != "a broken file" else "{")
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
-    if before == "an old file":
-        loop.relay.reload()  # in the turn in which the signal comes
+    if scenario == "an old file":
+        loop.relay.reload()  # in the same turn of the event loop as the signal
     began, kill_us = loop.now_us, loop.core.lifecycle.kill_us
     loop.leave()
-    if "file" in before:
+    if "file" in scenario:
         loop.relay.reload()
         (tmp_path / "config.json").write_text(json.dumps({**document, "discovery": f"127.0.0.1:{Backend().port}"}))
         loop.relay.reload()
     loop.open(client)
-    if before == "no list":
+    if scenario == "no list":
         loop.until(lambda: loop.wait(20_000) or client.read().endswith(b"\r\n"))
         assert client.received.startswith(b"BUSY")
     else:
@@ -167,15 +169,15 @@
         at_backend.send_line("UP r-1")
     loop.until(lambda: loop.wait(20_000) or loop.stopped)
     assert loop.stopped - began <= kill_us - 150_000
-    for peer in (client, *(ends[:1] if ends else ())):
+    for peer in (client, *(established[:1] if established else ())):
         assert peer.read() and peer.ended and not peer.reset
-        assert before == "no list" or peer.received.endswith(b"MOVE\r\n")
+        assert scenario == "no list" or peer.received.endswith(b"MOVE\r\n")
     assert not loop.core.counters.counts["exceptions"]
 
 
-def test_an_operators_answer_that_is_under_way_at_the_end_arrives_whole(tmp_path: Path) -> None:
+def test_an_admin_answer_in_flight_at_the_stop_arrives_complete(tmp_path: Path) -> None:
     loop = Loop(tmp_path, [Backend()], admin="127.0.0.1:0")
-    resting = loop.client()
+    idle = loop.client()
     loop.leave()
     loop.until(lambda: loop.wait(10_000) or not loop.relay.port.connected)
     before = set(loop.reactor.getReaders())
@@ -183,11 +185,11 @@
     caller = Peer(socket.create_connection(("127.0.0.1", loop.relay.admin_server.getHost().port), HANG_TIMEOUT_S))
     caller.send(b"INFO\r\n")
     loop.until(lambda: loop.core.counters.counts["door_calls"])
-    (end,) = set(loop.reactor.getReaders()) - before
-    loop.order.held = {end.fileno()}
+    (admin_transport,) = set(loop.reactor.getReaders()) - before
+    loop.order.held = {admin_transport.fileno()}
     caller.send(b"more than was asked for\r\n")
-    wait_ready(end.socket)
-    resting.close()
+    wait_ready(admin_transport.socket)
+    idle.close()
     loop.until(lambda: not loop.relay.client_factory.open_connections)
     loop.wait(20_000)
     loop.order.held.clear()
@@ -197,16 +199,16 @@
     loop.until(lambda: loop.wait(4_000) or loop.stopped)
 
 
-def test_an_operators_call_in_the_queue_at_the_end_is_answered(tmp_path: Path) -> None:
-    """Guards against a reset in place of an answer: the interface was closed over the callers in its queue."""
+def test_an_admin_command_in_the_listen_queue_at_the_stop_is_answered(tmp_path: Path) -> None:
+    """Guards against a reset instead of an answer: the admin listener was closed with callers in its queue."""
     loop = Loop(tmp_path, [Backend()], admin="127.0.0.1:0")
     stopping(loop)
     port = loop.relay.admin_server
     assert port
     address = ("127.0.0.1", port.getHost().port)
     loop.order.held.add(port.fileno())
-    calling, silent = (Peer(socket.create_connection(address, HANG_TIMEOUT_S)) for _ in range(2))
-    calling.send_line("PING")
+    caller, silent = (Peer(socket.create_connection(address, HANG_TIMEOUT_S)) for _ in range(2))
+    caller.send_line("PING")
     loop.until(lambda: loop.wait(4_000) or loop.stopped)
-    assert calling.read() == b"fail stopped\r\n" and calling.ended and not calling.reset
+    assert caller.read() == b"fail stopped\r\n" and caller.ended and not caller.reset
     assert silent.read() == b"fail the relay ends\r\n" and silent.ended and not silent.reset
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,7 @@
-"""The two variants of the deployment, read without the bench: nothing in the program is fitted to one deployment."""
+"""Tests that the relay parses the settings of both deployment variants, without the platform.
+
+They guard against code that fits one deployment only.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 
 def platform_settings(site: dict[str, Any]) -> dict[str, Any]:
-    """The settings that a relay of the site is given, in the platform's form."""
+    """Return the settings of a relay at the site, in the platform's format."""
     tier, allow, rules = site["tier"][0], site["allow"], site["rules"]
     return {
         "grades": [
@@ -57,7 +60,7 @@
     ("name", "attempts", "asked", "classes", "tenants"),
     [("lake-mild", 5, True, 2, 2), ("mill-strict", 1, False, 3, 4)],
 )
-def test_a_variant_is_read_by_the_programs_own_reader(
+def test_the_settings_of_each_deployment_variant_are_parsed(
     name: str, attempts: int, asked: bool, classes: int, tenants: int
 ) -> None:
     site = tomllib.loads((SITES / f"{name}.toml").read_text())
