--- a/gradefront/net/__init__.py
+++ b/gradefront/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's wire: clients' lines, backends' lines, health checks and the endpoint list, on Twisted."""
+"""The platform's protocols on Twisted: client and backend connections, health checks and the endpoint list."""
--- a/gradefront/net/backend_connection.py
+++ b/gradefront/net/backend_connection.py
@@ -1,4 +1,4 @@
-"""Connections to backends: one for each attempt. A successful attempt's connection serves the client."""
+"""Backend connections: one per attempt. The connection of a successful attempt goes on to serve the client."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from gradefront.core.connection import Attempt
 from gradefront.core.ports import BackendConnection, ConnectionEnd
 
-from .base import LineProtocol, ending
+from .base import LineProtocol, connection_end
 from .closing import ConnectionCloser
 from .lines import RequestLine, parse_load_report
 from .reactor import Reactor
@@ -26,32 +26,36 @@
 
 
 class RequestStage(Enum):
-    """How far the request line has come."""
+    """How far the request line has been sent."""
 
     UNWRITTEN = "unwritten"
-    BUFFERED = "buffered"  # the transport has it
-    SENT = "sent"  # the kernel has all of it
+    BUFFERED = "buffered"  # in the transport's buffer
+    SENT = "sent"  # accepted by the kernel to the last byte
 
 
 class BackendProtocol(LineProtocol):
-    """The lines to and from one backend."""
+    """Line protocol of one backend connection."""
 
     def __init__(self, upstream: LineBackendConnection) -> None:
         self.upstream = upstream
         self.stage = RequestStage.UNWRITTEN
 
     def connectionMade(self) -> None:
-        """Send the request line, and learn from the transport when its last byte has left."""
+        """Send the request line; as a pull producer, learn when the kernel has accepted its last byte."""
         transport = self.tcp
-        self.send_at_once()
-        transport.before_send = self._may_send
+        self.disable_nagle()
+        transport.before_send = self._check_send_veto
         transport.registerProducer(self, False)
-        # At once, not when the loop comes round: until then the client may leave, or the backend start to drain.
+        # Write now, not in the next event loop iteration: by then the client may have disconnected or the backend
+        # started to drain.
         transport.flush()
 
-    def _may_send(self) -> bool:
-        """Asked before each piece of the request line leaves: a short write may leave the rest for later, and what
-        forbids the first piece forbids the last. Until the last has left, the backend has no request."""
+    def _check_send_veto(self) -> bool:
+        """Check the send veto before each write of the request line; on a veto, end the attempt and abort.
+
+        After a short write the rest of the line is sent later, and a veto counts for it as for the first bytes: until
+        the backend has received the whole line, it has no request.
+        """
         attempt = self.upstream.attempt
         veto = attempt.send_veto()
         if veto:
@@ -62,7 +66,7 @@
         return True
 
     def resumeProducing(self) -> None:
-        """Called as a pull producer: first to write, then when all that was written has left."""
+        """Write the request line on the first call; the second call means that the kernel has accepted all of it."""
         transport = self.tcp
         if self.stage is RequestStage.UNWRITTEN:
             self.stage = RequestStage.BUFFERED
@@ -74,31 +78,31 @@
             self.upstream.attempt.advance(AttemptPhase.SENT)
 
     def stopProducing(self) -> None:
-        """The transport is gone; `connectionLost` does the rest."""
+        """Do nothing: the transport is closed, and `connectionLost` cleans up."""
 
     def lineReceived(self, line: bytes) -> None:
-        """Handle a line. Guards the relay: an exception ends this connection only."""
+        """Handle a line. An exception is logged and aborts this connection only."""
         try:
             self.upstream.on_line(line)
         except Exception:
-            log.exception("a backend's line failed")
+            log.exception("unhandled exception while processing a line from a backend")
             self.abort()
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: ARG002 - Twisted's signature
-        """End this connection for an overlong line; an established one migrates."""
-        self.upstream.count_invalid("sent an overlong line")
+        """Abort this connection on an overlong line; if it was established, migrate the client first."""
+        self.upstream.count_invalid("sent a line that exceeds the length limit")
         attempt = self.upstream.attempt
         attempt.core.migrate(attempt.connection)
         self.abort()
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Report the end, with what the backend sent of an unfinished line."""
+        """Report the end of the connection, with the bytes of an incomplete last line."""
         super().connectionLost(reason)
-        self.upstream.on_connection_lost(ending(reason), self.take_partial_line())
+        self.upstream.on_connection_lost(connection_end(reason), self.take_partial_line())
 
 
 class LineBackendConnection(ClientFactory):
-    """One attempt's connection to its backend."""
+    """Backend connection of one attempt, and Twisted's factory for its protocol."""
 
     noisy = False
 
@@ -109,26 +113,26 @@
         self.line_protocol: BackendProtocol | None = None
         self.connector: Any = None
         self.to_client: Callable[[bytes], None] | None = None
-        self.cause = Cause.BROKEN  # of the attempt's end, if the connection ends in order now
+        self.cause = Cause.BROKEN  # cause reported for the attempt if the backend closes in an orderly way now
         self.gone = False
         self.reads_load_report = attempt.connection.settings.load_report_source is LoadReportSource.ATTEMPT_RESULTS
 
-    # ---- Twisted's factory
+    # ---- Twisted's client factory
 
     def buildProtocol(self, addr: object) -> BackendProtocol:  # noqa: ARG002 - Twisted's signature
-        """The connection to the backend is open."""
+        """Create the protocol of the backend connection, which is now open."""
         self.line_protocol = BackendProtocol(self)
         return self.line_protocol
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: ARG002 - Twisted's signature
-        """The backend refused, or the connection was given up before it was open."""
+        """End the attempt: the backend refused the connection, or it was cancelled before it opened."""
         self.gone = True
         self.attempt.end(Cause.BROKEN)
 
-    # ---- from the backend
+    # ---- calls from the backend's side
 
     def on_line(self, line: bytes) -> None:
-        """Handle a complete line from the backend."""
+        """Handle a complete line from the backend: a response, a load report or a message to the client."""
         attempt = self.attempt
         if attempt.is_over:
             return
@@ -142,7 +146,7 @@
             try:
                 attempt.on_load_report(float(line[5:]))
             except ValueError:
-                self.count_invalid("sent a load that is no number")
+                self.count_invalid("sent a LOAD line without a valid number")
         else:
             attempt.on_message_received()
             if line == b"MOVE":
@@ -157,8 +161,10 @@
         attempt = self.attempt
         if verb == b"BUSY":
             attempt.end(Cause.FULL)
-        elif attempt.phase < AttemptPhase.SENT:  # the request has not left completely, and was not executed
-            self.count_invalid("responded before the request was sent")
+        elif (
+            attempt.phase < AttemptPhase.SENT
+        ):  # the request line is not sent completely, so the request was not executed
+            self.count_invalid("responded before the request line was sent")
             attempt.end(Cause.BROKEN)
         elif ESTABLISHED_RESPONSE.fullmatch(line):
             attempt.succeed(line)
@@ -166,45 +172,45 @@
             attempt.end(Cause.SENT_AWAY)
         else:
             if verb != b"ERR":
-                self.count_invalid("sent no response of the protocol")
+                self.count_invalid("sent an unknown response to the request line")
             attempt.end(Cause.ERROR)
 
     def count_invalid(self, what: str) -> None:
-        """Count what no backend sends."""
+        """Count a protocol violation by the backend, and log it rate-limited."""
         core = self.attempt.core
         core.counters.bad("bad_answers", f"backend {self.attempt.backend} {what}", core.clock())
 
-    def on_connection_lost(self, how: ConnectionEnd, unfinished: bytes) -> None:
-        """The connection to the backend ended, after `unfinished` of a line."""
+    def on_connection_lost(self, end: ConnectionEnd, partial_line: bytes) -> None:
+        """Forward the incomplete last line to the client, and end the attempt."""
         self.gone = True
-        if unfinished and self.to_client and not self.attempt.is_over:
-            self.to_client(unfinished)
-        self.attempt.end(self.cause if how is ConnectionEnd.ORDERLY else Cause.BROKEN, how)
+        if partial_line and self.to_client and not self.attempt.is_over:
+            self.to_client(partial_line)
+        self.attempt.end(self.cause if end is ConnectionEnd.ORDERLY else Cause.BROKEN, end)
 
-    # ---- from the client
+    # ---- calls from the client's side
 
     def forward_line(self, line: bytes) -> None:
-        """Forward a complete line from the client."""
+        """Forward a complete line from the client to the backend."""
         if self.line_protocol and self.line_protocol.transport and not self.gone:
             self.attempt.on_message_sent()
             self.line_protocol.tcp.write(line + b"\r\n")
 
-    def forward_partial_line(self, unfinished: bytes) -> None:
-        """Forward what the client sent of an unfinished line before it ended."""
+    def forward_partial_line(self, partial_line: bytes) -> None:
+        """Forward the incomplete last line of a client that has closed its side."""
         if self.line_protocol and self.line_protocol.transport and not self.gone:
-            self.line_protocol.tcp.write(unfinished)
+            self.line_protocol.tcp.write(partial_line)
 
-    def close(self, how: ConnectionEnd) -> None:
-        """End this connection, in the way given."""
+    def close(self, end: ConnectionEnd) -> None:
+        """Close this connection: a reset if `end` is BROKEN or the attempt is not established, else orderly."""
         self.to_client = None
         if self.line_protocol is None:
             if self.connector is not None and not self.gone:
                 self.gone = True
                 self.connector.disconnect()
         elif self.line_protocol.transport and not self.gone:
-            # A cancelled attempt must leave nothing that could still arrive: a retry may follow, and what is written,
-            # here or in the kernel, goes on its way until the connection is reset.
-            if how is ConnectionEnd.BROKEN or self.attempt.phase < AttemptPhase.UP:
+            # No bytes of a cancelled attempt may still reach the backend, because a retry may follow. Data that waits
+            # in the transport's or the kernel's buffer would still be sent unless the connection is reset.
+            if end is ConnectionEnd.BROKEN or self.attempt.phase < AttemptPhase.UP:
                 self.line_protocol.abort()
             else:
                 self.line_protocol.tcp.unregisterProducer()
@@ -212,7 +218,10 @@
 
 
 class LineBackendConnector:
-    """Reaches backends over the platform's lines. `address` gives a listed backend's host and port."""
+    """Opens backend connections on the platform's line protocol.
+
+    `address` returns host and port of a backend, or None if it is not in the endpoint list.
+    """
 
     def __init__(
         self, reactor: Reactor, address: Callable[[str], tuple[str, int] | None], closing: ConnectionCloser
@@ -222,11 +231,11 @@
         self.address = address
 
     def connect(self, attempt: Attempt, request_line: object) -> BackendConnection:
-        """Connect and send the client's request line. The outcome goes to `attempt`."""
+        """Connect to the attempt's backend and send the request line. The outcome is reported to `attempt`."""
         assert isinstance(request_line, RequestLine)
         upstream = LineBackendConnection(attempt, request_line, self.closing)
         address = self.address(attempt.backend)
-        if address is None:  # not in the endpoint list any more: nothing was sent
+        if address is None:  # removed from the endpoint list meanwhile; nothing was sent
             attempt.end(Cause.BROKEN)
         else:
             upstream.connector = self.reactor.connectTCP(*address, upstream, timeout=None)
--- a/gradefront/net/base.py
+++ b/gradefront/net/base.py
@@ -1,4 +1,4 @@
-"""What all line protocols here share: the platform's form of a line, and a typed way to the transport."""
+"""Base class of the platform's line protocols: line format, graceful close and untyped access to the transport."""
 
 from __future__ import annotations
 
@@ -19,93 +19,98 @@
 
 @implementer(IHalfCloseableProtocol)
 class LineProtocol(LineReceiver):
-    """A protocol of lines that end with CRLF and are at most 4 KiB long."""
+    """A protocol whose lines end with CRLF and are at most 4 KiB long."""
 
     MAX_LENGTH = MAX_LINE
     delimiter = b"\r\n"
-    closer: ConnectionCloser | None = None  # from `finish` on
-    discarded = 0  # bytes received since then
+    closer: ConnectionCloser | None = None  # set by `finish`
+    discarded = 0  # bytes received after `finish`
     aborted = False
 
     @property
     def tcp(self) -> Any:
-        """The transport."""
+        """The TCP transport, typed as Any: Twisted's interface lacks the methods of this package's transports."""
         return self.transport
 
-    def send_at_once(self) -> None:
-        """Don't hold small writes back. Guards the connection: where that fails they are late, and no more."""
+    def disable_nagle(self) -> None:
+        """Disable Nagle's algorithm. A failure is ignored, since it only delays small writes."""
         with suppress(OSError):
             self.tcp.setTcpNoDelay(True)
 
     def write_line(self, line: bytes) -> None:
-        """Write a line, given without its end."""
+        """Write a line; CRLF is appended."""
         self.tcp.write(line + b"\r\n")
 
-    def finish(self, closer: ConnectionCloser, how: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
-        """End once all that was written has left. What is received from here on is discarded."""
+    def finish(self, closer: ConnectionCloser, end: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
+        """Close the connection as soon as all written data is sent. Data received from now on is discarded."""
         if self.closer is None and not self.aborted:
             self.closer = closer
-            closer.begin(self, how)
+            closer.begin(self, end)
 
     def dataReceived(self, data: bytes) -> None:
-        """Bytes. After the end they are discarded, as unread ones would turn it into a reset: up to
-        MAX_DISCARDED_BYTES."""
+        """Handle received bytes. After `finish`, discard up to MAX_DISCARDED_BYTES of them: closing a socket that has
+        unread data would reset the connection."""
         if self.closer is None:
             cast(Any, super()).dataReceived(data)
             return
         self.discarded += len(data)
         if self.discarded > MAX_DISCARDED_BYTES:
-            self.closer.on_overrun(self)
+            self.closer.on_discard_limit(self)
 
     def abort(self) -> None:
-        """End at once, by a reset. Nothing more is read."""
+        """Reset the connection at once. Nothing more is read."""
         self.aborted = True
         self.tcp.abortConnection()
 
     def readConnectionLost(self) -> None:
-        """The peer has shut its sending side."""
+        """Handle the end of the peer's sending side (Twisted's half-close callback)."""
         if self.closer:
-            self.closer.on_peer_ended(self)
+            self.closer.on_peer_eof(self)
         else:
-            self.peer_ended()
+            self.on_peer_eof()
 
-    def peer_ended(self) -> None:
-        """The peer has shut its sending side first: by default that ends both sides. A protocol with a last line for
-        a peer that may still read overrides this."""
+    def on_peer_eof(self) -> None:
+        """Close both sides, because the peer has closed its sending side before this side did.
+
+        Protocols that still send a final line to such a peer override this.
+        """
         cast(Any, self.tcp).connectionLost(cast(Any, Failure)(ConnectionDone()))
 
     def writeConnectionLost(self) -> None:
-        """All that was written is with the kernel, and this sending side is shut."""
+        """Notify the closer that the kernel has accepted all written data and the sending side is shut down."""
         if self.closer:
             self.closer.on_sent(self)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: ARG002 - Twisted's signature
-        """The connection is no more."""
+        """Notify the closer that the connection has ended."""
         if self.closer:
             self.closer.on_connection_lost(self)
 
     def read_available(self) -> bool:
-        """Read what lies unread. Whether the peer has ended its side, also where the reactor has not seen it yet."""
+        """Read the data that the kernel holds; return whether the peer has closed its side.
+
+        This detects a close that the reactor has not noticed yet.
+        """
         return self.closer is not None or self.aborted or bool(self.tcp.read_available())
 
     def take_partial_line(self) -> bytes:
-        """Remove and return what has come of a line that has no end yet."""
+        """Remove and return the received bytes of an incomplete line."""
         return cast(bytes, cast(Any, self).clearLineBuffer())
 
     def replay_received(self, data: bytes) -> None:
-        """Handle what was read of the connection before, in this process or in another."""
+        """Handle data that this process or an earlier one has read from the connection but not handled."""
         if data:
             cast(Any, self).dataReceived(data)
 
-    def read_bytes(self) -> None:
-        """From here on receive bytes, not lines."""
+    def receive_raw(self) -> None:
+        """Switch to raw mode: from now on receive bytes, not lines."""
         cast(Any, self).setRawMode()
 
-    def read_lines(self, rest: bytes) -> None:
-        """From here on receive lines again, beginning with `rest`."""
+    def receive_lines(self, rest: bytes) -> None:
+        """Switch back to line mode, beginning with the bytes in `rest`."""
         cast(Any, self).setLineMode(rest)
 
 
-def ending(reason: Any) -> ConnectionEnd:
-    """How the other side ended its connection, by Twisted's reason."""
+def connection_end(reason: Any) -> ConnectionEnd:
+    """Return ORDERLY if Twisted's reason says that the connection was closed cleanly, else BROKEN."""
     return ConnectionEnd.ORDERLY if reason.check(ConnectionDone) else ConnectionEnd.BROKEN
--- a/gradefront/net/client_protocol.py
+++ b/gradefront/net/client_protocol.py
@@ -1,7 +1,7 @@
-"""Clients' connections on the platform's lines: the protocol of one connection, and its factory.
+"""Client connections on the platform's line protocol: the protocol of one connection, and its factory.
 
-Clients that make no request, or send what no client sends, come by hundreds and reconnect at once: they are
-rejected early and cheaply.
+Clients that send no request or an invalid one arrive by the hundreds and reconnect at once, so they are rejected
+early and cheaply.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from gradefront.core.relay import RelayCore
 
 from .backend_connection import LineBackendConnection
-from .base import LineProtocol, ending
+from .base import LineProtocol, connection_end
 from .closing import DESCRIPTOR_SHARE, ConnectionCloser
 from .descriptor_budget import DescriptorBudget
 from .lines import InvalidLineError, parse_connection_id, parse_request_line
@@ -26,56 +26,58 @@
 
 log = logging.getLogger("gradefront.client")
 
-PRE_REQUEST_TIMEOUT_US = 2_200_000  # from connecting; a client that has made no request is owed an answer within 3 s
-MAX_PINGS = 32  # on one connection, before its request
+PRE_REQUEST_TIMEOUT_US = 2_200_000  # since accept; the protocol owes a client without a request an answer within 3 s
+MAX_PINGS = 32  # `PING` lines answered on one connection before its request
 MIN_PRE_REQUEST_AGE_US = (
-    250_000  # a younger connection is not closed for its descriptor: its request may be under way
+    250_000  # younger connections are not closed to free a descriptor: their request may be in transit
 )
 
 
 class ClientProtocol(LineProtocol):
-    """The lines to and from one client. To the core it is the connection's client side (`ports.ClientConnection`)."""
+    """Line protocol of one client connection. Implements the core's `ports.ClientConnection`."""
 
     def __init__(self, client_factory: ClientProtocolFactory) -> None:
         self.client_factory = client_factory
         self.connection: Connection | None = None
-        self.upstream: LineBackendConnection | None = None  # from when the connection is established
+        self.upstream: LineBackendConnection | None = None  # set once the connection is established
         self.pings = 0
-        self.id = b""  # the connection id in its request
+        self.id = b""  # connection id of the request line
         self.closing = False
 
     # ---- Twisted's protocol
 
     def connectionMade(self) -> None:
-        """The client connected."""
-        self.send_at_once()
+        """Register the connection with the factory, and start the timeout for its request."""
+        self.disable_nagle()
         self.arrived_us = self.client_factory.core.clock()
         self.timeout = self.client_factory.core.after(PRE_REQUEST_TIMEOUT_US, self._on_pre_request_timeout)
         self.client_factory.on_connected(self)
 
     def _on_pre_request_timeout(self) -> None:
-        """Guards the descriptors: silence, half a line, dripping bytes, endless `PING` get no more time."""
+        """Close the connection with `ERR`, because no complete request has arrived in time.
+
+        Neither single bytes nor `PING` extend the timeout, so that such clients cannot hold descriptors.
+        """
         self.client_factory.core.counters.add("mute")
         self._finish_with(b"ERR")
 
     def lineReceived(self, line: bytes) -> None:
-        """Handle a line. Guards the relay: an exception ends this connection only."""
+        """Handle a line. An exception is logged and ends this connection only."""
         try:
-            self._line(line)
+            self._handle_line(line)
         except Exception:
-            log.exception("a client's line failed")
+            log.exception("unhandled exception while processing a line from a client")
             self.client_factory.core.counters.add("exceptions")
             self.fail_protocol()
 
-    def _line(self, line: bytes) -> None:
+    def _handle_line(self, line: bytes) -> None:
         if self.closing:
             return
         if self.upstream:
             self.upstream.forward_line(line)
         elif self.connection:
-            self.client_factory.count_invalid(
-                "a line before its connection was established"
-            )  # a client waits for its answer first
+            # The protocol requires a client to wait for the answer to its request before it sends anything.
+            self.client_factory.count_invalid("sent a line before its connection was established")
             self.client_factory.core.fail_unestablished(self.connection)
         elif line == b"PING" and self.pings < MAX_PINGS:
             self.pings += 1
@@ -90,13 +92,15 @@
             self.id = parse_connection_id(line)
             client_factory.record_connection_id(self.id)
         except InvalidLineError as error:
-            if error.request_class in client_factory.core.request_classes.names:  # it was in force before
+            if (
+                error.request_class in client_factory.core.request_classes.names
+            ):  # a class that an earlier configuration had
                 client_factory.core.counters.add_of_class("errored_total", error.request_class)
             client_factory.count_invalid(str(error))
             self._finish_with(b"ERR")
             return
         if client_factory.descriptors_held() + 1 > client_factory.budget.for_requests:
-            # Guards against running out of descriptors: a connection holds one more, to its backend.
+            # Each forwarded request needs one more descriptor, for the backend connection.
             client_factory.core.counters.add("no_sockets")
             client_factory.core.count_answer("deferred_total", request.request_class)
             self._finish_with(b"BUSY")
@@ -109,57 +113,59 @@
             self.connection = client_factory.core.accept(request, self, client_factory.connector)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: ARG002 - Twisted's signature
-        """End this connection for an overlong line."""
+        """End this connection with a final answer, because a line exceeds the length limit."""
         if not self.closing:
-            self.client_factory.count_invalid("an overlong line")
+            self.client_factory.count_invalid("sent a line that exceeds the length limit")
             self.fail_protocol()
 
     def fail_protocol(self) -> None:
-        """End a connection on which nothing more can be understood, with a final answer if one is owed."""
+        """End the connection after a protocol violation, with the final answer that its state requires."""
         if self.connection and self.upstream:
             self.client_factory.core.migrate(self.connection)
         elif self.connection:
             self.client_factory.core.fail_unestablished(self.connection)
         self._finish_with(b"ERR")
 
-    def peer_ended(self) -> None:
-        """The client has shut its sending side and may still read: nothing more is forwarded for it, but a final
-        answer harms in neither reading."""
-        unfinished = self.take_partial_line()
-        if self.upstream and unfinished:
-            self.upstream.forward_partial_line(unfinished)
+    def on_peer_eof(self) -> None:
+        """Handle a client that has closed its sending side: forward nothing more, but send a pending final answer.
+
+        Whether the client still reads is unknown; if it does not, the answer does no harm.
+        """
+        partial_line = self.take_partial_line()
+        if self.upstream and partial_line:
+            self.upstream.forward_partial_line(partial_line)
         was_established = self.upstream is not None
         if self.connection:
             self.client_factory.core.on_client_closed(self.connection, ConnectionEnd.ORDERLY)
         if self.connection and not was_established:
             self._finish_with(b"ERR")
         self._close()
-        self.client_factory.closing.on_peer_ended(self)
+        self.client_factory.closing.on_peer_eof(self)
 
     def connectionLost(self, reason: Any = None) -> None:
-        """The client or this relay ended the connection."""
+        """Release what the connection holds, and notify the core, after either side has closed it."""
         super().connectionLost(reason)
         self.client_factory.open_connections -= 1
         self.client_factory.pre_request.pop(self, None)
         self.timeout.cancel()
-        unfinished = self.take_partial_line()
-        if self.upstream and unfinished and not self.closing:
-            self.upstream.forward_partial_line(unfinished)
+        partial_line = self.take_partial_line()
+        if self.upstream and partial_line and not self.closing:
+            self.upstream.forward_partial_line(partial_line)
         self.closing = True
         if self.connection:
-            self.client_factory.core.on_client_closed(self.connection, ending(reason))
+            self.client_factory.core.on_client_closed(self.connection, connection_end(reason))
 
-    # ---- the core's client side
+    # ---- the core's ports.ClientConnection
 
     def establish(self, upstream: BackendConnection, response_line: object) -> None:
-        """Forward the backend's response line, then all lines both ways."""
+        """Forward the backend's response line, then all lines in both directions."""
         assert isinstance(upstream, LineBackendConnection) and isinstance(response_line, bytes)
         self.write_line(response_line)
         if not self.closing:
             self.start_forwarding(upstream)
 
     def start_forwarding(self, upstream: LineBackendConnection) -> None:
-        """Forward all lines both ways, each side held back by the other's pace."""
+        """Forward all lines in both directions, with back pressure from each side to the other."""
         assert upstream.line_protocol
         client_transport, backend_transport = self.tcp, upstream.line_protocol.tcp
         self.upstream = upstream
@@ -168,55 +174,55 @@
         backend_transport.registerProducer(client_transport, True)
 
     def reject(self, retry_after_us: int) -> None:
-        """Final answer `BUSY`, with the pause in ms if one is advised (0: none)."""
+        """Send the final answer `BUSY`, with Retry-After in milliseconds unless `retry_after_us` is 0."""
         self._finish_with(b"BUSY %d" % -(-retry_after_us // 1000) if retry_after_us > 0 else b"BUSY")
 
     def fail(self) -> None:
-        """Final answer `ERR`, which promises nothing."""
+        """Send the final answer `ERR`, which does not say whether the request was executed."""
         self._finish_with(b"ERR")
 
     def migrate(self) -> None:
-        """Final line `MOVE`. Only complete lines are forwarded, so it never cuts one."""
+        """Send the final line `MOVE`. It cannot split another line, because only complete lines are forwarded."""
         self._finish_with(b"MOVE")
 
-    def close(self, how: ConnectionEnd) -> None:
-        """End as the backend did."""
-        self._close(how)  # broken or not, its `UP` or its last line may still lie in the transport's buffer
+    def close(self, end: ConnectionEnd) -> None:
+        """Close the connection in the way in which the backend's ended."""
+        self._close(end)  # not at once even if BROKEN: `UP` or the last line may still be in the buffer
 
     def _finish_with(self, line: bytes) -> None:
         if not self.closing:
             self.write_line(line)
             self._close()
 
-    def _close(self, how: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
+    def _close(self, end: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
         if self.closing:
             return
         self.closing = True
-        self.tcp.unregisterProducer()  # else the transport would wait for its producer's end
+        self.tcp.unregisterProducer()  # else the transport would close only after its producer has finished
         self.timeout.cancel()
         self.client_factory.pre_request.pop(self, None)
-        self.finish(self.client_factory.closing, how)
+        self.finish(self.client_factory.closing, end)
 
     def has_disconnected(self) -> bool:
-        """Whether the client has ended its side, even where that lies unread. What it sent before is handled."""
+        """Handle unread data; return whether the client has closed its side, even if the reactor has not noticed."""
         return self.read_available()
 
     def free_descriptor(self) -> None:
-        """Reject this client, since others need its descriptor more."""
+        """Reject this client, which has sent no request, to free its descriptor for others."""
         self.client_factory.core.counters.add("ended_for_room")
         self._finish_with(b"BUSY")
 
     def reject_for_descriptors(self) -> None:
-        """Reject this client for want of descriptors, after a request that it has sent already is answered."""
+        """Reject this client for lack of descriptors, but first answer a request that it has already sent."""
         self.client_factory.core.counters.add("no_sockets")
         self.read_available()
         self._finish_with(b"BUSY")
 
 
 class ClientProtocolFactory(ServerFactory):
-    """Accepts clients' connections and keeps their descriptors within the budget.
+    """Accepts client connections and keeps their file descriptors within the budget.
 
-    `connector` reaches backends for these clients; `upstreams` holds connections to backends that are being closed.
+    `connector` opens backend connections for these clients; `upstreams` holds backend connections that are closing.
     """
 
     noisy = False
@@ -228,23 +234,23 @@
         self.core = core
         self.connector = connector
         self.open_connections = 0
-        self.pre_request: dict[ClientProtocol, None] = {}  # connections without a request, the oldest first
+        self.pre_request: dict[ClientProtocol, None] = {}  # connections without a request, oldest first
         self.seen_ids = SeenIds()
         self.closing = ConnectionCloser(core, config.sockets // DESCRIPTOR_SHARE)
         self.upstreams = upstreams or ConnectionCloser(core, config.sockets // DESCRIPTOR_SHARE)
 
     @property
     def budget(self) -> DescriptorBudget:
-        """Limits on descriptors, by the configuration in force."""
+        """Limits on file descriptors by the current configuration."""
         return DescriptorBudget(self.config.sockets)
 
     def buildProtocol(self, addr: object) -> ClientProtocol:  # noqa: ARG002 - Twisted's signature
-        """A client connects. Every accepted one gets an answer, even for want of descriptors."""
+        """Create the protocol of an accepted connection. Each gets an answer, even if descriptors are exhausted."""
         return ClientProtocol(self)
 
     def accept_failed(self, error: OSError) -> None:
-        """No connection could be accepted. For want of this process's descriptors, free the one needed least."""
-        self.core.counters.bad("accept_errors", f"no connection could be accepted: {error}", self.core.clock())
+        """Count a failed accept. If this process is out of descriptors (EMFILE), free the least needed one."""
+        self.core.counters.bad("accept_errors", f"accept failed on the client listener: {error}", self.core.clock())
         if (
             error.errno != errno.EMFILE
             or self.closing.free_descriptor()
@@ -255,36 +261,38 @@
         next(iter(self.pre_request)).free_descriptor()
 
     def reject_pre_request(self) -> None:
-        """The relay exits: reject the connections without a request."""
+        """Reject all connections without a request, because the relay exits."""
         for client in list(self.pre_request):
             client.free_descriptor()
 
     def descriptors_held(self) -> int:
-        """Descriptors held for clients: one a client, and one more for each connection to its backend, which is held
-        a little longer than the connection."""
+        """Return the number of descriptors held for clients: one per client, and one per backend connection.
+
+        A backend connection stays open a little longer than its client's.
+        """
         return self.open_connections + len(self.core.connections) + len(self.upstreams)
 
     def on_connected(self, client: ClientProtocol) -> None:
-        """A client connected. Where descriptors run short, close connections that need theirs least."""
+        """Register a connection. If descriptors run short, close the connections that need theirs least."""
         self.open_connections += 1
         self.pre_request[client] = None
         budget = self.budget
         while self.descriptors_held() > budget.before_request and (
             self.closing.free_descriptor() or self.upstreams.free_descriptor()
         ):
-            pass  # these have had their final answers
+            pass  # these connections have already sent their final answer
         if self.descriptors_held() > budget.before_request:
             oldest = next(iter(self.pre_request))
             if client.arrived_us - oldest.arrived_us > MIN_PRE_REQUEST_AGE_US:
                 oldest.free_descriptor()
-        # The protocol page lets a new connection be shut unread then; here its request, if it has come, is answered.
+        # The protocol page permits to close such a connection unread; here a request that has arrived is answered.
         if self.descriptors_held() > budget.for_connections:
             client.reject_for_descriptors()
 
     def record_connection_id(self, connection_id: bytes) -> None:
-        """Record a connection's id. Raises InvalidLineError for one that was used before."""
+        """Record a connection id. Raises InvalidLineError if it was used before."""
         self.seen_ids.add(connection_id)
 
     def count_invalid(self, what: str) -> None:
-        """Count what no client sends."""
-        self.core.counters.bad("bad_lines", f"bad client: {what}", self.core.clock())
+        """Count a protocol violation by a client, and log it rate-limited."""
+        self.core.counters.bad("bad_lines", f"protocol violation by a client: {what}", self.core.clock())
--- a/gradefront/net/closing.py
+++ b/gradefront/net/closing.py
@@ -1,11 +1,11 @@
-"""The end of a connection: one way for clients, backends and the admin interface.
+"""Lingering close of connections, used for clients, backends and the admin interface.
 
-What was written last is owed to the peer until the kernel has taken it, and no connection is closed before that. A
-close with unread bytes in the kernel resets the connection, and a reset discards what the peer has not read yet. So
-the sending side is shut once all is written, and what still comes is read and discarded until the peer has closed
-too, or has had its time.
+A connection is closed only after the kernel has accepted all written data, so that the last line reaches the peer.
+Closing a socket with unread data resets the connection, and a reset discards what the peer has not read yet. So the
+sending side is shut down once all data is written, and further data from the peer is read and discarded until the
+peer closes too or a timeout expires.
 
-    unsent -> (the kernel has all) -> sent -> (the peer ended, a timeout, or a descriptor is needed) -> closed
+    unsent -> (kernel has accepted all data) -> sent -> (peer closed, timeout, or descriptor needed) -> closed
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from gradefront.core.ports import ConnectionEnd
 from gradefront.core.timer_wheel import Timer
 
-LINGER_TIMEOUT_US = 2_000_000  # after all was sent, for a slow peer to read it and to end its side
-UNSENT_TIMEOUT_US = 7_000_000  # a peer that takes no bytes for so long is lost by the protocol page
-MAX_DISCARDED_BYTES = 1 << 18  # a peer that sends more after the end is cut off
-DESCRIPTOR_SHARE = 16  # one of so many descriptors may be held by a closing connection
+LINGER_TIMEOUT_US = 2_000_000  # after all data is sent: time for a slow peer to read it and to close its side
+UNSENT_TIMEOUT_US = 7_000_000  # after so long without taking a byte, a peer counts as lost by the protocol page
+MAX_DISCARDED_BYTES = 1 << 18  # a peer that sends more than this during the close is reset
+DESCRIPTOR_SHARE = 16  # closing connections of one kind may hold 1/16 of the descriptors
 
 
 class Core(Protocol):
-    """The part of the relay core that is used here."""
+    """The part of the relay core that this module uses."""
 
     counters: Counters
 
@@ -35,99 +35,101 @@
 
 
 class Closable(Protocol):
-    """A connection that is to end."""
+    """A connection that can be closed."""
 
     @property
     def tcp(self) -> Any:
-        """Its transport."""
+        """The connection's TCP transport."""
 
     def abort(self) -> None:
-        """End it at once, by a reset."""
+        """Reset the connection at once."""
 
     def __hash__(self) -> int:
-        """It is a key of a table."""
+        """Return the hash: connections are keys of a dict."""
 
 
 @dataclass(slots=True)
 class _CloseState:
-    """How far the close of one connection has come."""
+    """Progress of one connection's close."""
 
-    how: ConnectionEnd
+    end: ConnectionEnd
     timer: Timer
-    sent: bool = False  # the kernel has all that was written
-    peer_ended: bool = False
+    sent: bool = False  # the kernel has accepted all written data
+    peer_eof: bool = False  # the peer has closed its sending side
 
 
 class ConnectionCloser:
-    """Connections of one kind that are being closed, the oldest first. Above `capacity`, a sent one is closed at once
-    for each new one."""
+    """Connections of one kind that are being closed, oldest first.
+
+    At `capacity`, each new one makes the oldest that has sent all its data close without further waiting.
+    """
 
     def __init__(self, core: Core, capacity: int) -> None:
         self.core = core
         self.capacity = max(1, capacity)
-        self.waiting: dict[Closable, _CloseState] = {}
+        self.connections: dict[Closable, _CloseState] = {}
 
     def __len__(self) -> int:
-        return len(self.waiting)
+        return len(self.connections)
 
     @property
     def unsent_count(self) -> int:
-        """How many hold bytes that the kernel has not taken."""
-        return sum(not state.sent for state in self.waiting.values())
+        """Number of connections with data that the kernel has not accepted yet."""
+        return sum(not state.sent for state in self.connections.values())
 
-    def begin(self, connection: Closable, how: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
-        """Close a connection once all that was written has left; BROKEN: by a reset then."""
-        if connection in self.waiting:
+    def begin(self, connection: Closable, end: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
+        """Start to close a connection: once all written data is sent, close it, or reset it if `end` is BROKEN."""
+        if connection in self.connections:
             return
-        if len(self.waiting) >= self.capacity:
+        if len(self.connections) >= self.capacity:
             self.free_descriptor()
         timer = self.core.after(UNSENT_TIMEOUT_US, partial(self._give_up, connection))
-        self.waiting[connection] = _CloseState(how, timer)
-        wire = connection.tcp
-        wire.loseWriteConnection()
-        wire.resumeProducing()  # it may have been held back by the other side's pace
-        wire.flush()  # now, not when the loop comes round: its descriptor may be needed before
+        self.connections[connection] = _CloseState(end, timer)
+        tcp = connection.tcp
+        tcp.loseWriteConnection()
+        tcp.resumeProducing()  # back pressure from the other side may have paused it
+        tcp.flush()  # now, not in the next event loop iteration: its descriptor may be needed before that
 
     def on_sent(self, connection: Closable) -> None:
-        """The kernel has taken all that was written, and its sending side is shut."""
-        state = self.waiting.get(connection)
+        """Handle that the kernel has accepted all written data and the sending side is shut down."""
+        state = self.connections.get(connection)
         if state is None or state.sent:
             return
         state.sent = True
         state.timer.cancel()
-        if state.how is ConnectionEnd.BROKEN:
+        if state.end is ConnectionEnd.BROKEN:
             connection.abort()
-        elif state.peer_ended:
+        elif state.peer_eof:
             connection.tcp.loseConnection()
         else:
             state.timer = self.core.after(LINGER_TIMEOUT_US, partial(self._close, connection))
 
-    def on_peer_ended(self, connection: Closable) -> None:
-        """The peer has shut its sending side; it may read still."""
-        state = self.waiting.get(connection)
+    def on_peer_eof(self, connection: Closable) -> None:
+        """Handle that the peer has closed its sending side; it may still read."""
+        state = self.connections.get(connection)
         if state is None:
             return
-        state.peer_ended = True
+        state.peer_eof = True
         if state.sent:
             connection.tcp.loseConnection()
 
-    def on_overrun(self, connection: Closable) -> None:
-        """The peer has sent more than MAX_DISCARDED_BYTES after the end."""
-        state = self.waiting.get(connection)
+    def on_discard_limit(self, connection: Closable) -> None:
+        """Handle a peer that has sent more than MAX_DISCARDED_BYTES during the close: reset it, or stop reading."""
+        state = self.connections.get(connection)
         if state is None or state.sent:
             connection.abort()
         else:
-            connection.tcp.pauseProducing()  # what it is owed has not left yet
+            connection.tcp.pauseProducing()  # written data is not sent yet, and a reset would lose it
 
     def on_connection_lost(self, connection: Closable) -> None:
-        """A connection is no more."""
-        state = self.waiting.pop(connection, None)
+        """Forget a connection that has ended."""
+        state = self.connections.pop(connection, None)
         if state:
             state.timer.cancel()
 
     def free_descriptor(self) -> bool:
-        """Close the oldest one that is sent. False: there is none."""
-        for connection, state in list(self.waiting.items()):
+        """Close the oldest connection that has sent all its data. Returns False if there is none."""
+        for connection, state in list(self.connections.items()):
             if not state.sent:
                 connection.tcp.flush()
             if state.sent:
@@ -136,20 +138,20 @@
         return False
 
     def close_all(self) -> None:
-        """Close all; the process exits."""
+        """Close all connections, because the process exits. Connections with unsent data are reset."""
         while self.free_descriptor():
             pass
-        for connection in list(self.waiting):
+        for connection in list(self.connections):
             self._give_up(connection)
 
     def _close(self, connection: Closable) -> None:
-        """Close a sent one in order: what came meanwhile is read first, or the close would be a reset."""
+        """Close a connection that has sent all its data. Unread data is read first, or the close would be a reset."""
         self.on_connection_lost(connection)
         connection.tcp.read_available()
         connection.tcp.loseConnection()
 
     def _give_up(self, connection: Closable) -> None:
-        """The peer reads nothing more."""
+        """Reset a connection whose data the peer does not take."""
         self.core.counters.add("answers_unsent")
         self.on_connection_lost(connection)
         connection.abort()
--- a/gradefront/net/connect_check.py
+++ b/gradefront/net/connect_check.py
@@ -1,4 +1,4 @@
-"""Connect checks: whether a backend's machine still takes connections."""
+"""Connect checks: whether a backend's machine still accepts TCP connections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class ConnectCheck(ClientFactory):
-    """One new connection to a backend, closed as soon as its outcome is known."""
+    """One new connection to a backend, closed as soon as its outcome is known.
+
+    `timeout` is the timer that ends the check; None once the outcome is reported.
+    """
 
     noisy = False
 
@@ -22,15 +25,18 @@
         self.timeout: Timer | None = None
 
     def buildProtocol(self, addr: object) -> None:  # noqa: ARG002 - Twisted's signature
-        """The connection opened. Twisted closes one without a protocol."""
+        """Report success. Returning no protocol makes Twisted close the connection."""
         self._finish(True)
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: ARG002 - Twisted's signature
-        """Refused, so the machine is there: a process that died resets its connections, which end by themselves."""
+        """Report success, because a refusal shows that the machine is up.
+
+        If only the backend process died, its machine resets the established connections, so they end by themselves.
+        """
         self._finish(True)
 
     def on_timeout(self) -> None:
-        """The connection did not open in time."""
+        """Report failure, because the connection did not open in time, and cancel it."""
         self._finish(False)
         self.connector.disconnect()
 
--- a/gradefront/net/descriptor_budget.py
+++ b/gradefront/net/descriptor_budget.py
@@ -1,31 +1,30 @@
-"""How many file descriptors clients may hold, before and after they have made a request."""
+"""Limits on the file descriptors held for clients, before and after they send a request."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-RESERVED_DESCRIPTORS = 48  # never held for clients: endpoint list, health checks, listeners, the platform's own
-PRE_REQUEST_SHARE = 8  # one descriptor in so many is not held by clients that have made no request
+RESERVED_DESCRIPTORS = 48  # never used for clients: endpoint list, health checks, listeners, the platform's own
+PRE_REQUEST_SHARE = 8  # clients without a request leave 1/8 of the descriptors free
 
 
 @dataclass(slots=True, frozen=True)
 class DescriptorBudget:
-    """Limits on the descriptors held for clients, out of `total` that the process may use."""
+    """Limits on the file descriptors held for clients; the process may use `total`."""
 
     total: int
 
     @property
     def for_requests(self) -> int:
-        """Above this a request is rejected: its connection takes one more descriptor, to a backend."""
+        """Limit above which requests are rejected, as each needs one more descriptor for its backend connection."""
         return self.total - RESERVED_DESCRIPTORS
 
     @property
     def before_request(self) -> int:
-        """Above this connections without a request, or with their final answer, are closed for a new one."""
+        """Limit above which a new connection causes one without a request, or with its final answer, to be closed."""
         return self.for_requests - self.total // PRE_REQUEST_SHARE
 
     @property
     def for_connections(self) -> int:
-        """Above this a new connection is rejected at once. Guards the last descriptors, which established
-        connections need."""
+        """Limit above which new connections are rejected at once. Keeps the last descriptors for established ones."""
         return self.total - RESERVED_DESCRIPTORS // 2
--- a/gradefront/net/endpoint_list.py
+++ b/gradefront/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list, read from discovery's documents. The names of their form end here."""
+"""The endpoint list, parsed from discovery's documents. Only this module knows their field names."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 
 class ListedBackend(NamedTuple):
-    """One backend: what the core is given, and what only this package needs."""
+    """One backend: `endpoint` is passed to the core, the rest is used in this package."""
 
     endpoint: Endpoint
-    address: tuple[str, int]  # host and port; a gone backend has none
+    address: tuple[str, int]  # host and port; ("", 0) for a deleted backend
     start: Start
 
 
-class _Members(NamedTuple):
-    """The members of a document."""
+class _ParsedMembers(NamedTuple):
+    """The valid members of a document, and a description of each error."""
 
     listed: list[ListedBackend]
     errors: list[str]
 
 
 class EndpointList:
-    """The backends by id. `stepped` says whether the wall clock has been stepped since the start."""
+    """The backends by id. `stepped` returns whether the wall clock has been stepped since the relay's start."""
 
     def __init__(self, config: Config, core: RelayCore, stepped: Callable[[], bool] = lambda: False) -> None:
         self.config = config
@@ -39,57 +39,57 @@
         self.stepped = stepped
         self.revision = 0
         self.backends: dict[str, ListedBackend] = {}
-        self.last_heartbeat_us: int | None = None  # of discovery; None: none since the start
+        self.last_heartbeat_us: int | None = None  # last sign of life from discovery; None: none since the start
 
     def on_heartbeat(self) -> None:
-        """Discovery is alive, whether or not it sent an update."""
+        """Record a sign of life from discovery, with or without an update."""
         self.last_heartbeat_us = self.core.clock()
 
     def address(self, backend: str) -> tuple[str, int] | None:
-        """A listed backend's host and port, else None."""
+        """Return host and port of a backend, or None if it is not listed."""
         listed = self.backends.get(backend)
         return listed.address if listed else None
 
     def apply(self, document: dict[str, Any], complete: bool | None = None) -> None:
-        """Apply one document of discovery. `complete` is given for the configuration's list (`known`),
-        which is no sign of life from discovery.
+        """Apply one document from discovery, or the list `known` of the configuration.
 
-        Raises ValueError, and changes nothing, where the document as a whole makes no sense. An invalid member is
-        counted and left out; in a complete list, a backend known before keeps its last valid entry.
+        `complete` is set for the configuration's list, which is not a sign of life from discovery. Raises ValueError,
+        and changes nothing, if the document as a whole is invalid. An invalid member is counted and skipped; if the
+        list is complete, a backend that was listed before keeps its last valid entry.
         """
         is_complete = bool(document.get("complete")) if complete is None else complete
         members = document.get("members")
         if not isinstance(members, list | None):
-            raise ValueError("members: not a list")
+            raise ValueError("members is not a list")
         revision = _natural(document.get("revision") or self.revision, "revision")
-        listed, errors = self._read_members(members or [], is_complete)
+        listed, errors = self._parse_members(members or [], is_complete)
         self._count_errors(errors)
         self.backends, self.revision = self._merged(listed, is_complete), revision
         if complete is None:
             self.on_heartbeat()
         self.core.on_endpoint_list(EndpointListUpdate(tuple(backend.endpoint for backend in listed), is_complete))
 
-    def _read_members(self, members: list[Any], is_complete: bool) -> _Members:
-        """Read the valid members, and describe what is wrong with the others."""
-        reading = self._reading()
+    def _parse_members(self, members: list[Any], is_complete: bool) -> _ParsedMembers:
+        """Parse the members. Invalid ones are described in `errors`."""
+        reading = self._list_reading()
         listed, errors = list[ListedBackend](), list[str]()
         for member in members:
             try:
-                listed.append(self._read_member(member, reading))
+                listed.append(self._parse_member(member, reading))
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
                 errors.append(repr(error))
                 last_valid = self.backends.get(str(member.get("id"))) if isinstance(member, dict) else None
                 if last_valid is not None and is_complete:
-                    listed.append(last_valid)  # guards against losing a serving backend by an error in its line
-        return _Members(listed, errors)
+                    listed.append(last_valid)  # an invalid entry must not remove a backend that is in service
+        return _ParsedMembers(listed, errors)
 
     def _count_errors(self, errors: list[str]) -> None:
         if errors:
-            what = f"a line of the endpoint list makes no sense: {errors[0]}"
+            what = f"invalid member in the endpoint list: {errors[0]}"
             self.core.counters.bad("bad_list_lines", what, self.core.clock(), len(errors))
 
     def _merged(self, listed: list[ListedBackend], is_complete: bool) -> dict[str, ListedBackend]:
-        """The backends after these entries: in place of all before, or on top of them."""
+        """Return the backends after an update: a complete list replaces all, other entries are merged in."""
         backends = {} if is_complete else dict(self.backends)
         for backend in listed:
             if backend.endpoint.state is BackendState.GONE:
@@ -98,25 +98,25 @@
                 backends[backend.endpoint.backend] = backend
         return backends
 
-    def _reading(self) -> ListReading:
-        """How far the times of day in a document that is applied now can be trusted."""
+    def _list_reading(self) -> ListReading:
+        """Return how far start times in a document that is applied now can be trusted."""
         now_us = self.core.clock()
         since_us = now_us - self.last_heartbeat_us if self.last_heartbeat_us is not None else 0
         oldest_us = max(self.core.settings.warm_up_us, since_us + NOTICE_US)
-        # What differs from a list that this relay had, be it from before its start, happened of late.
+        # A change against a list that this relay already had, even one saved before its start, is recent.
         return ListReading(now_us, self.stepped(), bool(self.backends), oldest_us)
 
-    def _read_member(self, member: Any, reading: ListReading) -> ListedBackend:
-        """Read one member. Raises KeyError, TypeError, ValueError, AttributeError or OverflowError."""
+    def _parse_member(self, member: Any, reading: ListReading) -> ListedBackend:
+        """Parse one member. Raises KeyError, TypeError, ValueError, AttributeError or OverflowError."""
         state = STATES.get(member["phase"], BackendState.UNKNOWN)
-        address = ("", 0) if state is BackendState.GONE else _read_address(member["host_port"])
+        address = ("", 0) if state is BackendState.GONE else _parse_address(member["host_port"])
         weight = float(member.get("size") or 1.0)
         if not math.isfinite(weight):
-            raise ValueError("size")
+            raise ValueError("size is not finite")
         backend = str(member["id"])
-        before = self.backends.get(backend)
+        previous = self.backends.get(backend)
         up_since_us = int(member.get("up_since_ms") or 0) * 1000
-        start = start_time(up_since_us, before.start if before else None, reading)
+        start = start_time(up_since_us, previous.start if previous else None, reading)
         endpoint = Endpoint(
             backend,
             state,
@@ -129,20 +129,20 @@
         return ListedBackend(endpoint, address, start)
 
 
-def _read_address(host_port: Any) -> tuple[str, int]:
+def _parse_address(host_port: Any) -> tuple[str, int]:
     host, _, port_text = host_port.rpartition(":")
     port = _natural(int(port_text), "host_port")
     if not host or not 0 < port <= MAX_PORT:
-        raise ValueError("host_port")
+        raise ValueError("host_port has no host or an invalid port")
     return host.strip("[]"), port
 
 
 def _index(names: tuple[str, ...], name: object) -> int:
-    """The place of a name, 0 where it is unknown."""
+    """Return the index of a name, 0 if it is unknown."""
     return names.index(str(name)) if name in names else 0
 
 
-def _natural(value: object, what: str) -> int:
+def _natural(value: object, field: str) -> int:
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-        raise ValueError(f"{what}: {value!r} is no whole number")
+        raise ValueError(f"{field}: expected a whole number >= 0, got {value!r}")
     return value
--- a/gradefront/net/endpoint_watch_call.py
+++ b/gradefront/net/endpoint_watch_call.py
@@ -1,4 +1,4 @@
-"""One call to discovery for a watch on the endpoint list: its timeouts and the documents that it brings."""
+"""One HTTP call to discovery for a watch on the endpoint list: its timeouts and the documents it delivers."""
 
 from __future__ import annotations
 
@@ -13,32 +13,33 @@
 
 from .endpoint_list import EndpointList
 from .endpoint_watch_protocol import EndpointWatchProtocol
-from .objects import Objects
+from .objects import JsonObjectReader
 
 log = logging.getLogger("gradefront.endpoint_watch")
 
-# An empty line comes every 2 s; an update is in force after `start_times.NOTICE_US`, received or not.
+# Discovery sends an empty line every 2 s. An update is in force after `start_times.NOTICE_US`, even if it was not
+# received.
 HEARTBEAT_TIMEOUT_US = 3_000_000
-RECHECK_DELAY_US = 20_000  # for a loop that was held up to read what has come
+RECHECK_DELAY_US = 20_000  # lets a delayed event loop read data that has already arrived
 
 
 class CallOwner(Protocol):
-    """The watch that makes the call."""
+    """The watch that makes the call, and is notified of its progress."""
 
     core: RelayCore
     endpoint_list: EndpointList
 
     def on_first_document(self) -> None:
-        """The call brought a document."""
+        """Handle the first document of the call."""
 
-    def on_call_failed(self, why: str) -> None:
-        """The call failed, or its watch ended."""
+    def on_call_failed(self, reason: str) -> None:
+        """Handle a failed call or the end of its watch."""
 
 
 class EndpointWatchCall(ClientFactory):
-    """One call. It ends once, and then reports to its owner unless it was closed from there.
+    """One call. It ends once, and reports that to its owner unless the owner closed it.
 
-    `address` is discovery's host and port, `timeout_us` the time until the first heartbeat.
+    `address` is discovery's host and port, `timeout_us` the timeout for the first heartbeat.
     """
 
     noisy = False
@@ -47,7 +48,7 @@
         self.owner = owner
         self.address = address
         self.has_update = False
-        self.objects = Objects()
+        self.reader = JsonObjectReader()
         self.was_rechecked = False  # since the last heartbeat
         self.line_protocol: EndpointWatchProtocol | None = None
         self.ended = False
@@ -57,21 +58,23 @@
 
     @property
     def revision(self) -> int:
-        """The revision of the list in force."""
+        """Revision of the current endpoint list."""
         return self.owner.endpoint_list.revision
 
     def buildProtocol(self, addr: object) -> EndpointWatchProtocol:  # noqa: ARG002 - Twisted's signature
-        """The connection is open."""
+        """Create the protocol of the connection to discovery, which is now open."""
         self.line_protocol = EndpointWatchProtocol(self)
         return self.line_protocol
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: ARG002 - Twisted's signature
-        """Discovery refused."""
+        """Fail the call, because the connection was not established."""
         self.fail("discovery refused the connection")
 
     def on_heartbeat(self) -> None:
-        """A complete object or an empty line came. Other bytes are no heartbeat, or a watch that drips would stay
-        open for ever."""
+        """Restart the timeout after a complete object or an empty line.
+
+        Other bytes are not a heartbeat: a peer that sends single bytes without end must not keep the watch open.
+        """
         if self.ended:
             return
         self.owner.endpoint_list.on_heartbeat()
@@ -84,26 +87,25 @@
         return self.owner.core.after(delay_us, partial(self._on_timeout, self.owner.core.clock() + delay_us))
 
     def _on_timeout(self, due_us: int) -> None:
-        """Guards against a watch that was cut off silently: updates meanwhile would be missed."""
+        """Fail the call, because its connection may have been lost silently and updates would be missed."""
         if self.owner.core.clock() - due_us > self.timeout_us // 2 and not self.was_rechecked:
-            # This relay was held up, and may not have read yet what came: one more check, and no more than that.
+            # The timer ran late, so this process was delayed and may have unread data: check once more.
             self.was_rechecked = True
             self.timeout = self._start_timeout(RECHECK_DELAY_US)
         else:
-            self.fail("no heartbeat")
+            self.fail("no heartbeat from discovery within the timeout")
 
     def on_data(self, data: bytes) -> None:
-        """Handle bytes of the list. Guards the relay: what makes no sense ends this call only, and changes
-        nothing."""
+        """Handle bytes of the response body. Invalid data fails this call and changes nothing."""
         if self.ended:
             return
         try:
-            documents, is_heartbeat = self.objects.feed(data)
+            documents, is_heartbeat = self.reader.feed(data)
             for document in documents:
                 if not self.ended:
                     self._on_document(document)
         except ValueError as error:
-            self.fail(f"not JSON, or no list: {error}")
+            self.fail(f"invalid endpoint list document: {error}")
             return
         if is_heartbeat:
             self.on_heartbeat()
@@ -114,7 +116,7 @@
             self.has_update = True
             self.owner.on_first_document()
             log.info(
-                "endpoint list from %s:%d: revision %s, %s, %d lines",
+                "endpoint list from %s:%d: revision %s, %s, %d members",
                 *self.address,
                 document.get("revision"),
                 "complete" if document.get("complete") else "changes",
@@ -122,14 +124,14 @@
             )
         self.owner.core.lifecycle.on_fresh_endpoint_list()
 
-    def fail(self, why: str) -> None:
-        """End this call and report it to the watch, once."""
+    def fail(self, reason: str) -> None:
+        """End this call and report the failure to its owner, once."""
         if not self.ended:
             self.close()
-            self.owner.on_call_failed(why)
+            self.owner.on_call_failed(reason)
 
     def close(self) -> None:
-        """End this call without a report."""
+        """End this call without a report to its owner."""
         self.ended = True
         self.timeout.cancel()
         if self.line_protocol and self.line_protocol.transport:
--- a/gradefront/net/endpoint_watch_protocol.py
+++ b/gradefront/net/endpoint_watch_protocol.py
@@ -1,4 +1,4 @@
-"""The HTTP side of a watch on the endpoint list: a request, and a response body that doesn't end."""
+"""HTTP client protocol of a watch on the endpoint list: one request, and a response body that does not end."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class WatchResponseStage(Enum):
-    """Which part of the HTTP response comes next."""
+    """The part of the HTTP response that is expected next."""
 
     STATUS = "status"
     HEADERS = "headers"
@@ -22,7 +22,7 @@
 
 
 class WatchCaller(Protocol):
-    """What gets the response."""
+    """Receives the response body and failures."""
 
     @property
     def address(self) -> tuple[str, int]:
@@ -30,26 +30,26 @@
 
     @property
     def revision(self) -> int:
-        """The revision of the list in force."""
+        """Revision of the current endpoint list."""
 
     def on_data(self, data: bytes) -> None:
-        """Handle bytes of the body."""
+        """Handle bytes of the response body."""
 
-    def fail(self, why: str) -> None:
-        """End the call. It may be called more than once."""
+    def fail(self, reason: str) -> None:
+        """End the call. Further calls of this method have no effect."""
 
 
 class EndpointWatchProtocol(LineProtocol):
-    """One watch: an HTTP response in chunks, with JSON objects across them."""
+    """One watch: a chunked HTTP response whose JSON objects may span chunks."""
 
     def __init__(self, call: WatchCaller) -> None:
         self.call = call
         self.stage = WatchResponseStage.STATUS
         self.is_chunked = False
-        self.chunk_remaining = 0  # bytes of the present chunk still to come
+        self.chunk_remaining = 0  # bytes of the current chunk that are not received yet
 
     def connectionMade(self) -> None:
-        """Request the changes since the revision in force."""
+        """Request the changes since the current revision."""
         host, port = self.call.address
         transport = self.tcp
         transport.setTcpNoDelay(True)
@@ -59,11 +59,11 @@
         )
 
     def lineReceived(self, line: bytes) -> None:
-        """Status, headers, and the lines round chunks."""
+        """Handle the status line, a header line, or a line before or after a chunk."""
         try:
             self._on_line(line)
         except (ValueError, IndexError) as error:
-            self.call.fail(f"no response with an endpoint list: {error!r}")
+            self.call.fail(f"invalid HTTP response from discovery: {error!r}")
 
     def _on_line(self, line: bytes) -> None:
         if self.stage is WatchResponseStage.STATUS:
@@ -78,7 +78,7 @@
     def _on_status(self, line: bytes) -> None:
         status = line.split(b" ")[1]
         if status != OK_STATUS:
-            self.call.fail(f"status {status.decode('ascii', 'replace')}")
+            self.call.fail(f"HTTP status {status.decode('ascii', 'replace')}, expected 200")
         self.stage = WatchResponseStage.HEADERS
 
     def _on_header(self, line: bytes) -> None:
@@ -91,18 +91,18 @@
             self.stage = WatchResponseStage.CHUNK_SIZE
         else:
             self.stage = WatchResponseStage.UNCHUNKED_BODY
-            self.read_bytes()
+            self.receive_raw()
 
     def _on_chunk_size(self, line: bytes) -> None:
         self.chunk_remaining = int(line.partition(b";")[0], 16)
         if self.chunk_remaining == 0:
-            self.call.fail("discovery ended the watch")
+            self.call.fail("discovery ended the response")
         else:
             self.stage = WatchResponseStage.CHUNK
-            self.read_bytes()
+            self.receive_raw()
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Bytes of the body."""
+        """Handle bytes of the body."""
         if self.stage is WatchResponseStage.UNCHUNKED_BODY:
             self.call.on_data(data)
             return
@@ -111,13 +111,13 @@
         self.call.on_data(part)
         if self.chunk_remaining == 0:
             self.stage = WatchResponseStage.CHUNK_END
-            self.read_lines(rest)
+            self.receive_lines(rest)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: ARG002 - Twisted's signature
-        """End this watch for an overlong line."""
-        self.call.fail("an overlong line")
+        """Fail the call, because a line exceeds the length limit."""
+        self.call.fail("line in the HTTP response exceeds the length limit")
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Discovery or this relay ended the connection."""
+        """Fail the call, because the connection has ended."""
         super().connectionLost(reason)
-        self.call.fail("the connection ended")
+        self.call.fail("connection to discovery closed")
--- a/gradefront/net/fleet_port.py
+++ b/gradefront/net/fleet_port.py
@@ -1,4 +1,4 @@
-"""The fleet's datagrams on a UDP socket; `fleet.swim` decides what they say."""
+"""UDP transport of the fleet's membership protocol; the messages are made by `fleet.swim`."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 log = logging.getLogger("gradefront.fleet")
 
-LOG_INTERVAL_US = 1_000_000  # of the limits on log lines
-MAX_STATE_LOGS = 20  # log lines of members' states an interval; the rest is only counted
+LOG_INTERVAL_US = 1_000_000  # interval of the rate limits on log lines
+MAX_STATE_LOGS = 20  # log lines on state changes per interval; further changes are only counted
 
 
 class FleetPort(DatagramProtocol):
-    """One relay's socket for the fleet's datagrams."""
+    """This relay's UDP socket for the fleet's datagrams."""
 
     noisy = False
 
@@ -37,7 +37,7 @@
         self.transport: Any
 
     def startProtocol(self) -> None:
-        """The socket is bound."""
+        """Start the membership protocol; called when the socket is bound."""
         assert self.transport
         host = self.transport.getHost()
         own = Record(
@@ -47,19 +47,19 @@
             1,
             SystemRandom().getrandbits(62) | 1,
         )
-        peers = {name: f"{where[0]}:{where[1]}" for name, where in self.config.peers.items()}
+        peers = {name: f"{host_port[0]}:{host_port[1]}" for name, host_port in self.config.peers.items()}
         self.swim = Swim(own, peers, self.config.period_us, SystemRandom(), self.core.clock())
-        log.info("fleet: %s at %s:%d, %d peers in the file", self.config.name, host.host, host.port, len(peers))
+        log.info("fleet: %s at %s:%d, %d peers configured", self.config.name, host.host, host.port, len(peers))
         self._tick()
 
     def _tick(self) -> None:
         if self.swim and self.transport:
-            # First: nothing that fails here ends the ticks.
+            # Schedule the next tick first, so that an exception below does not stop the ticks.
             self.core.after(self.config.period_us // TICKS_PER_PERIOD, self._tick)
             self._send(self.swim.tick(self.core.clock()))
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
-        """Handle a datagram. Guards the relay: one that makes no sense is counted, and changes nothing."""
+        """Handle a datagram. An invalid one is counted and otherwise ignored."""
         try:
             message = self.sealer.open(datagram)
         except DatagramRejectedError as error:
@@ -70,19 +70,19 @@
             if self.swim:
                 self._send(self.swim.receive(message, self.core.clock()))
         except Exception:
-            log.exception("a peer's datagram failed")
+            log.exception("unhandled exception while processing a datagram from a peer")
             self.core.counters.add("exceptions")
 
     def connectionRefused(self) -> None:
-        """A peer's port is closed; its health checks will show that."""
+        """Ignore the ICMP error: pings detect a peer whose port is closed."""
 
     def leave(self) -> None:
-        """A planned exit: notify the peers."""
+        """Notify the peers of a planned exit."""
         if self.swim and self.transport:
             self._send(self.swim.leave(self.core.clock()))
 
     def levels(self) -> dict[str, int]:
-        """Gauges: members in each state, and whether this relay doubts itself."""
+        """Return gauges: the members in each state, and whether this relay doubts its own connectivity."""
         if not self.swim:
             return {}
         states = [m.record.state for m in self.swim.table.members.values()]
@@ -97,30 +97,30 @@
                 continue
             try:
                 self.transport.write(self.sealer.seal(message), address(member.record.address, "where"))
-            except (OSError, ValueError, ConfigError):  # a full buffer, or a peer's address is none: as if lost
+            except (OSError, ValueError, ConfigError):  # full send buffer or invalid peer address: treat as lost
                 self.core.counters.add("fleet_unsent")
 
     def _log_changes(self, swim: Swim) -> None:
-        for name, was, state in swim.state_changes:
-            self._log_state(name, was, state)
+        for name, previous, state in swim.state_changes:
+            self._log_state(name, previous, state)
         swim.state_changes.clear()
         if swim.yielded and not self.yield_logged:
             self.yield_logged = True
             log.error(
-                "fleet: another process holds the name %s and goes on with it; this one stays out", self.config.name
+                "fleet: name %s is in use by another process; this process does not take part", self.config.name
             )
 
-    def _log_state(self, name: str, was: State, state: State) -> None:
+    def _log_state(self, name: str, previous: State, state: State) -> None:
         self.core.counters.add(f"fleet_news_{state.name.lower()}")
         now = self.core.clock()
         if now - self.state_logs_since_us >= LOG_INTERVAL_US:
             self.state_logs_since_us, self.state_logs = now, 0
         self.state_logs += 1
-        if self.state_logs <= MAX_STATE_LOGS:  # a split of a large fleet would be a flood
-            log.info("fleet: %s is %s, was %s", name, state.name.lower(), was.name.lower())
+        if self.state_logs <= MAX_STATE_LOGS:  # a partition of a large fleet would flood the log
+            log.info("fleet: %s is %s, was %s", name, state.name.lower(), previous.name.lower())
 
-    def _log_rejected(self, what: str, addr: tuple[str, int]) -> None:
+    def _log_rejected(self, reason: str, addr: tuple[str, int]) -> None:
         now = self.core.clock()
         if now - self.rejection_logged_us >= LOG_INTERVAL_US:
-            log.warning("fleet: a datagram from %s:%d was rejected: %s", *addr, what)
+            log.warning("fleet: a datagram from %s:%d was rejected: %s", *addr, reason)
             self.rejection_logged_us = now
--- a/gradefront/net/health_checks.py
+++ b/gradefront/net/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of backends: their load, each on a connection that is reused, and whether they take connections."""
+"""Health checks of backends: load checks on one reused connection per backend, and connect checks."""
 
 from __future__ import annotations
 
@@ -21,32 +21,32 @@
 
 
 class HealthCheckProtocol(LineProtocol):
-    """The lines of one health check connection."""
+    """Line protocol of one health check connection."""
 
     def __init__(self, owner: HealthCheckConnection) -> None:
         self.owner = owner
 
     def connectionMade(self) -> None:
-        """Send the health check for which the connection was opened."""
+        """Send the health check request for which the connection was opened."""
         self.tcp.setTcpNoDelay(True)
         self.write_line(b"STATS")
 
     def lineReceived(self, line: bytes) -> None:
-        """A response."""
+        """Handle a response line."""
         self.owner.on_response(line)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: ARG002 - Twisted's signature
-        """End this connection for an overlong line."""
+        """Abort this connection, because a line exceeds the length limit."""
         self.abort()
 
     def connectionLost(self, reason: Any = None) -> None:
-        """The backend or this relay ended the connection."""
+        """Notify the owner that the connection has ended."""
         super().connectionLost(reason)
         self.owner.on_connection_lost(self)
 
 
 class HealthCheckConnection(ClientFactory):
-    """Health checks one backend, one check at a time."""
+    """Checks the health of one backend, one check at a time, on a connection that is kept open between checks."""
 
     noisy = False
 
@@ -56,16 +56,16 @@
         self.address = address
         self.line_protocol: HealthCheckProtocol | None = None
         self.connector: Any = None
-        self.pending_since_us = 0  # when the check began that has no response yet; 0: none
+        self.pending_since_us = 0  # start of the check that has no response yet; 0: none
         self.last_used_us = 0
-        self.reused = False  # whether the pending check went out on an open connection
-        self.timeout: Timer | None = None  # of the last check
+        self.reused = False  # whether the pending check was sent on a connection that was already open
+        self.timeout: Timer | None = None  # response timeout of the last check
         checker.core.after(IDLE_TIMEOUT_US, self._close_if_idle)
 
     def check(self) -> None:
-        """Check on the open connection, or on a new one."""
+        """Send a health check on the open connection, or open one first."""
         if self.pending_since_us:
-            return  # the response to the pending check serves both
+            return  # the response to the pending check answers this one, too
         core = self.checker.core
         self.pending_since_us = self.last_used_us = core.clock()
         self.timeout = core.after(RESPONSE_TIMEOUT_US, self._on_timeout)
@@ -79,28 +79,29 @@
         self.connector = self.checker.reactor.connectTCP(*self.address, self, timeout=None)
 
     def buildProtocol(self, addr: object) -> HealthCheckProtocol:  # noqa: ARG002 - Twisted's signature
-        """The connection is open."""
+        """Create the protocol of the connection, which is now open."""
         self.line_protocol = HealthCheckProtocol(self)
         return self.line_protocol
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: ARG002 - Twisted's signature
-        """The backend refused."""
+        """Report that the connection was not established."""
         self._finish(AttemptResult.CONNECT_FAILED, None)
 
     def on_response(self, line: bytes) -> None:
-        """`PONG` with the load report is a success, any other line is an error."""
+        """Report the result: `PONG` with a load report is a success, any other line an error."""
         if not self.pending_since_us:
-            self.drop()  # a line unasked: the next response here could be that of an earlier check
+            self.close()  # unexpected line: a later response could belong to an earlier check
             return
         ok = line.partition(b" ")[0] == b"PONG"
         self._finish(AttemptResult.OK if ok else AttemptResult.ERROR, parse_load_report(line) if ok else None)
 
-    def on_connection_lost(self, line: HealthCheckProtocol) -> None:
-        """The connection ended."""
-        if self.line_protocol is line:
+    def on_connection_lost(self, line_protocol: HealthCheckProtocol) -> None:
+        """Repeat the pending check on a new connection if this one was reused, else report a reset."""
+        if self.line_protocol is line_protocol:
             self.line_protocol = None
             if self.pending_since_us and self.reused:
-                self.reused = False  # backends close idle connections: that is no outcome, so check on a new one
+                # Backends close idle connections, so this says nothing about health: repeat the check once.
+                self.reused = False
                 self._connect()
             else:
                 self._finish(AttemptResult.RESET, None)
@@ -108,7 +109,7 @@
     def _on_timeout(self) -> None:
         if self.pending_since_us:
             self._finish(AttemptResult.TIMEOUT if self.line_protocol else AttemptResult.CONNECT_FAILED, None)
-            self.drop()  # a late response must not be taken for the next one's
+            self.close()  # a late response must not count for the next check
 
     def _finish(self, result: AttemptResult, report: LoadReport | None) -> None:
         if self.pending_since_us:
@@ -118,24 +119,27 @@
                 self.timeout.cancel()
             core.on_health_check_result(self.backend, result, took_us, report)
 
-    def drop(self) -> None:
-        """Close the connection."""
-        line, self.line_protocol = self.line_protocol, None
-        if line and line.transport:
-            line.abort()
+    def close(self) -> None:
+        """Reset the connection, or cancel it if it is not open yet."""
+        line_protocol, self.line_protocol = self.line_protocol, None
+        if line_protocol and line_protocol.transport:
+            line_protocol.abort()
         elif self.connector is not None:
             self.connector.disconnect()
 
     def _close_if_idle(self) -> None:
         now_us = self.checker.core.clock()
         if self.line_protocol and not self.pending_since_us and now_us - self.last_used_us > IDLE_TIMEOUT_US:
-            self.drop()
+            self.close()
         if self.checker.connections.get(self.backend) is self:
             self.checker.core.after(IDLE_TIMEOUT_US, self._close_if_idle)
 
 
 class BackendHealthChecker:
-    """Health checks all backends. `address` gives a listed backend's host and port."""
+    """Checks the health of all backends (`ports.HealthChecker`).
+
+    `address` returns host and port of a backend, or None if it is not in the endpoint list.
+    """
 
     def __init__(self, reactor: Reactor, core: RelayCore, address: Callable[[str], tuple[str, int] | None]) -> None:
         self.reactor = reactor
@@ -144,21 +148,21 @@
         self.connections: dict[str, HealthCheckConnection] = {}
 
     def check_connect(self, backend: str, timeout_us: int) -> None:
-        """Check whether a backend takes a connection within the timeout; the outcome goes to `core.liveness`."""
+        """Check whether a backend accepts a connection within the timeout; report to `core.liveness`."""
         address = self.address(backend)
-        if address is None:  # not in the endpoint list any more: its connections migrate by themselves
+        if address is None:  # removed from the endpoint list: its connections are migrated anyway
             return
         connect_check = ConnectCheck(self.core, backend)
         connect_check.timeout = self.core.after(timeout_us, connect_check.on_timeout)
         connect_check.connector = self.reactor.connectTCP(*address, connect_check, timeout=None)
 
     def check(self, backend: str) -> None:
-        """Check a backend's load; the outcome goes to `core.on_health_check_result`."""
+        """Check a backend and read its load report; the result is passed to `core.on_health_check_result`."""
         address = self.address(backend)
         connection = self.connections.get(backend)
         if connection and connection.address != address:
             del self.connections[backend]
-            connection.drop()
+            connection.close()
             connection = None
         if address is None:
             self.core.on_health_check_result(backend, AttemptResult.CONNECT_FAILED, 0, None)
--- a/gradefront/net/listen_queue.py
+++ b/gradefront/net/listen_queue.py
@@ -1,7 +1,7 @@
-"""The kernel's queue of a TCP listener: connections that are complete for their clients and wait to be accepted.
+"""The kernel's accept queue of a TCP listener: connections that are established but not accepted yet.
 
-Closing a listener resets what its queue holds. So before the last accept no new handshake may begin, while those
-under way still end: a classic BPF program on the listener drops segments that carry SYN without ACK.
+Closing a listener resets the connections in its queue. So before the last accept no new handshake may begin, but
+those in progress may complete: a classic BPF program on the listener drops segments that carry SYN without ACK.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 import struct
 from typing import NamedTuple
 
-#: The start of Linux' `struct tcp_info`: eight bytes, four counts, and for a listener the length of its queue.
+#: Start of Linux' `struct tcp_info`: eight bytes, four 32-bit fields, and for a listener the length of its queue.
 QUEUE_LENGTH = struct.Struct("=8x4x4x4x4xI")
 
-SO_ATTACH_FILTER = 26  # Linux' number; the socket module does not name it
-TCP_FLAGS_OFFSET = 13  # in the TCP header, with which the data of a filter on a TCP socket begins
+SO_ATTACH_FILTER = 26  # value on Linux; not defined in the socket module
+TCP_FLAGS_OFFSET = 13  # offset in the TCP header, where the data of a filter on a TCP socket begins
 TCP_SYN = 0x02
 TCP_ACK = 0x10
 ALL_BYTES = 0xFFFFFFFF
 NO_BYTES = 0
 
-#: Operation codes of classic BPF, as Linux' `linux/filter.h` composes them.
+#: Opcodes of classic BPF, as composed from the constants in `linux/filter.h`.
 BPF_LOAD_BYTE = 0x30
 BPF_AND = 0x54
 BPF_JUMP_IF_EQUAL = 0x15
@@ -29,7 +29,7 @@
 
 
 class BpfInstruction(NamedTuple):
-    """One instruction. A jump skips so many instructions where its condition holds, or does not."""
+    """One instruction. A jump skips `skip_if_true` or `skip_if_false` instructions, depending on its condition."""
 
     code: int
     value: int
@@ -45,16 +45,17 @@
     BpfInstruction(BPF_RETURN, ALL_BYTES),
 )
 INSTRUCTION = struct.Struct("=HBBI")
-PROGRAM = struct.Struct("HP")  # the number of instructions and their address, in the machine's own layout
+PROGRAM = struct.Struct("HP")  # `struct sock_fprog`: number of instructions and their address, in native layout
 
 
 def drop_new_handshakes(listener: socket.socket) -> bool:
-    """Have the kernel let no further client begin to connect; those that have begun still can.
+    """Make the kernel drop new handshakes on the listener; handshakes in progress still complete.
 
-    Such a client's system tries again a second later. False where the system has no such filters.
+    The system of a client that is dropped retries a second later. Returns False if socket filters are unsupported.
     """
     code = b"".join(
-        INSTRUCTION.pack(one.code, one.skip_if_true, one.skip_if_false, one.value) for one in DROP_NEW_HANDSHAKES
+        INSTRUCTION.pack(instruction.code, instruction.skip_if_true, instruction.skip_if_false, instruction.value)
+        for instruction in DROP_NEW_HANDSHAKES
     )
     buffer = ctypes.create_string_buffer(code)
     try:
@@ -66,7 +67,7 @@
 
 
 def queued_connections(listener: socket.socket) -> int:
-    """How many connections wait in a listener's queue; 0 where the system does not tell."""
+    """Return the number of connections in a listener's accept queue, or 0 if the system does not report it."""
     try:
         info = listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, QUEUE_LENGTH.size)
         (queued,) = QUEUE_LENGTH.unpack(info)
--- a/gradefront/net/objects.py
+++ b/gradefront/net/objects.py
@@ -1,4 +1,4 @@
-"""JSON objects one behind the other in a stream of bytes: each on a line or over many, in any division. No I/O."""
+"""Incremental reader of consecutive JSON objects in a byte stream, with any line breaks and chunk sizes. No I/O."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 from typing import Any, NamedTuple
 
 MAX_OBJECT_CHARACTERS = 1 << 20
-# Where an object may end. Guards the processor: a list of a hundred backends comes in dozens of pieces, and a parse
-# at each piece would read its beginning again each time.
-MAY_END = re.compile(r"\}[ \t]*(?:[\r\n{]|$)")
-# What may follow the place of a parse error where the rest has just not come yet.
-INCOMPLETE = re.compile(r'[\s,]*(?:"(?:[^"\\\r\n]|\\.)*\\?|[-+.\w]*)')
+# A possible end of an object. Parsing is tried only there, to save CPU time: a list of a hundred backends arrives in
+# dozens of pieces, and a parse after each piece would start again from the beginning.
+POSSIBLE_END = re.compile(r"\}[ \t]*(?:[\r\n{]|$)")
+# Text after the position of a parse error that may still become valid when the rest arrives.
+INCOMPLETE_REST = re.compile(r'[\s,]*(?:"(?:[^"\\\r\n]|\\.)*\\?|[-+.\w]*)')
 
 
-class Fed(NamedTuple):
-    """What some bytes of the stream completed."""
+class FeedResult(NamedTuple):
+    """The objects that a piece of the stream has completed."""
 
     objects: list[dict[str, Any]]
-    is_heartbeat: bool  # a complete object, or a line's end between objects; a part of an object is none
+    is_heartbeat: bool  # whether the piece completed an object, or had a line break between objects
 
 
-class Objects:
+class JsonObjectReader:
     """Reads objects from pieces of a stream."""
 
     def __init__(self) -> None:
-        self.text = ""  # of the object that has begun
-        self.searched = 0  # characters of it in which no end was found
+        self.text = ""  # received text of the incomplete object
+        self.searched_length = 0  # leading characters of `text` that contain no possible end
         self._decode = codecs.getincrementaldecoder("utf-8")().decode
         self._parse = json.JSONDecoder().raw_decode
 
-    def feed(self, data: bytes) -> Fed:
-        """Add bytes; gives the objects that they complete. Raises ValueError where no object can come of them."""
+    def feed(self, data: bytes) -> FeedResult:
+        """Add a piece of the stream and return the objects that it completes. Raises ValueError on invalid data."""
         self.text += self._decode(data)
         objects, is_heartbeat = list[dict[str, Any]](), False
         while True:
@@ -40,20 +40,20 @@
             is_heartbeat = is_heartbeat or "\n" in self.text[: len(self.text) - len(rest)]
             self.text = rest
             if rest and rest[0] != "{":
-                raise ValueError(f"{rest[:20]!r} begins no object")
-            if not MAY_END.search(rest, self.searched):
+                raise ValueError(f"expected a JSON object, got {rest[:20]!r}")
+            if not POSSIBLE_END.search(rest, self.searched_length):
                 break
             try:
                 parsed, end = self._parse(rest)
             except json.JSONDecodeError as error:
-                if not INCOMPLETE.fullmatch(rest, error.pos):
+                if not INCOMPLETE_REST.fullmatch(rest, error.pos):
                     raise
                 break
             except RecursionError:
-                raise ValueError("an object in an object, too deep") from None
+                raise ValueError("JSON object is nested too deeply") from None
             objects.append(parsed)
-            self.text, self.searched, is_heartbeat = rest[end:], 0, True
-        self.searched = len(self.text)
-        if self.searched > MAX_OBJECT_CHARACTERS:
-            raise ValueError("an object without end")
-        return Fed(objects, is_heartbeat)
+            self.text, self.searched_length, is_heartbeat = rest[end:], 0, True
+        self.searched_length = len(self.text)
+        if self.searched_length > MAX_OBJECT_CHARACTERS:
+            raise ValueError("JSON object exceeds the length limit")
+        return FeedResult(objects, is_heartbeat)
--- a/gradefront/net/reactor.py
+++ b/gradefront/net/reactor.py
@@ -1,4 +1,4 @@
-"""The small part of Twisted's reactor that gradefront uses, and the driver that gives the core its turns."""
+"""The part of Twisted's reactor that gradefront uses, and the driver that runs the core from the event loop."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 from .transport import Connector, ListeningPort, ServerConnection
 
-STEP_US = 500_000  # a wall clock that moved so far against the monotonic one was stepped; slewing is slower
+STEP_US = 500_000  # a larger drift of the wall clock against the monotonic one is a step; slewing is slower
 
 
 class Reactor(Protocol):
-    """Twisted's reactor, as far as it is used here."""
+    """The methods of Twisted's reactor that this program uses."""
 
     def callLater(self, delay: float, call: Callable[..., object], *args: Any) -> Any:
-        """Call after `delay` seconds."""
+        """Call `call` after `delay` seconds."""
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float | None = None) -> Any:
-        """Connect; a timeout in seconds."""
+        """Open a connection. The timeout is in seconds; None: none."""
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Any:
         """Listen for connections."""
 
     def adoptStreamPort(self, fileDescriptor: int, addressFamily: int, factory: Any) -> Any:
-        """Listen on a descriptor that listens already; it is duplicated, and never shut down."""
+        """Serve a listening descriptor of another process. It is duplicated, and never shut down."""
 
     def adoptStreamConnection(self, fileDescriptor: int, addressFamily: int, factory: Any) -> Any:
-        """Serve an open connection; its descriptor is duplicated."""
+        """Serve an established connection. Its descriptor is duplicated."""
 
     def addReader(self, reader: Any) -> None:
         """Have `reader.doRead` called when its descriptor is ready."""
@@ -40,27 +40,27 @@
         """Undo `addReader`."""
 
     def listenUDP(self, port: int, protocol: Any, interface: str = "", maxPacketSize: int = 8192) -> Any:
-        """Listen for datagrams."""
+        """Listen for UDP datagrams."""
 
     def callFromThread(self, call: Callable[..., object], *args: Any) -> Any:
-        """Call in the loop, from a signal handler or a thread."""
+        """Schedule a call in the event loop, from a signal handler or another thread."""
 
     def run(self, installSignalHandlers: bool = True) -> None:
-        """Run until stopped."""
+        """Run the event loop until `stop` is called."""
 
     def stop(self) -> None:
-        """Stop."""
+        """Stop the event loop."""
 
 
 class RelayReactor(EPollReactor):
     """Twisted's reactor on the monotonic clock, with connections and listeners that tolerate transient errors.
 
-    Twisted counts delays by `time.time`: after a step of the wall clock back by an hour no timer would run for an
-    hour, after a step forward all would run at once.
+    Twisted's default time source is `time.time`: if the wall clock were set back by an hour, no timer would run for
+    an hour, and if it were set forward, all would run at once.
     """
 
     def seconds(self) -> float:
-        """The monotonic time in seconds, by which delays are counted."""
+        """Return the monotonic time in seconds; delays are relative to it."""
         return time.monotonic()
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> ListeningPort:
@@ -77,13 +77,13 @@
         timeout: float | None = None,
         bindAddress: Any = None,  # noqa: N803 - Twisted's signature
     ) -> Any:
-        """Connect; a timeout in seconds."""
+        """Open a connection. The timeout is in seconds; None: none."""
         connector = cast(Any, Connector)(host, port, factory, timeout, bindAddress, self)
         connector.connect()
         return connector
 
     def adoptStreamPort(self, fileDescriptor: int, addressFamily: int, factory: Any) -> ListeningPort:
-        """Listen on a descriptor that listens already."""
+        """Serve a listening descriptor of another process."""
         port = cast(Any, ListeningPort)
         listener: ListeningPort = port._fromListeningDescriptor(self, fileDescriptor, addressFamily, factory)
         listener.is_shared = True
@@ -91,20 +91,20 @@
         return listener
 
     def adoptStreamConnection(self, fileDescriptor: int, addressFamily: int, factory: Any) -> ServerConnection:
-        """Serve an open connection."""
+        """Serve an established connection."""
         server = cast(Any, ServerConnection)
         connection: ServerConnection = server._fromConnectedSocket(fileDescriptor, addressFamily, factory, self)
         return connection
 
 
 class Clock:
-    """Unix time in microseconds that only advances: the wall clock at the start, and the monotonic clock since."""
+    """Monotonic Unix time in microseconds: the wall clock at the start, advanced by the monotonic clock."""
 
     def __init__(self) -> None:
         self.start = self._wall_offset_us()
 
     def __call__(self) -> int:
-        """The time now."""
+        """Return the current time."""
         return self.start + time.monotonic_ns() // 1000
 
     @staticmethod
@@ -112,12 +112,12 @@
         return time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
     def stepped(self) -> bool:
-        """Whether the wall clock was stepped since the start: then others' times of day can't be trusted."""
+        """Return whether the wall clock was stepped since the start, so that times of day can't be trusted."""
         return abs(self._wall_offset_us() - self.start) > STEP_US
 
 
 class Driver:
-    """Runs the core when something is ready and when its timer wheel is due."""
+    """Runs the core when it is woken and when its timer wheel is due."""
 
     def __init__(self, reactor: Reactor, clock: Callable[[], int]) -> None:
         self.reactor = reactor
@@ -128,7 +128,7 @@
         self.scheduled_us = 0
 
     def wake(self) -> None:
-        """Run the core once all that is ready now has been gathered."""
+        """Schedule a run of the core, after all sockets that are ready now are handled."""
         if not self.is_woken:
             self.is_woken = True
             self.reactor.callLater(0, self._run_core)
@@ -139,17 +139,17 @@
             return
         try:
             self.core.run_once()
-        finally:  # guards all timers against an error that the core did not catch
+        finally:  # an exception in the core must not stop the timers
             self._schedule(self.core)
 
     def _schedule(self, core: RelayCore) -> None:
-        """Run the core when its timer wheel is due."""
-        due = core.timers.next_due()
-        if due is None or self.is_woken:
+        """Schedule a run of the core for the time when its timer wheel is due."""
+        due_us = core.timers.next_due()
+        if due_us is None or self.is_woken:
             return
         if self.scheduled is not None and self.scheduled.active():
-            if self.scheduled_us == due:
+            if self.scheduled_us == due_us:
                 return
             self.scheduled.cancel()
-        self.scheduled_us = due
-        self.scheduled = self.reactor.callLater(max(0, due - self.clock()) / 1e6, self._run_core)
+        self.scheduled_us = due_us
+        self.scheduled = self.reactor.callLater(max(0, due_us - self.clock()) / 1e6, self._run_core)
--- a/gradefront/net/seen_ids.py
+++ b/gradefront/net/seen_ids.py
@@ -1,4 +1,4 @@
-"""The connection ids that clients have used."""
+"""Connection ids that clients have used."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class SeenIds:
-    """The newest MAX_SEEN_IDS connection ids. Each connection has a new id, so a second use is another client's."""
+    """The latest MAX_SEEN_IDS connection ids. Ids are unique per connection, so a reused one is another client's."""
 
     def __init__(self) -> None:
-        self._ids: dict[bytes, None] = {}  # the oldest first
+        self._ids: dict[bytes, None] = {}  # oldest first
 
     def add(self, connection_id: bytes) -> None:
-        """Record an id. Raises InvalidLineError for one that was used before.
+        """Record an id. Raises InvalidLineError if it was used before.
 
-        Guards an open connection, and the backend that counts by ids, against a client that names another's id: at
-        the backend its end would be the other's.
+        Backends identify connections by id. If a client could use the id of another's open connection, the backend
+        would take the end of the one for the end of the other.
         """
         if connection_id in self._ids:
-            raise InvalidLineError("an id that was used before")
+            raise InvalidLineError("connection id was used before")
         if len(self._ids) >= MAX_SEEN_IDS:
             del self._ids[next(iter(self._ids))]
         self._ids[connection_id] = None
--- a/gradefront/net/transport.py
+++ b/gradefront/net/transport.py
@@ -1,7 +1,7 @@
-"""TCP connections and listeners on Twisted's transports, for system calls that fail for a moment.
+"""TCP connections and listeners based on Twisted's transports that tolerate transient errors of system calls.
 
-Twisted treats every failed `recv` as the end of the connection, and a lack of descriptors by accepting and closing
-whatever waits, unread. Here a call that can succeed a moment later is repeated, and nothing is closed for it.
+Twisted closes a connection on any failed `recv`, and if descriptors are exhausted, it accepts and closes the queued
+connections unread. Here a call that can succeed a moment later is repeated, and no connection is closed for it.
 """
 
 from __future__ import annotations
@@ -21,41 +21,41 @@
 
 log = logging.getLogger("gradefront.transport")
 
-MAX_READS = 16  # of 64 KiB at most, in one `read_available`: a peer may send without end
-MAX_ACCEPTS = 64  # in one turn of the loop
-MAX_LAST_ACCEPTS = 64  # rounds of MAX_ACCEPTS before a listener closes
-ACCEPT_PAUSE_S = 0.01  # after accept has failed for want of a resource
+MAX_READS = 16  # of at most 64 KiB each in one `read_available`, because a peer may send without end
+MAX_ACCEPTS = 64  # in one event loop iteration
+MAX_LAST_ACCEPTS = 64  # batches of MAX_ACCEPTS before a listener closes
+ACCEPT_PAUSE_S = 0.01  # after accept has failed for lack of a resource
 
-#: recv(2) and send(2) may fail so on a sound connection; the same call may succeed a moment later.
+#: Errors of recv(2) and send(2) on an intact connection; the same call may succeed a moment later.
 TRANSIENT_ERRORS = frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
-#: accept(2): the process or the system lacks a resource; the connection still waits in the queue.
+#: Errors of accept(2) when the process or the system lacks a resource; the connection stays in the queue.
 EXHAUSTED_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 
 class ReadResult(Enum):
-    """What one read of a connection gave."""
+    """Result of one read from a connection."""
 
     DATA = "data"
-    NOTHING = "nothing"  # nothing is there now
-    ENDED = "ended"  # the peer has shut its sending side
-    BROKEN = "broken"  # the connection is no more
+    NOTHING = "nothing"  # no data available now
+    ENDED = "ended"  # the peer has closed its sending side
+    BROKEN = "broken"  # the connection was reset or has failed
 
 
 class ConnectionMixin:
-    """Twisted's connection, with reads and writes that tolerate transient errors."""
+    """Mixin for Twisted's connections: reads and writes that tolerate transient errors."""
 
-    before_send: Callable[[], bool] | None = None  # asked before each piece leaves; False: nothing more may leave
-    found_broken = False  # the socket gave `read_available` an error that the reactor has not seen yet
+    before_send: Callable[[], bool] | None = None  # called before each write; False: nothing more may be sent
+    read_failed = False  # a read outside the reactor failed; the reactor has not noticed yet
 
     def read_once(self) -> ReadResult:
-        """Read what is there, 64 KiB at most, and pass it to the protocol."""
+        """Read available data, at most 64 KiB, and pass it to the protocol."""
         connection: Any = self
         try:
             data = connection.socket.recv(connection.bufferSize)
         except OSError as error:
             if error.errno in TRANSIENT_ERRORS:
                 return ReadResult.NOTHING
-            self.found_broken = True
+            self.read_failed = True
             return ReadResult.BROKEN
         if not data:
             return ReadResult.ENDED
@@ -63,8 +63,8 @@
         return ReadResult.DATA
 
     def doRead(self) -> Exception | None:
-        """Called by the reactor when there is something to read."""
-        if self.found_broken:
+        """Read once; the reactor calls this when the socket is readable. Returns the error, if any."""
+        if self.read_failed:
             return CONNECTION_LOST
         result = self.read_once()
         if result is ReadResult.ENDED:
@@ -72,11 +72,14 @@
         return CONNECTION_LOST if result is ReadResult.BROKEN else None
 
     def read_available(self) -> bool:
-        """Read now what lies unread, MAX_READS reads at most. Whether the peer has ended its sending side, or the
-        connection is no more; the reactor finds that itself later."""
+        """Read unread data now, in at most MAX_READS reads.
+
+        Returns whether the peer has closed its sending side or the connection has ended. The reactor detects the same
+        later by itself.
+        """
         connection: Any = self
         for _ in range(MAX_READS):
-            if connection.disconnected or connection._aborting or self.found_broken:
+            if connection.disconnected or connection._aborting or self.read_failed:
                 return True
             result = self.read_once()
             if result is not ReadResult.DATA:
@@ -84,7 +87,7 @@
         return False
 
     def writeSomeData(self, data: bytes) -> int | Exception:
-        """Send a piece. Gives the number of bytes taken, 0 after a transient error, or the error that ends it."""
+        """Send data. Returns the number of bytes accepted, 0 on a transient error, or the error that ends it."""
         connection: Any = self
         if self.before_send is not None and not self.before_send():
             return 0
@@ -95,27 +98,30 @@
 
     @property
     def has_unsent_data(self) -> bool:
-        """Whether something written is not with the kernel yet."""
+        """Whether the kernel has not accepted all written data yet."""
         connection: Any = self
         return bool(len(connection.dataBuffer) > connection.offset or connection._tempDataLen)
 
     def flush(self) -> bool:
-        """Pass what was written to the kernel now, as far as it takes it. Whether nothing is left."""
+        """Pass as much written data to the kernel as it accepts now. Returns whether nothing is left."""
         connection: Any = self
         if connection.connected and not connection._aborting:
-            ended = connection.doWrite()
-            if ended:  # the reactor did not ask, so it would not see that
-                connection.reactor.callLater(0, self._end, ended)
+            error = connection.doWrite()
+            if error:  # the reactor did not make this call, so it would not notice the error
+                connection.reactor.callLater(0, self._end, error)
         return not self.has_unsent_data
 
-    def _end(self, why: Exception) -> None:
+    def _end(self, error: Exception) -> None:
         connection: Any = self
         if not connection.disconnected:
-            connection.connectionLost(cast(Any, Failure)(why))
+            connection.connectionLost(cast(Any, Failure)(error))
 
     def connectionLost(self, reason: Any) -> None:
-        """The connection is no more. Twisted would also end the transport that is a producer for this one; here the
-        core ends it, in order, after its protocol's `connectionLost`."""
+        """Handle the end of the connection.
+
+        Twisted would also stop the transport that is this one's producer. Here the core closes that one in an orderly
+        way, after the protocol's `connectionLost`.
+        """
         connection: Any = self
         connection.producer = None
         cast(Any, super()).connectionLost(reason)
@@ -126,7 +132,7 @@
 
 
 class ClientConnection(ConnectionMixin, tcp.Client):  # type: ignore[misc]
-    """A connection that this process opens."""
+    """A connection opened by this process."""
 
 
 class Connector(tcp.Connector):
@@ -137,18 +143,20 @@
 
 
 class ListeningPort(tcp.Port):
-    """A listener that no failure of accept ends, and that closes no connection for want of descriptors. Its factory
-    may have `accept_failed`, which is called with the OSError and may free a descriptor."""
+    """A listener that survives all errors of accept, and closes no connection for lack of descriptors.
+
+    If its factory has a method `accept_failed`, that is called with the OSError and may free a descriptor.
+    """
 
     transport = ServerConnection
-    is_shared = False  # another process, or another descriptor, holds the same listener
+    is_shared = False  # another process or descriptor refers to the same listening socket
 
     def doRead(self) -> None:
-        """Accept what waits, MAX_ACCEPTS at most."""
+        """Accept queued connections, at most MAX_ACCEPTS."""
         self.accept_pending(MAX_ACCEPTS)
 
     def accept_pending(self, limit: int) -> bool:
-        """Accept the connections that wait, `limit` at most. Whether none waits any more."""
+        """Accept queued connections, at most `limit`. Returns whether the queue is empty."""
         for _ in range(limit):
             try:
                 accepted, address = self.socket.accept()
@@ -158,34 +166,34 @@
                 if error.errno in EXHAUSTED_ERRORS:
                     self._pause(error)
                     return False
-                continue  # an error of that one connection, which accept has taken off the queue
+                continue  # error of a single connection, which accept has removed from the queue
             self._set_up(accepted, address)
         return False
 
     def drop_new_handshakes(self) -> None:
-        """Let no further client begin to connect, where nobody else holds this listener."""
+        """Make the kernel drop new handshakes, unless another process or descriptor shares this listener."""
         if self.connected and not self.is_shared and not drop_new_handshakes(self.socket):
-            log.info("this system can't drop new handshakes")
+            log.info("cannot drop new TCP handshakes: socket filters are not supported on this system")
 
     def accept_pending_and_close(self) -> None:
-        """Accept all that wait, and close in the same call: a turn of the loop later others may have connected."""
+        """Accept all queued connections and close in the same call, as more may connect before the next iteration."""
         if not self.connected:
             return
-        for _ in range(MAX_LAST_ACCEPTS):  # each failure for want of a descriptor frees one
+        for _ in range(MAX_LAST_ACCEPTS):  # each failure for lack of a descriptor frees one
             if self.accept_pending(MAX_ACCEPTS):
                 break
         cast(Any, self).stopReading()
         self.connectionLost(cast(Any, Failure)(CONNECTION_DONE))
 
     def connectionLost(self, reason: Any) -> None:
-        """Close. The kernel resets the connections that wait in the queue of a listener that nobody else holds."""
+        """Close the listener. If it is not shared, the kernel resets the connections in its queue."""
         queued = 0 if self.is_shared else queued_connections(self.socket)
         if queued:
             log.warning("a listener ends with %d connections that were not accepted", queued)
         cast(Any, super()).connectionLost(reason)
 
     def _set_up(self, accepted: socket.socket, address: Any) -> None:
-        """Make the connection's transport and protocol. An error in that ends this one connection."""
+        """Create transport and protocol of an accepted connection. An exception ends this connection only."""
         port: Any = self
         transport: Any = None
         try:
@@ -197,17 +205,17 @@
             self.sessionno += 1
             protocol.makeConnection(transport)
         except Exception:
-            log.exception("an accepted connection could not be set up")
+            log.exception("unhandled exception while setting up an accepted connection")
             if transport is None:
                 accepted.close()
             else:
                 transport.abortConnection()
 
     def _pause(self, error: OSError) -> None:
-        """Accept nothing for ACCEPT_PAUSE_S, so that the loop does not spin on what it can't accept."""
-        failed = getattr(self.factory, "accept_failed", None)
-        if failed:
-            failed(error)
+        """Stop accepting for ACCEPT_PAUSE_S, so that the event loop does not spin on a failing accept."""
+        accept_failed = getattr(self.factory, "accept_failed", None)
+        if accept_failed:
+            accept_failed(error)
         cast(Any, self).stopReading()
         self.reactor.callLater(ACCEPT_PAUSE_S, self._resume)
 
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -205,7 +205,7 @@
     def breaks(line: bytes) -> None:
         raise IndexError("a fault of ours")
 
-    side._line = breaks  # type: ignore[method-assign]
+    side._handle_line = breaks  # type: ignore[method-assign]
     client.send_line("anything")
     loop.until(lambda: client.read() and client.ended)
     assert client.received == (b"MOVE\r\n" if stage == "while it is served" else b"ERR\r\n") and not client.reset
