--- a/gradefront/net/backend_connection.py
+++ b/gradefront/net/backend_connection.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import ClientFactory
 
 from balancer.settings import LoadReportSource
-from gradefront.core.attempt_error import AttemptPhase, Cause
+from gradefront.core.attempt_outcome import AttemptPhase, Cause
 from gradefront.core.connection import Attempt
 from gradefront.core.ports import BackendConnection, ConnectionEnd
 
@@ -138,7 +138,7 @@
             return
         verb = line.partition(b" ")[0]
         if verb in (b"BYE", b"ERR", b"BUSY") and self.reads_load_report:
-            attempt.report = parse_load_report(line)
+            attempt.load_report = parse_load_report(line)
         if attempt.phase < AttemptPhase.UP:
             self._on_response(line, verb)
             return
@@ -150,9 +150,9 @@
         else:
             attempt.on_message_received()
             if line == b"MOVE":
-                self.cause = Cause.SENT_AWAY
+                self.cause = Cause.MIGRATED_BY_BACKEND
             elif verb == b"BYE":
-                self.cause = Cause.SERVED
+                self.cause = Cause.COMPLETED
         if self.to_client:
             self.to_client(line + b"\r\n")
 
@@ -160,16 +160,14 @@
         """Handle the response to the request line."""
         attempt = self.attempt
         if verb == b"BUSY":
-            attempt.end(Cause.FULL)
-        elif (
-            attempt.phase < AttemptPhase.SENT
-        ):  # the request line is not sent completely, so the request was not executed
+            attempt.end(Cause.REJECTED)
+        elif attempt.phase < AttemptPhase.SENT:  # the request line is incomplete, so the request was not executed
             self.count_invalid("responded before the request line was sent")
             attempt.end(Cause.BROKEN)
         elif ESTABLISHED_RESPONSE.fullmatch(line):
             attempt.succeed(line)
         elif verb == b"MOVE":
-            attempt.end(Cause.SENT_AWAY)
+            attempt.end(Cause.MIGRATED_BY_BACKEND)
         else:
             if verb != b"ERR":
                 self.count_invalid("sent an unknown response to the request line")
@@ -178,14 +176,14 @@
     def count_invalid(self, what: str) -> None:
         """Count a protocol violation by the backend, and log it rate-limited."""
         core = self.attempt.core
-        core.counters.bad("bad_answers", f"backend {self.attempt.backend} {what}", core.clock())
+        core.counters.count_fault("bad_answers", f"backend {self.attempt.backend} {what}", core.clock())
 
-    def on_connection_lost(self, end: ConnectionEnd, partial_line: bytes) -> None:
+    def on_connection_lost(self, ending: ConnectionEnd, partial_line: bytes) -> None:
         """Forward the incomplete last line to the client, and end the attempt."""
         self.gone = True
         if partial_line and self.to_client and not self.attempt.is_over:
             self.to_client(partial_line)
-        self.attempt.end(self.cause if end is ConnectionEnd.ORDERLY else Cause.BROKEN, end)
+        self.attempt.end(self.cause if ending is ConnectionEnd.ORDERLY else Cause.BROKEN, ending)
 
     # ---- calls from the client's side
 
@@ -200,8 +198,8 @@
         if self.line_protocol and self.line_protocol.transport and not self.gone:
             self.line_protocol.tcp.write(partial_line)
 
-    def close(self, end: ConnectionEnd) -> None:
-        """Close this connection: a reset if `end` is BROKEN or the attempt is not established, else orderly."""
+    def close(self, ending: ConnectionEnd) -> None:
+        """Close this connection: a reset if `ending` is BROKEN or the attempt is not established, else orderly."""
         self.to_client = None
         if self.line_protocol is None:
             if self.connector is not None and not self.gone:
@@ -210,7 +208,7 @@
         elif self.line_protocol.transport and not self.gone:
             # No bytes of a cancelled attempt may still reach the backend, because a retry may follow. Data that waits
             # in the transport's or the kernel's buffer would still be sent unless the connection is reset.
-            if end is ConnectionEnd.BROKEN or self.attempt.phase < AttemptPhase.UP:
+            if ending is ConnectionEnd.BROKEN or self.attempt.phase < AttemptPhase.UP:
                 self.line_protocol.abort()
             else:
                 self.line_protocol.tcp.unregisterProducer()
--- a/gradefront/net/base.py
+++ b/gradefront/net/base.py
@@ -41,11 +41,11 @@
         """Write a line; CRLF is appended."""
         self.tcp.write(line + b"\r\n")
 
-    def finish(self, closer: ConnectionCloser, end: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
+    def finish(self, closer: ConnectionCloser, ending: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
         """Close the connection as soon as all written data is sent. Data received from now on is discarded."""
         if self.closer is None and not self.aborted:
             self.closer = closer
-            closer.begin(self, end)
+            closer.begin(self, ending)
 
     def dataReceived(self, data: bytes) -> None:
         """Handle received bytes. After `finish`, discard up to MAX_DISCARDED_BYTES of them: closing a socket that has
--- a/gradefront/net/client_protocol.py
+++ b/gradefront/net/client_protocol.py
@@ -50,7 +50,7 @@
         """Register the connection with the factory, and start the timeout for its request."""
         self.disable_nagle()
         self.arrived_us = self.client_factory.core.clock()
-        self.timeout = self.client_factory.core.after(PRE_REQUEST_TIMEOUT_US, self._on_pre_request_timeout)
+        self.timeout = self.client_factory.core.call_later(PRE_REQUEST_TIMEOUT_US, self._on_pre_request_timeout)
         self.client_factory.on_connected(self)
 
     def _on_pre_request_timeout(self) -> None:
@@ -92,10 +92,9 @@
             self.id = parse_connection_id(line)
             client_factory.record_connection_id(self.id)
         except InvalidLineError as error:
-            if (
-                error.request_class in client_factory.core.request_classes.names
-            ):  # a class that an earlier configuration had
-                client_factory.core.counters.add_of_class("errored_total", error.request_class)
+            # A class that an earlier configuration had still has its counters.
+            if error.request_class in client_factory.core.request_classes.names:
+                client_factory.core.counters.add_for_class("errored_total", error.request_class)
             client_factory.count_invalid(str(error))
             self._finish_with(b"ERR")
             return
@@ -185,23 +184,23 @@
         """Send the final line `MOVE`. It cannot split another line, because only complete lines are forwarded."""
         self._finish_with(b"MOVE")
 
-    def close(self, end: ConnectionEnd) -> None:
+    def close(self, ending: ConnectionEnd) -> None:
         """Close the connection in the way in which the backend's ended."""
-        self._close(end)  # not at once even if BROKEN: `UP` or the last line may still be in the buffer
+        self._close(ending)  # not at once even if BROKEN: `UP` or the last line may still be in the buffer
 
     def _finish_with(self, line: bytes) -> None:
         if not self.closing:
             self.write_line(line)
             self._close()
 
-    def _close(self, end: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
+    def _close(self, ending: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
         if self.closing:
             return
         self.closing = True
         self.tcp.unregisterProducer()  # else the transport would close only after its producer has finished
         self.timeout.cancel()
         self.client_factory.pre_request.pop(self, None)
-        self.finish(self.client_factory.closing, end)
+        self.finish(self.client_factory.closing, ending)
 
     def has_disconnected(self) -> bool:
         """Handle unread data; return whether the client has closed its side, even if the reactor has not noticed."""
@@ -250,7 +249,9 @@
 
     def accept_failed(self, error: OSError) -> None:
         """Count a failed accept. If this process is out of descriptors (EMFILE), free the least needed one."""
-        self.core.counters.bad("accept_errors", f"accept failed on the client listener: {error}", self.core.clock())
+        self.core.counters.count_fault(
+            "accept_errors", f"accept failed on the client listener: {error}", self.core.clock()
+        )
         if (
             error.errno != errno.EMFILE
             or self.closing.free_descriptor()
@@ -295,4 +296,4 @@
 
     def count_invalid(self, what: str) -> None:
         """Count a protocol violation by a client, and log it rate-limited."""
-        self.core.counters.bad("bad_lines", f"protocol violation by a client: {what}", self.core.clock())
+        self.core.counters.count_fault("bad_lines", f"protocol violation by a client: {what}", self.core.clock())
--- a/gradefront/net/closing.py
+++ b/gradefront/net/closing.py
@@ -30,8 +30,8 @@
 
     counters: Counters
 
-    def after(self, delay_us: int, then: Callable[[], None]) -> Timer:
-        """Run `then` at the first tick after the delay."""
+    def call_later(self, delay_us: int, callback: Callable[[], None]) -> Timer:
+        """Run `callback` at the first tick after the delay."""
 
 
 class Closable(Protocol):
@@ -52,7 +52,7 @@
 class _CloseState:
     """Progress of one connection's close."""
 
-    end: ConnectionEnd
+    ending: ConnectionEnd
     timer: Timer
     sent: bool = False  # the kernel has accepted all written data
     peer_eof: bool = False  # the peer has closed its sending side
@@ -77,14 +77,14 @@
         """Number of connections with data that the kernel has not accepted yet."""
         return sum(not state.sent for state in self.connections.values())
 
-    def begin(self, connection: Closable, end: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
-        """Start to close a connection: once all written data is sent, close it, or reset it if `end` is BROKEN."""
+    def begin(self, connection: Closable, ending: ConnectionEnd = ConnectionEnd.ORDERLY) -> None:
+        """Start to close a connection: once all written data is sent, close it, or reset it if `ending` is BROKEN."""
         if connection in self.connections:
             return
         if len(self.connections) >= self.capacity:
             self.free_descriptor()
-        timer = self.core.after(UNSENT_TIMEOUT_US, partial(self._give_up, connection))
-        self.connections[connection] = _CloseState(end, timer)
+        timer = self.core.call_later(UNSENT_TIMEOUT_US, partial(self._give_up, connection))
+        self.connections[connection] = _CloseState(ending, timer)
         tcp = connection.tcp
         tcp.loseWriteConnection()
         tcp.resumeProducing()  # back pressure from the other side may have paused it
@@ -97,12 +97,12 @@
             return
         state.sent = True
         state.timer.cancel()
-        if state.end is ConnectionEnd.BROKEN:
+        if state.ending is ConnectionEnd.BROKEN:
             connection.abort()
         elif state.peer_eof:
             connection.tcp.loseConnection()
         else:
-            state.timer = self.core.after(LINGER_TIMEOUT_US, partial(self._close, connection))
+            state.timer = self.core.call_later(LINGER_TIMEOUT_US, partial(self._close, connection))
 
     def on_peer_eof(self, connection: Closable) -> None:
         """Handle that the peer has closed its sending side; it may still read."""
--- a/gradefront/net/endpoint_watch.py
+++ b/gradefront/net/endpoint_watch.py
@@ -61,7 +61,7 @@
         self.failures += 1
         # Retry at once, but not faster than `retry_us`: an agent that refuses or ends each call is retried until it
         # recovers.
-        self.core.after(max(0, self.last_call_us + self.retry_us - self.core.clock()), self.watch)
+        self.core.call_later(max(0, self.last_call_us + self.retry_us - self.core.clock()), self.watch)
 
     def watch(self) -> None:
         """Start a watch unless one is open.
--- a/gradefront/net/endpoint_watch_call.py
+++ b/gradefront/net/endpoint_watch_call.py
@@ -17,8 +17,8 @@
 
 log = logging.getLogger("gradefront.endpoint_watch")
 
-# Discovery sends an empty line every 2 s. An update is in force after `start_times.NOTICE_US`, even if it was not
-# received.
+# Discovery sends an empty line every 2 s. An update is in force after `start_times.DISCOVERY_DELAY_US`, even if it
+# was not received.
 HEARTBEAT_TIMEOUT_US = 3_000_000
 RECHECK_DELAY_US = 20_000  # lets a delayed event loop read data that has already arrived
 
@@ -84,7 +84,7 @@
         self.timeout = self._start_timeout(self.timeout_us)
 
     def _start_timeout(self, delay_us: int) -> Timer:
-        return self.owner.core.after(delay_us, partial(self._on_timeout, self.owner.core.clock() + delay_us))
+        return self.owner.core.call_later(delay_us, partial(self._on_timeout, self.owner.core.clock() + delay_us))
 
     def _on_timeout(self, due_us: int) -> None:
         """Fail the call, because its connection may have been lost silently and updates would be missed."""
--- a/gradefront/net/fleet_port.py
+++ b/gradefront/net/fleet_port.py
@@ -9,7 +9,7 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from gradefront.config import ConfigError, address
+from gradefront.config import ConfigError, parse_address
 from gradefront.core.relay import RelayCore
 from gradefront.fleet.members import Record, State
 from gradefront.fleet.settings import FleetConfig
@@ -30,7 +30,7 @@
     def __init__(self, config: FleetConfig, core: RelayCore) -> None:
         self.config = config
         self.core = core
-        self.sealer = Sealer(config.name, config.keys, config.newest)
+        self.sealer = Sealer(config.name, config.keys, config.sealing_key_id)
         self.rejection_logged_us = self.state_logs_since_us = self.state_logs = 0
         self.yield_logged = False
         self.swim: Swim | None = None
@@ -55,7 +55,7 @@
     def _tick(self) -> None:
         if self.swim and self.transport:
             # Schedule the next tick first, so that an exception below does not stop the ticks.
-            self.core.after(self.config.period_us // TICKS_PER_PERIOD, self._tick)
+            self.core.call_later(self.config.period_us // TICKS_PER_PERIOD, self._tick)
             self._send(self.swim.tick(self.core.clock()))
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
@@ -86,7 +86,10 @@
         if not self.swim:
             return {}
         states = [m.record.state for m in self.swim.table.members.values()]
-        return {**{f"fleet_{s.name.lower()}": states.count(s) for s in State}, "fleet_doubts": int(self.swim.doubts)}
+        return {
+            **{f"fleet_{s.name.lower()}": states.count(s) for s in State},
+            "fleet_doubts": int(self.swim.is_isolated),
+        }
 
     def _send(self, messages: Iterable[Message]) -> None:
         assert self.swim and self.transport
@@ -96,7 +99,7 @@
             if member is None:
                 continue
             try:
-                self.transport.write(self.sealer.seal(message), address(member.record.address, "where"))
+                self.transport.write(self.sealer.seal(message), parse_address(member.record.address, "where"))
             except (OSError, ValueError, ConfigError):  # full send buffer or invalid peer address: treat as lost
                 self.core.counters.add("fleet_unsent")
 
--- a/gradefront/net/health_checks.py
+++ b/gradefront/net/health_checks.py
@@ -60,7 +60,7 @@
         self.last_used_us = 0
         self.reused = False  # whether the pending check was sent on a connection that was already open
         self.timeout: Timer | None = None  # response timeout of the last check
-        checker.core.after(IDLE_TIMEOUT_US, self._close_if_idle)
+        checker.core.call_later(IDLE_TIMEOUT_US, self._close_if_idle)
 
     def check(self) -> None:
         """Send a health check on the open connection, or open one first."""
@@ -68,7 +68,7 @@
             return  # the response to the pending check answers this one, too
         core = self.checker.core
         self.pending_since_us = self.last_used_us = core.clock()
-        self.timeout = core.after(RESPONSE_TIMEOUT_US, self._on_timeout)
+        self.timeout = core.call_later(RESPONSE_TIMEOUT_US, self._on_timeout)
         self.reused = self.line_protocol is not None
         if self.line_protocol:
             self.line_protocol.write_line(b"STATS")
@@ -132,7 +132,7 @@
         if self.line_protocol and not self.pending_since_us and now_us - self.last_used_us > IDLE_TIMEOUT_US:
             self.close()
         if self.checker.connections.get(self.backend) is self:
-            self.checker.core.after(IDLE_TIMEOUT_US, self._close_if_idle)
+            self.checker.core.call_later(IDLE_TIMEOUT_US, self._close_if_idle)
 
 
 class BackendHealthChecker:
@@ -153,7 +153,7 @@
         if address is None:  # removed from the endpoint list: its connections are migrated anyway
             return
         connect_check = ConnectCheck(self.core, backend)
-        connect_check.timeout = self.core.after(timeout_us, connect_check.on_timeout)
+        connect_check.timeout = self.core.call_later(timeout_us, connect_check.on_timeout)
         connect_check.connector = self.reactor.connectTCP(*address, connect_check, timeout=None)
 
     def check(self, backend: str) -> None:
