--- a/tests/faults.py
+++ b/tests/faults.py
@@ -1,4 +1,4 @@
-"""A socket under a transport, whose system calls a test makes fail as the manual pages say."""
+"""A socket for a transport, whose system calls a test can make fail with errors from the manual pages."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 def failure(number: int) -> OSError:
-    """The exception of a system call that fails with this error number."""
+    """Returns the exception of a system call that fails with this errno."""
     return OSError(number, os.strerror(number))
 
 
 class FaultySocket:
-    """A socket of which chosen calls fail or are partial; all else goes to the real one."""
+    """Wraps a socket; selected calls fail or send only a part, all others go to the real socket."""
 
     def __init__(self, real: socket.socket) -> None:
         self.real = real
-        self.errors: dict[str, list[int]] = {}  # by call: error numbers of the next calls, in order
-        self.send_capacity: int | None = None  # bytes that `send` still accepts; None: as the kernel says
-        self.max_send: int | None = None  # bytes that one `send` accepts at most
+        self.errors: dict[str, list[int]] = {}  # by system call: errnos of the next calls, in order
+        self.send_capacity: int | None = None  # bytes that `send` still accepts in total; None: no limit
+        self.max_send: int | None = None  # maximum number of bytes per `send`; None: no limit
         self.on_send: Callable[[], None] = lambda: None  # called before each `send`
 
     def __getattr__(self, name: str) -> Any:
@@ -59,6 +59,6 @@
 
 
 def faulty(transport: Any) -> FaultySocket:
-    """Puts a FaultySocket under a transport, and returns it."""
+    """Replaces a transport's socket by a FaultySocket, and returns that."""
     transport.socket = FaultySocket(transport.socket)
     return transport.socket  # type: ignore[no-any-return]
--- a/tests/loop.py
+++ b/tests/loop.py
@@ -1,7 +1,7 @@
-"""A relay in this process, on real sockets, whose loop and clock only move on the test's call.
+"""A relay in the test process, on real sockets, whose event loop and clock advance only when the test says so.
 
-The test sets which of the ready sockets the loop sees, in which order and when. Waits are for bytes that are under
-way on loopback, never for time to pass. Times ending in `_us` are microseconds of the test's clock.
+The test controls which ready sockets the event loop sees, in which order and when. It waits for bytes in transit on
+loopback, never for time to pass. Times ending in `_us` are microseconds of the test's clock.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 
 def wait_ready(sock: socket.socket, events: int = select.POLLIN) -> None:
-    """Waits until a socket is ready, by default until bytes that are under way have arrived."""
+    """Waits until a socket is ready; by default, until data has arrived."""
     poll = select.poll()
     poll.register(sock, events)
-    assert poll.poll(HANG_TIMEOUT_S * 1000), "nothing came"
+    assert poll.poll(HANG_TIMEOUT_S * 1000), "socket did not become ready"
 
 
 class ReadyOrder:
-    """A poller that reports ready sockets in a set order: all but the `held` ones, those in `first` first."""
+    """A poller that hides the ready sockets in `held`, and reports those in `first` before the others."""
 
     def __init__(self, poller: Any) -> None:
         self.poller = poller
@@ -47,13 +47,13 @@
         self.unregister, self.close = poller.unregister, poller.close
 
     def poll(self, timeout: float, _max_events: int) -> list[tuple[int, int]]:
-        """The (descriptor, events) pairs of ready sockets that the loop may see."""
+        """Returns the (descriptor, events) pairs of the ready sockets that the event loop may see."""
         ready = [(fd, events) for fd, events in self.poller.poll(timeout, 1024) if fd not in self.held]
         return sorted(ready, key=lambda r: self.first.index(r[0]) if r[0] in self.first else len(self.first))
 
 
 class Peer:
-    """The other end of a connection; `got` is all that it received."""
+    """The remote end of a connection; `got` is all that it received."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -63,37 +63,37 @@
         self.ended = False
 
     def send(self, data: str | bytes) -> None:
-        """Sends all of it."""
+        """Sends all the data."""
         self.sock.sendall(data.encode() if isinstance(data, str) else data)
 
     def send_line(self, text: str) -> None:
-        """Sends a line."""
+        """Sends a line; CRLF is appended."""
         self.send(text + "\r\n")
 
     def read(self) -> bytes:
-        """All that has arrived so far, noting an end or a reset; does not wait."""
+        """Returns all data received so far, and records an end or a reset. Does not wait."""
         self.sock.setblocking(False)
         with suppress(BlockingIOError):
             while not self.ended:
                 try:
-                    part = self.sock.recv(65536)
+                    data = self.sock.recv(65536)
                 except ConnectionError:
                     self.reset = self.ended = True
                     break
-                self.received += part
-                self.ended = not part
+                self.received += data
+                self.ended = not data
         self.sock.settimeout(HANG_TIMEOUT_S)
         return self.received
 
     def close(self, reset: bool = False) -> None:
-        """Closes the connection, by a reset if asked to."""
+        """Closes the connection, with a reset if `reset` is set."""
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         self.sock.close()
 
 
 class Backend:
-    """A listener whose connections the test answers by hand."""
+    """A listener whose connections the test accepts and answers itself."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=64)
@@ -102,16 +102,16 @@
 
     @property
     def has_pending(self) -> bool:
-        """Whether a connection waits to be accepted."""
+        """Whether a connection is in the accept queue."""
         return bool(select.select([self.listener], [], [], 0)[0])
 
     def accept(self) -> Peer:
-        """The backend's end of the next connection."""
+        """Accepts a connection and returns the backend's end of it."""
         return Peer(self.listener.accept()[0])
 
 
 class Loop:
-    """A relay, its loop and its clock. `phases` are the backends' by number, SERVING where none is given."""
+    """A relay, its event loop and its clock. `phases` gives phases of backends by number; the default is SERVING."""
 
     def __init__(
         self,
@@ -165,42 +165,42 @@
 
     def _stop(self) -> None:
         self.stopped = self.stopped or self.now_us
-        for end in self.reactor.removeAll():  # as the reactor does at its end
+        for selectable in self.reactor.removeAll():  # as the reactor does when it stops
             with suppress(AttributeError):
-                end.loseConnection()
+                selectable.loseConnection()
 
     def step(self, times: int = 1) -> None:
-        """Runs turns of the loop, without waiting."""
+        """Runs `times` iterations of the event loop, without waiting."""
         for _ in range(times):
             self.reactor.runUntilCurrent()
             self.reactor.doIteration(0)
         self.reactor.runUntilCurrent()
 
     def until(self, done: Callable[[], Any]) -> Any:
-        """Runs turns of the loop until `done` returns something true, and returns that. Fails after 400 turns."""
+        """Runs the event loop until `done` returns a true value, and returns that. Fails after 400 iterations."""
         for _ in range(400):
             if result := done():
                 return result
             self.reactor.runUntilCurrent()
             self.reactor.doIteration(0.02)
             self.reactor.runUntilCurrent()
-        raise AssertionError("it never was so")
+        raise AssertionError("condition not met within 400 iterations of the event loop")
 
     def wait(self, us: int, tick_us: int = 4_000) -> bool:
-        """Moves the clock, with a turn of the loop each tick. Returns False, so that it can stand before an `or`."""
-        end = self.now_us + us
-        while self.now_us < end:
-            self.now_us = min(end, self.now_us + tick_us)
+        """Advances the clock, with an iteration of the event loop per tick. Returns False, for use before an `or`."""
+        end_us = self.now_us + us
+        while self.now_us < end_us:
+            self.now_us = min(end_us, self.now_us + tick_us)
             self.step()
         return False
 
     def release(self) -> bool:
-        """Holds no socket any more. Returns False, as `wait` does."""
+        """Lets the event loop see all sockets again. Returns False, as `wait` does."""
         self.order.held.clear()
         return False
 
     def client(self) -> Peer:
-        """A client that has connected and has sent nothing yet."""
+        """Connects a client, which has sent nothing yet."""
         port = self.relay.port.getHost().port
         before = set(self.relay.client_factory.pre_request)
         peer = Peer(socket.create_connection(("127.0.0.1", port), HANG_TIMEOUT_S))
@@ -208,22 +208,26 @@
         return peer
 
     def protocol_of(self, peer: Peer) -> ClientProtocol:
-        """The relay's side of a client's connection."""
-        here = peer.sock.getsockname()
-        for end in [*self.reactor.getReaders(), *self.reactor.getWriters()]:
-            protocol = getattr(end, "protocol", None)
-            if isinstance(protocol, ClientProtocol) and end.socket.fileno() >= 0 and end.getPeer().port == here[1]:
+        """Returns the relay's protocol object of a client's connection."""
+        client_address = peer.sock.getsockname()
+        for transport in [*self.reactor.getReaders(), *self.reactor.getWriters()]:
+            protocol = getattr(transport, "protocol", None)
+            if (
+                isinstance(protocol, ClientProtocol)
+                and transport.socket.fileno() >= 0
+                and transport.getPeer().port == client_address[1]
+            ):
                 return protocol
-        raise AssertionError("the relay has no such connection")
+        raise AssertionError("the relay has no connection from this client")
 
     def open(self, peer: Peer, d: int = 1500, c: str = "visit-checkin") -> None:
-        """Sends a client's first line, and waits until the loop has seen it."""
-        side = self.protocol_of(peer)
+        """Sends a client's request line, and waits until the relay has handled it."""
+        protocol = self.protocol_of(peer)
         peer.send_line(OPEN.format(id=next(IDS), d=d, c=c))
-        self.until(lambda: side.connection or side.closing)
+        self.until(lambda: protocol.connection or protocol.closing)
 
     def establish(self, backend: Backend) -> tuple[Peer, Peer]:
-        """A client that is served: its end, and the backend's."""
+        """Establishes a connection to a backend. Returns the client's end and the backend's end."""
         client = self.client()
         self.open(client)
         self.until(lambda: backend.has_pending)
@@ -236,40 +240,40 @@
         return client, at_backend
 
     def leave(self) -> None:
-        """Begins a graceful shutdown, as SIGTERM does."""
+        """Starts a graceful shutdown, as SIGTERM does."""
         self.relay.leave()
         self.step()
 
 
 @contextmanager
 def fail_on_hang() -> Iterator[None]:
-    """Fails what does not end, even if it catches the exception that is raised to end it."""
+    """Fails code that does not return within HANG_TIMEOUT_S, even if it catches the exception raised to stop it."""
     alarms = list[int]()
 
     def on_alarm(number: int, frame: object) -> None:
         alarms.append(number)
-        raise AssertionError("it does not end")
+        raise AssertionError("code did not return within the time limit")
 
-    before = signal.signal(signal.SIGALRM, on_alarm)
+    previous_handler = signal.signal(signal.SIGALRM, on_alarm)
     signal.setitimer(signal.ITIMER_REAL, HANG_TIMEOUT_S)
     try:
         yield
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0)
-        signal.signal(signal.SIGALRM, before)
-    assert not alarms, "it did not end by itself"
+        signal.signal(signal.SIGALRM, previous_handler)
+    assert not alarms, "code did not return within the time limit"
 
 
 def hold_connects(loop: Loop) -> list[Attempt]:
-    """Hides from the loop that connections to backends come up. Returns the list of attempts, which grows."""
+    """Hides from the event loop that backend connections have opened. Returns the list of attempts, which grows."""
     attempts = list[Attempt]()
-    call = loop.relay.client_factory.connector.connect
+    connect = loop.relay.client_factory.connector.connect
 
-    def held(attempt: Attempt, request_line: object) -> BackendConnection:
-        upstream = call(attempt, request_line)
+    def connect_held(attempt: Attempt, request_line: object) -> BackendConnection:
+        upstream = connect(attempt, request_line)
         loop.order.held.add(upstream.connector.transport.fileno())  # type: ignore[attr-defined]
         attempts.append(attempt)
         return upstream
 
-    loop.relay.client_factory.connector.connect = held  # type: ignore[method-assign]
+    loop.relay.client_factory.connector.connect = connect_held  # type: ignore[method-assign]
     return attempts
--- a/tests/stepped.py
+++ b/tests/stepped.py
@@ -1,6 +1,6 @@
-"""The program under a wall clock that SIGUSR2 steps by STEP_S seconds, as an administrator or a time service would.
+"""Runs the program with a wall clock that steps by STEP_S seconds on SIGUSR2, as an administrator or NTP could do.
 
-The monotonic clock runs on. Run as `python -m tests.stepped` in place of `python -m gradefront`.
+The monotonic clock is not affected. Run as `python -m tests.stepped` instead of `python -m gradefront`.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import signal
 import time
 
-_time, _time_ns = time.time, time.time_ns
+_real_time, _real_time_ns = time.time, time.time_ns
 _stepped_s = 0.0
 
 
@@ -19,8 +19,8 @@
 
 
 if __name__ == "__main__":
-    time.time = lambda: _time() + _stepped_s  # before anything takes it by name
-    time.time_ns = lambda: _time_ns() + int(_stepped_s * 1e9)
+    time.time = lambda: _real_time() + _stepped_s  # before another module imports it by name
+    time.time_ns = lambda: _real_time_ns() + int(_stepped_s * 1e9)
     signal.signal(signal.SIGUSR2, _step)
     from gradefront.__main__ import main
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""The wall clock is stepped, forward and back, by seconds and by an hour: all spans go by the monotonic clock."""
+"""Steps of the wall clock, forward and back, by seconds and by an hour: all timers follow the monotonic clock."""
 
 from __future__ import annotations
 
@@ -26,10 +26,12 @@
 
 
 @asynccontextmanager
-async def stepped(folder: Path, step_s: int, backends: list[StandInBackend]) -> AsyncIterator[Program]:
-    """The program, with backends, whose wall clock a SIGUSR2 steps."""
+async def relay_with_stepped_clock(
+    folder: Path, step_s: int, backends: list[StandInBackend]
+) -> AsyncIterator[Program]:
+    """Run the program with these backends. On SIGUSR2 its wall clock steps by `step_s`."""
     discovery = Discovery()
-    discovery.silent = True  # its signs of life would wake the loop, and hide timers that don't run
+    discovery.silent = True  # its heartbeats would wake the event loop, and hide timers that don't fire
     for n, backend in enumerate(backends):
         discovery.add(f"box-{n}", await backend.open())
     async with program(
@@ -41,86 +43,86 @@
             backend.server.close()
 
 
-async def asked(backend: StandInBackend) -> None:
-    """Wait until a request has come to a backend."""
+async def wait_for_request(backend: StandInBackend) -> None:
+    """Wait until a backend has received a request."""
     while not backend.first_lines:
         await asyncio.sleep(0)
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_a_request_that_waits_is_answered_in_its_time(tmp_path: Path, step_s: int) -> None:
-    async def play() -> None:
+def test_request_in_flight_is_answered_by_its_deadline_after_a_clock_step(tmp_path: Path, step_s: int) -> None:
+    async def scenario() -> None:
         silent = StandInBackend(lambda line: None)
-        async with stepped(tmp_path, step_s, [silent]) as relay:
+        async with relay_with_stepped_clock(tmp_path, step_s, [silent]) as relay:
             device = await LineDevice.connect(relay.ports[0])
-            began = time.monotonic()
+            started_s = time.monotonic()
             device.open(d=900)
-            await soon(asked(silent))
+            await soon(wait_for_request(silent))
             relay.process.send_signal(signal.SIGUSR2)
             assert (await device.line()).split()[0] in ("ERR", "BUSY")
-            assert time.monotonic() - began < 0.9 + BUSY_S
+            assert time.monotonic() - started_s < 0.9 + BUSY_S
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_a_request_in_a_backoff_goes_on_in_its_time(tmp_path: Path, step_s: int) -> None:
-    async def play() -> None:
+def test_request_in_backoff_is_retried_in_time_after_a_clock_step(tmp_path: Path, step_s: int) -> None:
+    async def scenario() -> None:
         stepped_now = asyncio.Event()
         answers = ["BUSY", "BUSY"]
         running = list[Program]()
 
         def answer(line: str) -> str:
-            if answers:  # the relay turns to its backoff: the clock steps just then
+            if answers:  # after this rejection the relay starts a backoff, as the clock steps
                 running[0].process.send_signal(signal.SIGUSR2)
                 stepped_now.set()
                 return answers.pop()
             return "UP r-1"
 
-        async with stepped(tmp_path, step_s, [StandInBackend(answer) for _ in range(3)]) as relay:
+        async with relay_with_stepped_clock(tmp_path, step_s, [StandInBackend(answer) for _ in range(3)]) as relay:
             running.append(relay)
             device = await LineDevice.connect(relay.ports[0])
-            began = time.monotonic()
+            started_s = time.monotonic()
             device.open(d=3000)
             assert await device.line() == "UP r-1" and stepped_now.is_set()
-            assert time.monotonic() - began < 3.0 + BUSY_S
+            assert time.monotonic() - started_s < 3.0 + BUSY_S
             assert await device.ask("on it goes") == "re:on it goes"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_a_stop_takes_its_time_and_no_longer(tmp_path: Path, step_s: int) -> None:
-    async def play() -> None:
-        async with stepped(tmp_path, step_s, [StandInBackend(lambda line: "UP r-1")]) as relay:
+def test_graceful_shutdown_takes_the_set_time_despite_a_clock_step(tmp_path: Path, step_s: int) -> None:
+    async def scenario() -> None:
+        async with relay_with_stepped_clock(tmp_path, step_s, [StandInBackend(lambda line: "UP r-1")]) as relay:
             device = await LineDevice.connect(relay.ports[0])
             device.open()
             assert await device.line() == "UP r-1"
-            began = time.monotonic()
+            started_s = time.monotonic()
             relay.process.send_signal(signal.SIGTERM)
             await relay.line("leaving")
             relay.process.send_signal(signal.SIGUSR2)
             assert await device.line() == "MOVE"
-            assert time.monotonic() - began > 2.0, "moved while no other relay may take it in"
+            assert time.monotonic() - started_s > 2.0, "migrated before another relay could accept it"
             assert await device.line() == ""
             device.writer.close()
             assert await soon(relay.process.wait()) == 0
-            assert time.monotonic() - began < 3.7 + BUSY_S
+            assert time.monotonic() - started_s < 3.7 + BUSY_S
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("step_s", [*STEPS_S, 0])
-def test_a_step_is_distinguished_from_the_clocks_own_run(monkeypatch: pytest.MonkeyPatch, step_s: int) -> None:
+def test_clock_step_is_detected_and_does_not_change_the_clock(monkeypatch: pytest.MonkeyPatch, step_s: int) -> None:
     clock = Clock()
     before = clock()
-    real = time.time_ns
-    monkeypatch.setattr(time, "time_ns", lambda: real() + step_s * 10**9)
+    real_time_ns = time.time_ns
+    monkeypatch.setattr(time, "time_ns", lambda: real_time_ns() + step_s * 10**9)
     assert clock.stepped() == bool(step_s)
     assert 0 <= clock() - before < 10 * STEP_US
 
 
-# ---- slow start: when a backend started
+# ---- slow start: start times of backends
 
 NOW_US = 1_800_000_000_000_000
 HOUR_US = 3_600_000_000
@@ -133,36 +135,38 @@
 
 
 @pytest.mark.parametrize("age_us", [0, 1_500_000, WARM_UP_US])
-def test_a_start_that_can_be_so_is_believed(age_us: int) -> None:
+def test_plausible_start_time_is_used_as_reported(age_us: int) -> None:
     assert estimate_start(NOW_US - age_us, None, reading()).at_us == NOW_US - age_us
 
 
 @pytest.mark.parametrize("age_us", [HOUR_US, WARM_UP_US + 1, -1, -HOUR_US])
 @pytest.mark.parametrize("known", [None, KNOWN])
-def test_news_of_a_start_that_cannot_be_so_counts_from_now(age_us: int, known: BackendStart | None) -> None:
+def test_implausible_start_time_is_replaced_by_the_time_of_the_update(
+    age_us: int, known: BackendStart | None
+) -> None:
     reported_us = NOW_US - age_us
     assert estimate_start(reported_us, known, reading()) == BackendStart(reported_us, NOW_US)
 
 
 @pytest.mark.parametrize("age_us", [0, 3_000_000, HOUR_US, -HOUR_US])
-def test_no_time_of_day_is_believed_after_a_step(age_us: int) -> None:
+def test_start_time_is_not_trusted_after_a_clock_step(age_us: int) -> None:
     assert estimate_start(NOW_US - age_us, KNOWN, reading(clock_was_stepped=True)).at_us == NOW_US
 
 
-def test_what_was_there_before_the_relay_began_is_believed_unless_it_lies_ahead() -> None:
-    first = reading(is_update=False)
-    assert estimate_start(NOW_US - HOUR_US, None, first).at_us == NOW_US - HOUR_US
-    assert estimate_start(NOW_US + HOUR_US, None, first).at_us == NOW_US
-    assert estimate_start(0, None, first) == BackendStart(0, 0)
+def test_start_time_in_the_first_list_is_trusted_unless_it_is_in_the_future() -> None:
+    first_list = reading(is_update=False)
+    assert estimate_start(NOW_US - HOUR_US, None, first_list).at_us == NOW_US - HOUR_US
+    assert estimate_start(NOW_US + HOUR_US, None, first_list).at_us == NOW_US
+    assert estimate_start(0, None, first_list) == BackendStart(0, 0)
 
 
-def test_a_start_reported_again_keeps_its_time() -> None:
-    once = estimate_start(NOW_US + HOUR_US, None, reading())
-    assert estimate_start(NOW_US + HOUR_US, once, reading(now_us=NOW_US + 5_000_000)) == once
+def test_repeated_report_of_a_start_keeps_its_time() -> None:
+    first = estimate_start(NOW_US + HOUR_US, None, reading())
+    assert estimate_start(NOW_US + HOUR_US, first, reading(now_us=NOW_US + 5_000_000)) == first
 
 
 @given(st.lists(st.tuples(st.integers(1, 2 * NOW_US), st.integers(0, 10**7), st.booleans()), max_size=8))
-def test_no_start_lies_ahead_and_another_start_is_a_later_one(reports: list[tuple[int, int, bool]]) -> None:
+def test_start_is_never_in_the_future_and_each_new_start_is_later(reports: list[tuple[int, int, bool]]) -> None:
     now, known = NOW_US, None
     for reported_us, later_us, step in reports:
         now += later_us + 1
@@ -173,7 +177,7 @@
 
 
 @pytest.mark.parametrize("step_us", [HOUR_US, -HOUR_US])
-def test_a_backend_that_restarts_after_a_step_is_warming_up_for_the_module(step_us: int) -> None:
+def test_backend_that_restarts_after_a_clock_step_is_in_slow_start(step_us: int) -> None:
     bench = Bench()
     steps = list[int]()
     backends = EndpointList(CONFIG, bench.core, lambda: bool(steps))
@@ -183,12 +187,12 @@
     assert backends.backends["b"].endpoint.started_us == bench.now // 1000 * 1000
     steps.append(step_us)
     bench.wait(DISCOVERY_DELAY_US)
-    reported_ms = (bench.now + step_us) // 1000  # another start, reported by a clock that is an hour off
+    reported_ms = (bench.now + step_us) // 1000  # a new start, reported by a clock that is an hour off
     backends.apply({"revision": 3, "complete": False, "members": [{**member, "up_since_ms": max(1, reported_ms)}]})
     assert backends.backends["b"].endpoint.started_us == bench.now
 
 
-def test_a_long_outage_of_discovery_makes_old_starts_news() -> None:
+def test_start_during_a_long_outage_of_discovery_is_used_as_reported() -> None:
     bench = Bench()
     backends = EndpointList(CONFIG, bench.core)
     member = {"id": "b", "host_port": "127.0.0.1:1", "phase": "SERVING", "up_since_ms": 0}
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -1,4 +1,4 @@
-"""Answers and the end of connections: none is thrown away to save a descriptor, for a short write, or at the end."""
+"""Final answers are never lost: not if descriptors run short, not after a short write, not at shutdown."""
 
 from __future__ import annotations
 
@@ -13,36 +13,36 @@
 from .faults import faulty
 from .loop import Backend, Loop, Peer, wait_ready
 
-MANY = 200  # connections answered in one turn of the loop, at 512 descriptors
+MANY = 200  # connections answered in one event loop iteration, with 512 descriptors
 
 
-def stand(loop: Loop, backend: Backend, many: int) -> list[tuple[Peer, Peer]]:
-    """So many clients that are served: their ends, and the backend's."""
-    return [loop.establish(backend) for _ in range(many)]
+def establish_many(loop: Loop, backend: Backend, count: int) -> list[tuple[Peer, Peer]]:
+    """Establish `count` connections. Returns the client's and the backend's end of each."""
+    return [loop.establish(backend) for _ in range(count)]
 
 
 def send_until_blocked(loop: Loop, client: Peer, served: Peer) -> int:
-    """Send a client lines until neither the kernel nor it takes more, since it does not read. The bytes sent."""
-    side, sent = loop.protocol_of(client), 0
-    while not side.tcp.has_unsent_data:
+    """Send lines to a client that does not read, until the kernel accepts no more. Returns the bytes sent."""
+    protocol, sent = loop.protocol_of(client), 0
+    while not protocol.tcp.has_unsent_data:
         served.send(b"z" * 4000 + b"\r\n")
         sent += 4002
         loop.step()
     return sent
 
 
-@pytest.mark.parametrize("why", ["the relay stops", "the backend has vanished", "the relay is emptied"])
-def test_hundreds_that_are_moved_at_once_are_all_notified(tmp_path: Path, why: str) -> None:
+@pytest.mark.parametrize("cause", ["the relay stops", "the backend has vanished", "the relay drains"])
+def test_hundreds_of_clients_that_migrate_at_once_all_receive_move(tmp_path: Path, cause: str) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
-    clients = stand(loop, backend, MANY)
+    clients = establish_many(loop, backend, MANY)
     slow = clients[MANY // 2]
     slow[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sent = send_until_blocked(loop, *slow)
-    if why == "the relay stops":
+    if cause == "the relay stops":
         loop.core.lifecycle.stop(lambda: None)
     for connection in list(loop.core.connections.values()):
-        if why == "the backend has vanished":
+        if cause == "the backend has vanished":
             loop.core.answers.migrate_off_silent(connection, alone=False)
         else:
             loop.core.migrate(connection)
@@ -57,26 +57,26 @@
     assert not loop.core.connections
 
 
-def test_a_move_is_not_thrown_away_for_a_crowd(tmp_path: Path) -> None:
+def test_move_is_sent_although_a_crowd_of_new_clients_needs_descriptors(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
-    clients = stand(loop, backend, 20)
+    clients = establish_many(loop, backend, 20)
     client_factory = loop.relay.client_factory
     crowd = [loop.client() for _ in range(390)]
     assert client_factory.descriptors_held() > 390
     for connection in list(loop.core.connections.values()):
         loop.core.migrate(connection)
     more = [socket.create_connection(("127.0.0.1", loop.relay.port.getHost().port)) for _ in range(80)]
-    loop.relay.port.doRead()  # the crowd is seen before the loop comes round to write
+    loop.relay.port.doRead()  # the crowd is accepted before the event loop writes
     loop.step(5)
     for client, _ in clients:
         loop.until(lambda: client.read() and client.ended)  # noqa: B023
         assert client.received == b"MOVE\r\n" and not client.reset
-    for end in [*more, *(c.sock for c in crowd)]:
-        end.close()
+    for sock in [*more, *(c.sock for c in crowd)]:
+        sock.close()
 
 
-def test_whoever_asks_when_descriptors_have_run_out_is_answered(tmp_path: Path) -> None:
+def test_requests_are_answered_although_descriptors_are_exhausted(tmp_path: Path) -> None:
     loop = Loop(tmp_path, [Backend()])
     client_factory, port = loop.relay.client_factory, loop.relay.port
     crowd = [loop.client() for _ in range(380)]
@@ -109,7 +109,7 @@
         [errno.EMFILE] * 3,
     ],
 )
-def test_accept_that_fails_for_a_moment_loses_nobody(tmp_path: Path, errors: list[int]) -> None:
+def test_transient_accept_errors_lose_no_client(tmp_path: Path, errors: list[int]) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     port = loop.relay.port
@@ -119,7 +119,7 @@
         client.send_line(f"OPEN {n:016x} 7f3a9c21e0b4d655 c=visit-checkin,d=900,g=5c0f6e1a2b3d4c59")
     for client in late:
         loop.until(lambda: loop.wait(4_000) or backend.has_pending or client.read())  # noqa: B023
-        assert backend.has_pending, "the request was not taken, or not sent on"
+        assert backend.has_pending, "the request was not accepted, or not forwarded"
         served = backend.accept()
         loop.until(lambda: served.read().endswith(b"\r\n"))  # noqa: B023
         served.send_line("UP r-1")
@@ -127,10 +127,10 @@
         loop.until(lambda: client.read() == b"UP r-1\r\n")  # noqa: B023
 
 
-@pytest.mark.parametrize("end", ["reset", "an orderly end"])
+@pytest.mark.parametrize("ending", ["reset", "orderly close"])
 @pytest.mark.parametrize("send_capacity", [0, 3])
-def test_what_a_short_write_left_of_an_answer_arrives_though_the_backend_ends(
-    tmp_path: Path, end: str, send_capacity: int
+def test_answer_after_a_short_write_arrives_complete_although_the_backend_disconnects(
+    tmp_path: Path, ending: str, send_capacity: int
 ) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
@@ -142,7 +142,7 @@
     sock = faulty(loop.protocol_of(client).tcp)
     sock.send_capacity = send_capacity
     served.send(b"UP r-1\r\none line\r\n")
-    served.close(reset=end == "reset")
+    served.close(reset=ending == "reset")
     loop.until(lambda: not loop.core.connections)
     loop.step(2)
     sock.send_capacity = None
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("number", [errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN])
-def test_an_answer_that_the_kernel_takes_only_later_arrives(tmp_path: Path, number: int) -> None:
+def test_answer_arrives_after_transient_send_errors(tmp_path: Path, number: int) -> None:
     loop = Loop(tmp_path, [])
     client = loop.client()
     sock = faulty(loop.protocol_of(client).tcp)
@@ -163,7 +163,7 @@
     )
 
 
-def test_an_answer_that_has_not_left_keeps_the_process_up_as_long_as_may_be(tmp_path: Path) -> None:
+def test_unsent_answer_delays_the_exit_until_just_before_the_kill_time(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client, _ = loop.establish(backend)
@@ -173,7 +173,7 @@
     loop.leave()
     kill_us = loop.core.lifecycle.kill_us
     loop.wait(kill_us - 150_000)
-    assert not loop.stopped, "its client has not been sent its last word"
+    assert not loop.stopped, "the client's final line is not sent yet"
     sock.send_capacity = None
     loop.until(lambda: loop.wait(4_000) or loop.stopped)
     assert loop.stopped - began < kill_us - 50_000
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize("line", [b"x" * 5000, b"x" * 5000 + b"\r\n"])
-def test_a_client_that_waits_and_sends_a_line_without_end_hears_its_answer(tmp_path: Path, line: bytes) -> None:
+def test_waiting_client_that_sends_an_overlong_line_gets_err(tmp_path: Path, line: bytes) -> None:
     loop = Loop(tmp_path, [Backend()])
     client = loop.client()
     loop.open(client)
@@ -190,29 +190,29 @@
     assert client.received == b"ERR\r\n" and not client.reset and not loop.core.connections
 
 
-@pytest.mark.parametrize("stage", ["at the start", "while it waits", "while it is served"])
-def test_an_exception_in_a_line_of_a_client_still_answers_it(tmp_path: Path, stage: str) -> None:
+@pytest.mark.parametrize("stage", ["before its request", "while it waits", "while it is served"])
+def test_client_is_answered_although_handling_its_line_raises(tmp_path: Path, stage: str) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     if stage == "while it is served":
         client, _ = loop.establish(backend)
     else:
         client = loop.client()
-    side = loop.protocol_of(client)
+    protocol = loop.protocol_of(client)
     if stage == "while it waits":
         loop.open(client)
 
     def breaks(line: bytes) -> None:
-        raise IndexError("a fault of ours")
+        raise IndexError("simulated fault in the relay")
 
-    side._handle_line = breaks  # type: ignore[method-assign]
+    protocol._handle_line = breaks  # type: ignore[method-assign]
     client.send_line("anything")
     loop.until(lambda: client.read() and client.ended)
     assert client.received == (b"MOVE\r\n" if stage == "while it is served" else b"ERR\r\n") and not client.reset
     assert not loop.core.connections
 
 
-def test_an_error_as_an_attempt_is_ended_keeps_its_client_from_no_answer(tmp_path: Path) -> None:
+def test_client_is_answered_although_closing_its_attempt_raises(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client = loop.client()
@@ -230,7 +230,7 @@
     assert client.received == b"ERR\r\n"
 
 
-def test_one_event_that_breaks_the_module_harms_one_request(tmp_path: Path) -> None:
+def test_event_that_makes_the_decision_module_raise_affects_one_request_only(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend], settings(deadline_ms=1000))
     clients = [loop.client() for _ in range(3)]
@@ -238,7 +238,7 @@
 
     def breaks(now_us: int, event: object) -> list[object]:
         if getattr(event, "request_id", 0) == 2:
-            raise IndexError("the module broke")
+            raise IndexError("simulated fault in the decision module")
         return handle(now_us, event)  # type: ignore[arg-type, return-value]
 
     loop.core.balancer.handle = breaks  # type: ignore[method-assign, assignment]
@@ -246,7 +246,7 @@
 
     def fails_once() -> None:
         loop.protocol_of(clients[1]).fail = client_fail  # type: ignore[method-assign]
-        raise RuntimeError("nor can it be told")
+        raise RuntimeError("simulated fault in the final answer")
 
     loop.protocol_of(clients[1]).fail = fails_once  # type: ignore[method-assign]
     for n, client in enumerate(clients):
@@ -263,18 +263,18 @@
         loop.until(lambda: client.read() == b"UP r-1\r\n")  # noqa: B023
 
 
-def test_an_iteration_that_fails_leaves_the_timers_running(tmp_path: Path) -> None:
+def test_timers_keep_running_after_a_run_of_the_core_raises(tmp_path: Path) -> None:
     loop = Loop(tmp_path, [])
     client = loop.client()
     loop.open(client, d=300)
-    run_once, broken = loop.core.run_once, list[int]()
+    run_once, faults = loop.core.run_once, list[int]()
 
     def breaks() -> None:
-        if not broken:
-            broken.append(1)
-            raise RuntimeError("a turn that breaks")
+        if not faults:
+            faults.append(1)
+            raise RuntimeError("simulated fault in the core")
         run_once()
 
     loop.relay.driver.core.run_once = breaks  # type: ignore[method-assign, union-attr]
     loop.wait(1_000_000)
-    assert broken and client.read().split()[0] in (b"BUSY", b"ERR")
+    assert faults and client.read().split()[0] in (b"BUSY", b"ERR")
--- a/tests/test_lost_processes.py
+++ b/tests/test_lost_processes.py
@@ -1,7 +1,7 @@
-"""Three processes of the program under traffic, while they are killed, stopped and given new settings.
+"""Three relay processes under traffic while they are killed, stopped and reconfigured.
 
-Backends are silent, refuse, fail or reset meanwhile. Counted from outside: one whole final answer for each request,
-and none forwarded after its end.
+Meanwhile backends are silent, reject, fail or reset. Checked from outside: each request gets exactly one complete
+final answer, and none is forwarded after its client has disconnected.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 from lab.stand_ins import BUSY_S, Discovery, LineDevice, Program, StandInBackend, program, settings, soon
 
-CLIENTS, REQUESTS = 12, 12  # at a time, and of each
-WAITS_MS = 1500
-LEFT_S = 0.1  # the longest time after its client's end in which an attempt may begin
-MOST_ATTEMPTS = 4
-FINAL = re.compile(r"UP r-1|BUSY( \d+)?|ERR")
-#: What the unsound backend does, one after another.
+CLIENTS, REQUESTS = 12, 12  # concurrent clients, and requests of each
+TIMEOUT_MS = 1500
+LEFT_S = 0.1  # an attempt may start at most this long after its client has disconnected
+MAX_ATTEMPTS = 4
+FINAL_ANSWER = re.compile(r"UP r-1|BUSY( \d+)?|ERR")
+#: Behaviour of the faulty backend, request by request, in a cycle.
 FAULTS = ["UP r-1", None, "reset", "close", "BUSY", "ERR", "UP r-1", "UP, then reset", "half", "reset"]
 
 
-class Recorded(StandInBackend):
-    """A backend that notes when each request came."""
+class RecordingBackend(StandInBackend):
+    """A backend that records when each request arrived."""
 
     def __init__(self, faults: list[str | None]) -> None:
         super().__init__(self._answers)
@@ -53,19 +53,19 @@
 
 
 class Relays:
-    """Three processes, each of which may be down for a while."""
+    """Three relay processes, each of which may be down for a while."""
 
     def __init__(self, stack: AsyncExitStack, folder: Path, discovery: Discovery) -> None:
         self.stack, self.folder, self.discovery = stack, folder, discovery
         self.up: dict[str, Program] = {}
-        self.killed: set[int] = set()  # ports of processes that were killed outright
+        self.killed: set[int] = set()  # ports of processes that were ended by SIGKILL
         self.starts = count()
 
     async def start(self, name: str) -> None:
         home = self.folder / f"{name}-{next(self.starts)}"
         home.mkdir()
         self.up[name] = await self.stack.enter_async_context(
-            program(home, self.discovery, settings(deadline_ms=2500, maxAttempts=MOST_ATTEMPTS), name=name)
+            program(home, self.discovery, settings(deadline_ms=2500, maxAttempts=MAX_ATTEMPTS), name=name)
         )
 
     def port(self, number: int) -> int:
@@ -73,7 +73,7 @@
         return programs[number % len(programs)].ports[0]
 
     async def restart(self, name: str, number: signal.Signals) -> None:
-        """End one, by a signal, and start it again."""
+        """End a relay by a signal, and start it again."""
         relay = self.up.pop(name)
         if number is signal.SIGKILL:
             self.killed.add(relay.ports[0])
@@ -86,17 +86,17 @@
 
 
 class Clients:
-    """All that ask, and what they were told."""
+    """All clients, and the answers that they received."""
 
     def __init__(self, relays: Relays) -> None:
         self.relays = relays
         self.answers: Counter[str] = Counter()
-        self.left: dict[str, float] = {}  # when a client that did not wait has ended, by the id of its request
+        self.left: dict[str, float] = {}  # when a client that did not wait disconnected, by its connection id
         self.done = 0
         self.progress = asyncio.Condition()
 
     async def ask(self, number: int) -> None:
-        """One request, at whatever relay is there."""
+        """Send one request to a relay that is up."""
         port = self.relays.port(number)
         try:
             device = await LineDevice.connect(port)
@@ -104,53 +104,53 @@
             self.answers["not accepted"] += 1
             return
         try:
-            began = time.monotonic()
-            device.open(d=WAITS_MS)
+            started_s = time.monotonic()
+            device.open(d=TIMEOUT_MS)
             if number % 7 == 0:
                 await device.writer.drain()
                 device.writer.close()
                 self.left[f"{device.id:016x}"] = time.monotonic()
                 self.answers["left"] += 1
                 return
-            await self.hear(device, began, port)
+            await self.check_answer(device, started_s, port)
         finally:
             device.writer.close()
 
-    async def hear(self, device: LineDevice, began: float, port: int) -> None:
-        """Its final answer, in time; behind a rejection or a failure there is nothing but the end."""
+    async def check_answer(self, device: LineDevice, started_s: float, port: int) -> None:
+        """Check that a complete final answer arrives in time, and that nothing follows a rejection or failure."""
         answer = ""
         with suppress(ConnectionError):
             answer = await device.line()
         if not answer:
-            assert port in self.relays.killed, "a request without an answer"
+            assert port in self.relays.killed, "request got no answer"
             self.answers["relay killed"] += 1
             return
-        assert FINAL.fullmatch(answer), f"{answer!r} is no final answer"
-        assert time.monotonic() - began < WAITS_MS / 1000 + BUSY_S, "an answer that is late"
+        assert FINAL_ANSWER.fullmatch(answer), f"{answer!r} is not a final answer"
+        assert time.monotonic() - started_s < TIMEOUT_MS / 1000 + BUSY_S, "answer is late"
         self.answers[answer.split()[0]] += 1
         if not answer.startswith("UP"):
-            assert await device.line() == "", "a second answer"
+            assert await device.line() == "", "data after the final answer"
             return
-        with suppress(ConnectionError):  # as its backend ended, or its relay was killed
+        with suppress(ConnectionError):  # its backend reset the connection, or its relay was killed
             assert await device.ask("where are you") in ("re:where are you", "MOVE", "")
 
     async def run(self, number: int) -> None:
-        """One client after another."""
+        """Send requests one after another."""
         for request in range(number, number + REQUESTS * CLIENTS, CLIENTS):
             await self.ask(request)
             async with self.progress:
                 self.done += 1
                 self.progress.notify_all()
 
-    async def until(self, many: int) -> None:
-        """Wait until so many requests are settled."""
+    async def until(self, done: int) -> None:
+        """Wait until this many requests are done."""
         async with self.progress:
-            await self.progress.wait_for(lambda: self.done >= many)
+            await self.progress.wait_for(lambda: self.done >= done)
 
 
-def test_three_processes_answer_each_request_once_whatever_ends_or_fails(tmp_path: Path) -> None:
-    async def play() -> None:
-        backends = [Recorded(["UP r-1"]), Recorded(FAULTS), Recorded([None, "UP r-1"])]
+def test_each_request_gets_one_answer_while_relays_restart_and_backends_fail(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        backends = [RecordingBackend(["UP r-1"]), RecordingBackend(FAULTS), RecordingBackend([None, "UP r-1"])]
         discovery = Discovery()
         async with AsyncExitStack() as stack:
             for n, backend in enumerate(backends):
@@ -175,10 +175,10 @@
             assert clients.answers["UP"] > CLIENTS * REQUESTS / 2, clients.answers
             arrivals = [entry for backend in backends for entry in backend.arrivals]
             attempts = Counter(request for request, _ in arrivals)
-            assert max(attempts.values()) <= MOST_ATTEMPTS
+            assert max(attempts.values()) <= MAX_ATTEMPTS
             late = [at - clients.left[request] for request, at in arrivals if request in clients.left]
-            assert all(later < LEFT_S + BUSY_S for later in late), "sent on after its client had ended"
+            assert all(later < LEFT_S + BUSY_S for later in late), "forwarded after its client had disconnected"
             for relay in relays.up.values():
                 assert "exceptions" not in await relay.counters()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_moments_close.py
+++ b/tests/test_moments_close.py
@@ -1,4 +1,5 @@
-"""Rare moments of a close: bytes that come as a connection ends, and clients that end it as something is sent."""
+"""Race conditions while a connection closes: data that arrives during the close, and clients that disconnect as
+something is sent."""
 
 from __future__ import annotations
 
@@ -13,20 +14,20 @@
 from .loop import Backend, Loop, Peer, hold_connects, wait_ready
 
 
-def unread(loop: Loop, peer: Peer, what: bytes) -> None:
-    """Bytes of a peer are here, and the loop has not seen them."""
-    side = loop.protocol_of(peer)
-    loop.order.held.add(side.tcp.fileno())
-    peer.send(what)
-    wait_ready(side.tcp.socket)
+def send_unread(loop: Loop, peer: Peer, data: bytes) -> None:
+    """Send data to the relay that has arrived but that the event loop does not see yet."""
+    protocol = loop.protocol_of(peer)
+    loop.order.held.add(protocol.tcp.fileno())
+    peer.send(data)
+    wait_ready(protocol.tcp.socket)
 
 
-@pytest.mark.parametrize("bytes_under_way", [b"a whole line\r\n", b"half a li", b"x" * 5000])
-def test_a_move_survives_bytes_that_come_as_it_is_written(tmp_path: Path, bytes_under_way: bytes) -> None:
+@pytest.mark.parametrize("unread", [b"a whole line\r\n", b"half a li", b"x" * 5000])
+def test_move_reaches_a_client_whose_data_arrives_as_it_is_written(tmp_path: Path, unread: bytes) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client, at_backend = loop.establish(backend)
-    unread(loop, client, bytes_under_way)
+    send_unread(loop, client, unread)
     (connection,) = loop.core.connections.values()
     loop.core.migrate(connection)
     loop.step(3)
@@ -40,13 +41,13 @@
 
 
 @pytest.mark.parametrize(("first", "answer"), [(b"nonsense\r\n", b"ERR\r\n"), (b"OPEN\r\n", b"ERR\r\n")])
-def test_a_final_answer_survives_bytes_that_come_after_it(tmp_path: Path, first: bytes, answer: bytes) -> None:
+def test_final_answer_reaches_a_client_that_keeps_sending(tmp_path: Path, first: bytes, answer: bytes) -> None:
     loop = Loop(tmp_path, [Backend()])
     client = loop.client()
     client.send(first)
-    side = loop.protocol_of(client)
-    loop.until(lambda: side.closing)
-    assert side.tcp.connected or client.read() == answer
+    protocol = loop.protocol_of(client)
+    loop.until(lambda: protocol.closing)
+    assert protocol.tcp.connected or client.read() == answer
     client.send(b"more " * 1000 + b"\r\n")
     loop.until(lambda: client.read() and client.ended)
     assert client.received == answer and not client.reset
@@ -54,7 +55,9 @@
     loop.until(lambda: not loop.relay.client_factory.open_connections)
 
 
-def test_a_client_that_goes_on_sending_after_the_end_is_cut_off_in_bounded_time_and_bytes(tmp_path: Path) -> None:
+def test_client_that_keeps_sending_after_its_final_answer_is_reset_after_bounded_time_and_bytes(
+    tmp_path: Path,
+) -> None:
     loop = Loop(tmp_path, [Backend()])
     client, other = loop.client(), loop.client()
     for peer in (client, other):
@@ -77,7 +80,7 @@
     loop.until(lambda: not loop.relay.client_factory.open_connections)
 
 
-def test_a_client_that_waits_is_forwarded_after_half_a_line_of_its(tmp_path: Path) -> None:
+def test_request_is_forwarded_although_the_waiting_client_has_sent_an_incomplete_line(tmp_path: Path) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client = loop.client()
@@ -97,59 +100,63 @@
     loop.until(lambda: at_backend.read().endswith(b"where are you\r\n"))
 
 
-@pytest.mark.parametrize("how", ["end", "reset", "half a line, then the end", "a line, then the end"])
-def test_a_client_that_left_as_the_backend_connection_opened_is_not_forwarded(tmp_path: Path, how: str) -> None:
+@pytest.mark.parametrize("disconnect", ["close", "reset", "incomplete line, then close", "complete line, then close"])
+def test_request_is_not_forwarded_if_the_client_left_as_the_backend_connection_opened(
+    tmp_path: Path, disconnect: str
+) -> None:
     backend = Backend()
     loop = Loop(tmp_path, [backend])
     client = loop.client()
-    side = loop.protocol_of(client)
+    protocol = loop.protocol_of(client)
     attempts = hold_connects(loop)
     loop.open(client)
     loop.until(lambda: attempts)
-    loop.order.held.add(side.tcp.fileno())  # the loop is busy, and does not read that the client leaves
-    if how.startswith("half"):
+    loop.order.held.add(
+        protocol.tcp.fileno()
+    )  # the event loop is busy, and does not notice that the client disconnects
+    if disconnect.startswith("incomplete"):
         client.send(b"half a")
-    if how.startswith("a line"):
+    if disconnect.startswith("complete"):
         client.send_line("a line")
-    client.close(reset=how == "reset")
-    wait_ready(side.tcp.socket, select.POLLRDHUP)
-    loop.order.held = {side.tcp.fileno()}
+    client.close(reset=disconnect == "reset")
+    wait_ready(protocol.tcp.socket, select.POLLRDHUP)
+    loop.order.held = {protocol.tcp.fileno()}
     loop.until(lambda: backend.has_pending)
     at_backend = backend.accept()
     loop.until(lambda: attempts[0].is_over or at_backend.read())
     loop.order.held.clear()
     loop.wait(400_000, 20_000)
-    assert at_backend.read() == b"", "a request was forwarded after its client had left"
+    assert at_backend.read() == b"", "a request was forwarded after its client had disconnected"
     assert loop.core.counters.counts["gave_up_waiting"] + loop.core.counters.counts["failed"] == 1
 
 
-def test_a_cancelled_attempt_leaves_no_bytes_that_could_still_arrive(tmp_path: Path) -> None:
+def test_cancelled_attempt_after_a_short_write_sends_no_more_bytes(tmp_path: Path) -> None:
     backends = [Backend(), Backend()]
     loop = Loop(tmp_path, backends, settings(objective_ms=300, deadline_ms=3000))
     client = loop.client()
-    taken = list[bytes]()
+    writes = list[bytes]()
 
-    def some(data: bytes) -> int:  # the network takes a part of the line, and then nothing for a while
-        taken.append(data[:10])
-        return 10 if len(taken) == 1 else 0
+    def write_partly(data: bytes) -> int:  # the kernel accepts a part of the line, and then nothing for a while
+        writes.append(data[:10])
+        return 10 if len(writes) == 1 else 0
 
-    made = BackendProtocol.connectionMade
+    connection_made = BackendProtocol.connectionMade
 
-    def slow(line: BackendProtocol) -> None:
-        if not taken:
-            line.tcp.writeSomeData = some
-        made(line)
+    def slow_connection_made(protocol: BackendProtocol) -> None:
+        if not writes:
+            protocol.tcp.writeSomeData = write_partly
+        connection_made(protocol)
 
-    BackendProtocol.connectionMade = slow  # type: ignore[method-assign, assignment]
+    BackendProtocol.connectionMade = slow_connection_made  # type: ignore[method-assign, assignment]
     try:
         loop.open(client, d=3000)
-        loop.until(lambda: taken)
+        loop.until(lambda: writes)
     finally:
-        BackendProtocol.connectionMade = made  # type: ignore[method-assign]
+        BackendProtocol.connectionMade = connection_made  # type: ignore[method-assign]
     (connection,) = loop.core.connections.values()
     attempt = connection.attempt
     assert attempt and attempt.upstream
-    line = attempt.upstream.line_protocol  # type: ignore[attr-defined]
+    protocol = attempt.upstream.line_protocol  # type: ignore[attr-defined]
     loop.until(lambda: attempt.is_over or loop.wait(20_000))
     loop.step(3)
-    assert line.tcp.disconnected or not line.tcp.connected, "the rest of the request line may still leave"
+    assert protocol.tcp.disconnected or not protocol.tcp.connected, "the rest of the line may still be sent"
