--- a/gradefront/net/client_protocol.py
+++ b/gradefront/net/client_protocol.py
@@ -92,7 +92,7 @@
             self.id = parse_connection_id(line)
             client_factory.record_connection_id(self.id)
         except InvalidLineError as error:
-            # A class that an earlier configuration had still has its counters.
+            # An error of a class that an earlier configuration had is still counted for that class.
             if error.request_class in client_factory.core.request_classes.names:
                 client_factory.core.counters.add_for_class("errored_total", error.request_class)
             client_factory.count_invalid(str(error))
@@ -177,7 +177,7 @@
         self._finish_with(b"BUSY %d" % -(-retry_after_us // 1000) if retry_after_us > 0 else b"BUSY")
 
     def fail(self) -> None:
-        """Send the final answer `ERR`, which does not say whether the request was executed."""
+        """Send the final answer `ERR`, which, unlike `BUSY`, makes no promise about the request."""
         self._finish_with(b"ERR")
 
     def migrate(self) -> None:
--- a/gradefront/net/reactor.py
+++ b/gradefront/net/reactor.py
@@ -28,7 +28,7 @@
         """Listen for connections."""
 
     def adoptStreamPort(self, fileDescriptor: int, addressFamily: int, factory: Any) -> Any:
-        """Serve a listening descriptor of another process. It is duplicated, and never shut down."""
+        """Accept connections on an existing listening descriptor. It is duplicated, and never shut down."""
 
     def adoptStreamConnection(self, fileDescriptor: int, addressFamily: int, factory: Any) -> Any:
         """Serve an established connection. Its descriptor is duplicated."""
@@ -83,7 +83,7 @@
         return connector
 
     def adoptStreamPort(self, fileDescriptor: int, addressFamily: int, factory: Any) -> ListeningPort:
-        """Serve a listening descriptor of another process."""
+        """Accept connections on an existing listening descriptor."""
         port = cast(Any, ListeningPort)
         listener: ListeningPort = port._fromListeningDescriptor(self, fileDescriptor, addressFamily, factory)
         listener.is_shared = True
@@ -112,7 +112,7 @@
         return time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
     def stepped(self) -> bool:
-        """Return whether the wall clock was stepped since the start, so that times of day can't be trusted."""
+        """Return whether the wall clock was stepped since the start; then others' times of day can't be trusted."""
         return abs(self._wall_offset_us() - self.start) > STEP_US
 
 
--- a/gradefront/net/transport.py
+++ b/gradefront/net/transport.py
@@ -45,7 +45,7 @@
     """Mixin for Twisted's connections: reads and writes that tolerate transient errors."""
 
     before_send: Callable[[], bool] | None = None  # called before each write; False: nothing more may be sent
-    read_failed = False  # a read outside the reactor failed; the reactor has not noticed yet
+    read_failed = False  # a read failed; the next `doRead` reports that to the reactor
 
     def read_once(self) -> ReadResult:
         """Read available data, at most 64 KiB, and pass it to the protocol."""
