--- a/lab/conform/__init__.py
+++ b/lab/conform/__init__.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-CASE_S = 20.0  # against a hang only
+CASE_TIMEOUT_S = 20.0  # against a hang only
 
 
 @dataclass(frozen=True)
@@ -23,7 +23,7 @@
     requirement: str
     settings: str  # which place it is played in
     run: Callable[[Any], Awaitable[None]]
-    outside: bool  # whether it needs nothing but the front's address
+    address_only: bool  # whether it needs nothing but the front's address
 
 
 @dataclass
@@ -44,11 +44,16 @@
         self.cases: list[Case] = []
 
     def case(
-        self, section: str, requirement: str, settings: str = "plain", outside: bool = False, over: Iterable[Any] = ()
+        self,
+        section: str,
+        requirement: str,
+        settings: str = "plain",
+        address_only: bool = False,
+        over: Iterable[Any] = (),
     ) -> Callable[[Callable[..., Awaitable[None]]], Callable[..., Awaitable[None]]]:
         """A function is a case; with `over` it is one for each value."""
 
-        def keep(run: Callable[..., Awaitable[None]]) -> Callable[..., Awaitable[None]]:
+        def register(run: Callable[..., Awaitable[None]]) -> Callable[..., Awaitable[None]]:
             name = run.__name__.replace("_", " ")
             values = list(over)
             for value in values:
@@ -60,16 +65,16 @@
                         requirement,
                         settings,
                         lambda place, value=value: run(place, value),  # type: ignore[misc]
-                        outside,
+                        address_only,
                     )
                 )
             if not values:
-                self.cases.append(Case(name, section, requirement, settings, run, outside))
+                self.cases.append(Case(name, section, requirement, settings, run, address_only))
             return run
 
-        return keep
+        return register
 
-    def chosen(self, only: Iterable[str]) -> list[Case]:
+    def matching(self, only: Iterable[str]) -> list[Case]:
         """Cases whose name, section or settings hold one of the texts; all where there is none."""
         texts = [text.lower() for text in only]
         return [
@@ -81,17 +86,17 @@
 
 async def judge(case: Case, place: Any) -> Verdict:
     """Play one case."""
-    began = time.monotonic()
+    started = time.monotonic()
     try:
-        await asyncio.wait_for(case.run(place), CASE_S)
+        await asyncio.wait_for(case.run(place), CASE_TIMEOUT_S)
     except AssertionError as error:
-        at = traceback.extract_tb(error.__traceback__)[-1]
-        return Verdict(case, False, str(error).partition("\n")[0] or f"{at.line}", time.monotonic() - began)
+        frame = traceback.extract_tb(error.__traceback__)[-1]
+        return Verdict(case, False, str(error).partition("\n")[0] or f"{frame.line}", time.monotonic() - started)
     except TimeoutError:
-        return Verdict(case, False, "what had to come didn't", time.monotonic() - began)
+        return Verdict(case, False, "what had to come didn't", time.monotonic() - started)
     except Exception as error:
-        return Verdict(case, False, f"{type(error).__name__}: {error}", time.monotonic() - began)
-    return Verdict(case, True, "", time.monotonic() - began)
+        return Verdict(case, False, f"{type(error).__name__}: {error}", time.monotonic() - started)
+    return Verdict(case, True, "", time.monotonic() - started)
 
 
 def write(verdicts: list[Verdict], protocol: str, out: Path) -> None:
--- a/lab/conform/cases_backends.py
+++ b/lab/conform/cases_backends.py
@@ -12,13 +12,13 @@
 from .quic import (
     RESET_KEY,
     Place,
-    long,
+    long_header,
     suite,
 )
-from .raw_backend import FORMS, SERVER_HELLO, err, mute, refuse, serve
+from .raw_backend import FORMS, SERVER_HELLO, close_with_error, refuse, serve, stay_silent
 
 case = suite.case
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
 def now_us() -> int:
@@ -36,7 +36,7 @@
         tried.append(backend)
 
     tried: list[Any] = []
-    place.manner(first_refuses)
+    place.set_handler(first_refuses)
     client = await place.client()
     client.send(client.initial())
     opened = open_initial(await client.packet(), client.first_id, from_client=False)
@@ -45,7 +45,7 @@
 
 @case("BRIEF rule 1", "A backend's error is the module's to judge: the client is answered at once")
 async def failing_backend(place: Place) -> None:
-    place.manner(err)
+    place.set_handler(close_with_error)
     client = await place.client()
     began = time.monotonic()
     client.send(client.initial())
@@ -54,7 +54,7 @@
 
 @case("BRIEF rule 1", "Where all backends refuse, the client is closed with CONNECTION_REFUSED and a pause")
 async def all_refuse(place: Place) -> None:
-    place.manner(refuse)
+    place.set_handler(refuse)
     client = await place.client()
     client.send(client.initial())
     assert await client.closed() == CONNECTION_REFUSED
@@ -62,12 +62,12 @@
 
 @case("BRIEF rule 2", "At most four attempts, another backend each, never two out at once")
 async def four_attempts_at_most(place: Place) -> None:
-    def count(backend: Any, packet: Any, addr: Any) -> None:
+    def record_and_refuse(backend: Any, packet: Any, addr: Any) -> None:
         tried.append(backend)
         refuse(backend, packet, addr)
 
     tried: list[Any] = []
-    place.manner(count)
+    place.set_handler(record_and_refuse)
     client = await place.client()
     client.send(client.initial())
     await client.closed()
@@ -76,7 +76,7 @@
 
 @case("BRIEF rule 1", "A client that repeats its Initial after the answer gets the same answer, and nobody is tried")
 async def answer_is_given_again(place: Place) -> None:
-    place.manner(refuse)
+    place.set_handler(refuse)
     client = await place.client()
     datagram = client.initial()
     client.send(datagram)
@@ -90,7 +90,7 @@
 
 @case("RFC 9000 8.1", "The final answer is smaller than a third of what it answers")
 async def answer_is_small(place: Place) -> None:
-    place.manner(refuse)
+    place.set_handler(refuse)
     client = await place.client()
     client.send(client.initial())
     assert len(await client.receive()) < 400
@@ -98,7 +98,7 @@
 
 @case("BRIEF rule 1", "Silent backends: the client is answered before it gives up")
 async def silent_backends(place: Place) -> None:
-    place.manner(mute)
+    place.set_handler(stay_silent)
     client = await place.client()
     began = time.monotonic()
     client.send(client.initial())
@@ -107,22 +107,22 @@
 
 
 @case("RFC 9001 5.2", "An answer that isn't sound doesn't count", over=["bent", "another client's keys", "noise"])
-async def unsound_answer(place: Place, how: str) -> None:
-    def bend(backend: Any, packet: Any, addr: Any) -> None:
-        if how == "noise":
+async def unsound_answer(place: Place, defect: str) -> None:
+    def answer_unsoundly(backend: Any, packet: Any, addr: Any) -> None:
+        if defect == "noise":
             backend.wire.sendto(os.urandom(60), addr)
         else:
-            made = seal_initial(
-                V1, b"other-id" if how != "bent" else packet.to_id, packet.from_id, backend.new_id(), SERVER_HELLO
+            datagram = seal_initial(
+                V1, b"other-id" if defect != "bent" else packet.to_id, packet.from_id, backend.new_id(), SERVER_HELLO
             )
-            backend.wire.sendto(made if how != "bent" else made[:-1] + b"x", addr)
+            backend.wire.sendto(datagram if defect != "bent" else datagram[:-1] + b"x", addr)
 
-    place.manner(bend)
+    place.set_handler(answer_unsoundly)
     client = await place.client()
     client.send(client.initial())
     await place.reached()
     await client.expect_no_answer()
-    place.manner(serve)
+    place.set_handler(serve)
     client.send(client.initial())
     opened = open_initial(await client.packet(), client.first_id, from_client=False)
     assert opened and opened.crypto
@@ -137,7 +137,7 @@
             serve(backend, packet, addr)
 
     tried: list[Any] = []
-    place.manner(ack)
+    place.set_handler(ack)
     client = await place.client()
     client.send(client.initial())
     opened = open_initial(await client.packet(), client.first_id, from_client=False)
@@ -147,11 +147,11 @@
 @case("RFC 9000 13.2.1", "A backend that acknowledges first and goes on then is passed on")
 async def ack_then_hello(place: Place) -> None:
     def ack(backend: Any, packet: Any, addr: Any) -> None:
-        an_id = backend.new_id()
-        backend.answer(packet, addr, b"\x02\x00\x00\x00\x00", an_id)
-        backend.answer(packet, addr, SERVER_HELLO, an_id)
+        backend_id = backend.new_id()
+        backend.answer(packet, addr, b"\x02\x00\x00\x00\x00", backend_id)
+        backend.answer(packet, addr, SERVER_HELLO, backend_id)
 
-    place.manner(ack)
+    place.set_handler(ack)
     client = await place.client()
     client.send(client.initial())
     opened = open_initial(await client.packet(), client.first_id, from_client=False)
@@ -160,16 +160,16 @@
 
 @case("RFC 9000 12.2", "A backend's Handshake packet that overtakes its Initial follows it")
 async def handshake_overtakes(place: Place) -> None:
-    def turned(backend: Any, packet: Any, addr: Any) -> None:
-        early.append(long(V1, packet.from_id, backend.new_id(), varint(60) + bytes(60), 0xE0))
-        backend.wire.sendto(early[-1], addr)
+    def handshake_first(backend: Any, packet: Any, addr: Any) -> None:
+        handshakes.append(long_header(V1, packet.from_id, backend.new_id(), varint(60) + bytes(60), 0xE0))
+        backend.wire.sendto(handshakes[-1], addr)
         serve(backend, packet, addr)
 
-    early: list[bytes] = []
-    place.manner(turned)
+    handshakes: list[bytes] = []
+    place.set_handler(handshake_first)
     client = await place.client()
     client.send(client.initial())
-    assert (await client.packet()).kind is Kind.INITIAL and await client.receive() == early[0]
+    assert (await client.packet()).kind is Kind.INITIAL and await client.receive() == handshakes[0]
 
 
 @case("RFC 9000 17.2.5", "A backend's own Retry goes to the client, and the client's answer to that backend")
@@ -182,7 +182,7 @@
         else:
             serve(backend, packet, addr)
 
-    place.manner(retry)
+    place.set_handler(retry)
     client = await place.client()
     client.send(client.initial())
     backend = (await place.reached())[0]
@@ -198,7 +198,7 @@
     def retry(backend: Any, packet: Any, addr: Any) -> None:
         backend.wire.sendto(make_retry(V1, b"other-id", packet.from_id, backend.new_id(), b"backend token"), addr)
 
-    place.manner(retry)
+    place.set_handler(retry)
     client = await place.client()
     client.send(client.initial())
     await place.reached()
@@ -207,17 +207,17 @@
 
 @case("RFC 9000 5.2", "What a backend says that was left reaches nobody")
 async def late_answer(place: Place) -> None:
-    place.manner(mute)
+    place.set_handler(stay_silent)
     client = await place.client()
     client.send(client.initial())
-    late, data, addr = await place.reached()
-    place.manner(serve)
-    late.manner = mute
-    assert (await place.reached())[0] is not late
+    abandoned, data, addr = await place.reached()
+    place.set_handler(serve)
+    abandoned.on_initial = stay_silent
+    assert (await place.reached())[0] is not abandoned
     first = await client.packet()
-    serve(late, split(data)[0], addr)
+    serve(abandoned, split(data)[0], addr)
     client.send_short(first.from_id)
-    assert (await place.reached())[0] is not late
+    assert (await place.reached())[0] is not abandoned
     await client.expect_no_answer()
 
 
@@ -297,6 +297,6 @@
 async def handshake_by_id(place: Place) -> None:
     client = await place.client()
     backend = place.backends[1]
-    datagram = long(V1, backend.new_id(), client.client_id, varint(400) + b"handshake" * 44 + b"shak", 0xE0)
+    datagram = long_header(V1, backend.new_id(), client.client_id, varint(400) + b"handshake" * 44 + b"shak", 0xE0)
     client.send(datagram)
     assert (await place.reached())[:2] == (backend, datagram)
--- a/lab/conform/cases_paths.py
+++ b/lab/conform/cases_paths.py
@@ -19,12 +19,12 @@
     RESET_KEY,
     Client,
     Place,
-    long,
+    long_header,
     suite,
 )
 
 case = suite.case
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
 def now_us() -> int:
@@ -63,8 +63,8 @@
     place.nothing_reached()
     first = client.initial(pieces[0])
     client.send(first)
-    got = [(await place.reached())[1] for _ in range(2)]
-    assert got == [second, first], "all that came goes to the backend, in the order in which it came"
+    received = [(await place.reached())[1] for _ in range(2)]
+    assert received == [second, first], "all that came goes to the backend, in the order in which it came"
 
 
 @case(
@@ -73,13 +73,13 @@
     "classes",
     over=["half of it", "not TLS", "too long"],
 )
-async def hello_never_whole(place: Place, how: str) -> None:
+async def hello_never_whole(place: Place, defect: str) -> None:
     client = await place.client()
     payload = {
         "half of it": b"\x06\x00\x40\x40\x01\x00\x02\x00" + bytes(60),
         "not TLS": b"\x06\x00\x04\x09\x00\x00\x00",
         "too long": b"\x06" + varint(LONGEST_HELLO) + b"\x04text",
-    }[how]
+    }[defect]
     client.send(client.initial(payload))
     await place.reached()
     assert open_initial(await client.packet(), client.first_id, from_client=False)
@@ -94,8 +94,8 @@
     for _ in range(4):
         await client.open()
         client.send_short(backend_id)
-        found, _, new = await place.reached()
-        assert found is backend and new != addr
+        receiver, _, new = await place.reached()
+        assert receiver is backend and new != addr
         addr = new
 
 
@@ -104,8 +104,8 @@
     client, backend, _, addr = await place.standing()
     await client.open()
     client.send_short(backend.new_id())
-    found, _, new = await place.reached()
-    assert found is backend and new != addr
+    receiver, _, new = await place.reached()
+    assert receiver is backend and new != addr
 
 
 @case("RFC 9000 9.3", "Answers go to the client address that their path stands for")
@@ -141,21 +141,21 @@
 async def flapping(place: Place) -> None:
     client, backend, backend_id, addr = await place.standing()
     other = await place.client()
-    seen = []
+    upstream = []
     for n in range(10):
         (client if n % 2 else other).send_short(backend_id)
-        seen.append((await place.reached())[2])
-    assert len(set(seen)) == 2 and seen[1] == addr and seen[0::2] == [seen[0]] * 5
+        upstream.append((await place.reached())[2])
+    assert len(set(upstream)) == 2 and upstream[1] == addr and upstream[0::2] == [upstream[0]] * 5
 
 
 @case("RFC 9000 9.3", "Two clients that swap their addresses each keep their backend")
 async def swap(place: Place) -> None:
-    one, one_backend, one_id, _ = await place.standing()
-    two, two_backend, two_id, _ = await place.standing()
-    one.send_short(two_id)
-    assert (await place.reached())[0] is two_backend
-    two.send_short(one_id)
-    assert (await place.reached())[0] is one_backend
+    first, first_backend, first_id, _ = await place.standing()
+    second, second_backend, second_id, _ = await place.standing()
+    first.send_short(second_id)
+    assert (await place.reached())[0] is second_backend
+    second.send_short(first_id)
+    assert (await place.reached())[0] is first_backend
 
 
 @case("RFC 9000 9.5", "A fresh id on a known path keeps the path")
@@ -183,8 +183,8 @@
     clients = [await place.standing() for _ in range(12)]
     for n, (client, backend, backend_id, _) in enumerate(clients):
         client.send_short(backend_id)
-        found, _, addr = await place.reached()
-        assert found is backend
+        receiver, _, addr = await place.reached()
+        assert receiver is backend
         answer = b"\x40" + client.client_id + b"%d" % n
         backend.wire.sendto(answer, addr)
         assert await client.receive() == answer
@@ -235,8 +235,8 @@
         reset = await client.receive()
         assert reset[-16:] == reset_token(RESET_KEY, last) and 21 <= len(reset) <= 43 and reset[0] & 0xC0 == 0x40
         client.send_short(last, b"x" * 60)
-        again = await client.receive()
-        assert again[-16:] == reset_token(RESET_KEY, last) and len(again) < 60 + len(last) + 1, "given again"
+        repeated = await client.receive()
+        assert repeated[-16:] == reset_token(RESET_KEY, last) and len(repeated) < 60 + len(last) + 1, "given again"
         client.send_short(last, b"")
         await client.expect_no_answer()  # RFC 9000 10.3.3: too short to be answered with something shorter
 
@@ -270,8 +270,8 @@
             new.send(new.initial())
             assert (await place.reached())[0] is not backend
         client.send_short(backend_id)
-        found, data, _ = await place.reached()
-        assert found is backend and data[0] < 0x80
+        receiver, data, _ = await place.reached()
+        assert receiver is backend and data[0] < 0x80
 
 
 @case("BRIEF rule 3", "0-RTT and stray Initials whose id names a draining backend don't reach it")
@@ -280,10 +280,10 @@
     async with published(place, backend, "DRAINING"):
         await place.relay.line(f"backend {backend.name} is draining")
         client = await place.client()
-        an_id = backend.new_id()
+        backend_id = backend.new_id()
         client.send(
-            long(V1, an_id, client.client_id, varint(400) + b"0-rtt..." * 50, 0xD0).ljust(1_200, b"\0"),
-            client.initial(to_id=an_id, keys_of=b"another relay's first id"),
+            long_header(V1, backend_id, client.client_id, varint(400) + b"0-rtt..." * 50, 0xD0).ljust(1_200, b"\0"),
+            client.initial(to_id=backend_id, keys_of=b"another relay's first id"),
         )
         await client.expect_no_answer()
         place.nothing_reached()
@@ -301,21 +301,21 @@
 # ---- whole handshakes
 
 
-async def serves(front: tuple[str, int], rounds: int = 3, hop: bool = False) -> Device:
+async def connect_and_exchange(front: tuple[str, int], rounds: int = 3, migrate: bool = False) -> Device:
     """A device of aioquic's comes up and is served."""
     device = Device(front)
     await device.start()
     for n in range(rounds):
         answer = await device.ask(f"round {n}")
         assert answer.endswith(f"has round {n}".encode())
-        if hop:
+        if migrate:
             await device.hop(fresh=n % 2 == 1)
     return device
 
 
 @case("RFC 9000 7", "A whole handshake and requests of a real endpoint", "real", over=["once", "with migrations"])
-async def real_handshake(place: Place, how: str) -> None:
-    (await serves(place.front, 8, hop=how != "once")).close()
+async def real_handshake(place: Place, variant: str) -> None:
+    (await connect_and_exchange(place.front, 8, migrate=variant != "once")).close()
 
 
 @case(
@@ -324,8 +324,8 @@
     "real retry",
     over=["once", "with migrations"],
 )
-async def real_retry(place: Place, how: str) -> None:
-    (await serves(place.front, 8, hop=how != "once")).close()
+async def real_retry(place: Place, variant: str) -> None:
+    (await connect_and_exchange(place.front, 8, migrate=variant != "once")).close()
 
 
 LINKS = {
@@ -346,7 +346,7 @@
     link = Link(place.front, LINKS[name])
     await link.open()
     try:
-        (await serves(link.address, 5)).close()
+        (await connect_and_exchange(link.address, 5)).close()
     finally:
         link.close()
 
@@ -361,7 +361,7 @@
     link = Link(place.front, LINKS[name], seed=7)
     await link.open()
     try:
-        (await serves(link.address, 6, hop=True)).close()
+        (await connect_and_exchange(link.address, 6, migrate=True)).close()
     finally:
         link.close()
 
@@ -376,6 +376,6 @@
     link = Link(place.front, LINKS[name], seed=3)
     await link.open()
     try:
-        (await serves(link.address, 4)).close()
+        (await connect_and_exchange(link.address, 4)).close()
     finally:
         link.close()
--- a/lab/conform/cases_validation.py
+++ b/lab/conform/cases_validation.py
@@ -15,13 +15,13 @@
     CLIENT_CLOSE,
     Client,
     Place,
-    mint,
     suite,
+    token_mint,
 )
-from .raw_backend import mute
+from .raw_backend import stay_silent
 
 case = suite.case
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
 def now_us() -> int:
@@ -32,7 +32,7 @@
 # ---- address validation
 
 
-async def retried(client: Client) -> Any:
+async def receive_retry(client: Client) -> Any:
     """Send a first Initial and take the Retry that it gets."""
     client.send(client.initial())
     return await client.retry()
@@ -41,7 +41,7 @@
 @case("RFC 9000 8.1.2", "An Initial without a token gets a Retry, and no backend hears of it", "retry", over=[V1, V2])
 async def retry_is_sent(place: Place, version: int) -> None:
     client = await place.client(version=version)
-    packet = await retried(client)
+    packet = await receive_retry(client)
     assert packet.version == version and packet.to_id == client.client_id
     place.nothing_reached()
 
@@ -51,14 +51,14 @@
     from gradefront.quic.initials import sound_retry
 
     client = await place.client()
-    packet = await retried(client)
+    packet = await receive_retry(client)
     assert sound_retry(packet, client.first_id) and not sound_retry(packet, b"other-id")
 
 
 @case("RFC 9000 17.2.5.1", "The Retry's id differs from the client's first, and names no backend", "retry")
 async def retry_changes_the_id(place: Place) -> None:
     client = await place.client()
-    packet = await retried(client)
+    packet = await receive_retry(client)
     assert packet.from_id != client.first_id and len(packet.from_id) >= 8 and packet.from_id[0] >> 5 == 7
 
 
@@ -73,7 +73,7 @@
 @case("RFC 9000 8.1.2", "An Initial with the token is served", "retry", over=[V1, V2])
 async def token_is_taken(place: Place, version: int) -> None:
     client = await place.client(version=version)
-    packet = await retried(client)
+    packet = await receive_retry(client)
     client.send(client.initial(to_id=packet.from_id, token=packet.token))
     await place.reached()
     assert open_initial(await client.packet(), packet.from_id, from_client=False)
@@ -82,55 +82,55 @@
 @case("QUIC-Retry-Offload", "Backends with the shared keys read both ids out of the token", "retry")
 async def backend_reads_the_token(place: Place) -> None:
     client = await place.client()
-    packet = await retried(client)
+    packet = await receive_retry(client)
     client.send(client.initial(to_id=packet.from_id, token=packet.token))
     _, data, _ = await place.reached()
-    assert mint().unsealed(split(data)[0].token) == (client.first_id, packet.from_id)
+    assert token_mint().unsealed(split(data)[0].token) == (client.first_id, packet.from_id)
 
 
-async def refused_token(place: Place, client: Client, token: bytes, to_id: bytes) -> None:
+async def expect_invalid_token(place: Place, client: Client, token: bytes, to_id: bytes) -> None:
     client.send(client.initial(to_id=to_id, token=token))
     assert await client.closed(to_id) == INVALID_TOKEN
     place.nothing_reached()
 
 
 @case("RFC 9000 8.1.3", "A forged token is answered with INVALID_TOKEN", "retry", over=[1, 13, 40, -1])
-async def forged_token(place: Place, at: int) -> None:
+async def forged_token(place: Place, offset: int) -> None:
     client = await place.client()
-    packet = await retried(client)
-    bent = bytearray(packet.token)
-    bent[at] ^= 1
-    await refused_token(place, client, bytes(bent), packet.from_id)
+    packet = await receive_retry(client)
+    forged = bytearray(packet.token)
+    forged[offset] ^= 1
+    await expect_invalid_token(place, client, bytes(forged), packet.from_id)
 
 
 @case("RFC 9000 8.1.4", "A token that another port or address shows is refused", "retry", over=["port", "address"])
-async def stolen_token(place: Place, what: str) -> None:
+async def stolen_token(place: Place, changed: str) -> None:
     client = await place.client()
-    packet = await retried(client)
-    thief = await place.client("127.0.0.1" if what == "port" else "127.0.0.9")
-    await refused_token(place, thief, packet.token, packet.from_id)
+    packet = await receive_retry(client)
+    thief = await place.client("127.0.0.1" if changed == "port" else "127.0.0.9")
+    await expect_invalid_token(place, thief, packet.token, packet.from_id)
 
 
 @case("RFC 9000 8.1.3", "An expired token is refused", "retry")
 async def expired_token(place: Place) -> None:
     client = await place.client()
-    at = client.wire.get_extra_info("sockname")
-    token = mint().make(at, client.first_id, b"retry-id", now_us() - 11 * S)
-    await refused_token(place, client, token, b"retry-id")
+    client_address = client.wire.get_extra_info("sockname")
+    token = token_mint().make(client_address, client.first_id, b"retry-id", now_us() - 11 * SECOND_US)
+    await expect_invalid_token(place, client, token, b"retry-id")
 
 
 @case("RFC 9000 17.2.5.2", "A token that comes with another id than the Retry gave is refused", "retry")
 async def misplaced_token(place: Place) -> None:
     client = await place.client()
-    packet = await retried(client)
-    await refused_token(place, client, packet.token, b"other-id")
+    packet = await receive_retry(client)
+    await expect_invalid_token(place, client, packet.token, b"other-id")
 
 
 @case("QUIC-Retry-Offload", "Tokens of an older key that is still known are taken", "retry")
 async def older_key(place: Place) -> None:
     client = await place.client()
-    at = client.wire.get_extra_info("sockname")
-    token = mint(newest=1).make(at, client.first_id, b"retry-id", now_us())
+    client_address = client.wire.get_extra_info("sockname")
+    token = token_mint(newest=1).make(client_address, client.first_id, b"retry-id", now_us())
     client.send(client.initial(to_id=b"retry-id", token=token))
     await place.reached()
 
@@ -138,8 +138,8 @@
 @case("QUIC-Retry-Offload", "A token by another relay's clock and the same keys is taken", "retry")
 async def another_relay_s_token(place: Place) -> None:
     client = await place.client()
-    at = client.wire.get_extra_info("sockname")
-    token = mint().make(at, client.first_id, b"retry-id", now_us())
+    client_address = client.wire.get_extra_info("sockname")
+    token = token_mint().make(client_address, client.first_id, b"retry-id", now_us())
     client.send(client.initial(to_id=b"retry-id", token=token))
     assert split((await place.reached())[1])[0].token == token
 
@@ -150,16 +150,16 @@
     "retry",
     over=["it ends after its answer", "it ends while it waits"],
 )
-async def replayed_token(place: Place, end: str) -> None:
+async def replayed_token(place: Place, ending: str) -> None:
     client = await place.client()
-    packet = await retried(client)
-    if end == "it ends while it waits":
-        place.manner(mute)
+    packet = await receive_retry(client)
+    if ending == "it ends while it waits":
+        place.set_handler(stay_silent)
     client.send(client.initial(to_id=packet.from_id, token=packet.token))
     await place.reached()
-    if end == "it ends after its answer":
+    if ending == "it ends after its answer":
         await client.receive()  # a close that overtakes the answer ends the connection without one
-    place.manner(mute)
+    place.set_handler(stay_silent)
     client.send(client.initial(CLIENT_CLOSE, to_id=packet.from_id, token=packet.token))
     await client.expect_no_answer()
     while not place.inbox.empty():
@@ -168,7 +168,7 @@
     replay = client.initial(to_id=packet.from_id, token=packet.token)
     client.send(replay)
     await client.expect_no_answer()
-    if end == "it ends while it waits":
+    if ending == "it ends while it waits":
         place.nothing_reached()
 
 
@@ -182,7 +182,7 @@
 @case("RFC 9000 8.1.3", "A NEW_TOKEN of the shared keys proves the address, from any port", "retry")
 async def shared_new_token(place: Place) -> None:
     client = await place.client()
-    token = mint().make_new(("127.0.0.1", 0), now_us(), 60 * S)
+    token = token_mint().make_new(("127.0.0.1", 0), now_us(), 60 * SECOND_US)
     client.send(client.initial(token=token))
     await place.reached()
 
@@ -190,20 +190,20 @@
 @case("RFC 9000 8.1.3", "A token of a key that nobody shares is as good as none", "retry")
 async def unknown_key(place: Place) -> None:
     client = await place.client()
-    stranger = TokenMint({9: TokenKey(bytes(16), bytes(12))}, 9, S)
+    stranger = TokenMint({9: TokenKey(bytes(16), bytes(12))}, 9, SECOND_US)
     client.send(client.initial(token=stranger.make(("127.0.0.1", 1), b"first-id", b"retry-id", now_us())))
     assert (await client.packet()).kind is Kind.RETRY
 
 
 @case("RFC 9000 17.2.5.2", "A backend's Retry after the relay's is an error: a client takes one only", "retry")
 async def second_retry(place: Place) -> None:
-    place.manner(
+    place.set_handler(
         lambda backend, packet, addr: backend.wire.sendto(
             make_retry(V1, packet.to_id, packet.from_id, backend.new_id(), b"backend token"), addr
         )
     )
     client = await place.client()
-    packet = await retried(client)
+    packet = await receive_retry(client)
     client.send(client.initial(to_id=packet.from_id, token=packet.token))
     assert await client.closed(packet.from_id) == CONNECTION_REFUSED
 
@@ -215,10 +215,10 @@
     await place.reached()
     assert (await calm.packet()).kind is Kind.INITIAL
     for n in range(60):
-        one = await place.client(f"127.0.3.{n + 1}")
-        one.send(one.initial())
+        client = await place.client(f"127.0.3.{n + 1}")
+        client.send(client.initial())
     stranger = await place.client("127.0.4.1")
-    packet = await retried(stranger)
+    packet = await receive_retry(stranger)
     stranger.send(stranger.initial(to_id=packet.from_id, token=packet.token))
     assert open_initial(await stranger.packet(), packet.from_id, from_client=False)
 
@@ -226,25 +226,25 @@
 # ---- the door without proofs
 
 
-async def press(place: Place) -> None:
+async def raise_pressure(place: Place) -> None:
     """Bring the door under pressure."""
     for n in range(60):
-        one = await place.client(f"127.0.5.{n + 1}")
-        one.send(one.initial())
+        client = await place.client(f"127.0.5.{n + 1}")
+        client.send(client.initial())
 
 
 @case("design: second sight", "Under pressure an address that was there lately is heard at once", "pressure")
 async def known_address(place: Place) -> None:
     await place.standing("127.0.7.1")
-    await press(place)
-    again = await place.client("127.0.7.1")
-    again.send(again.initial())
-    assert open_initial(await again.packet(), again.first_id, from_client=False)
+    await raise_pressure(place)
+    client = await place.client("127.0.7.1")
+    client.send(client.initial())
+    assert open_initial(await client.packet(), client.first_id, from_client=False)
 
 
 @case("design: second sight", "Under pressure a stranger is heard when it repeats itself", "pressure")
 async def second_sight(place: Place) -> None:
-    await press(place)
+    await raise_pressure(place)
     stranger = await place.client("127.0.6.1")
     datagram = stranger.initial()
     stranger.send(datagram)
@@ -277,9 +277,9 @@
     other.send(other.initial())
     assert (await other.packet()).kind is Kind.INITIAL, "another address pays nothing"
     await asyncio.sleep(0.51)  # two a second: the pause is half a second
-    back = await place.client("127.0.8.1")
-    back.send(back.initial())
-    opened = open_initial(await back.packet(), back.first_id, from_client=False)
+    returning = await place.client("127.0.8.1")
+    returning.send(returning.initial())
+    opened = open_initial(await returning.packet(), returning.first_id, from_client=False)
     assert opened and opened.close_code is None
 
 
--- a/lab/conform/quic.py
+++ b/lab/conform/quic.py
@@ -54,7 +54,7 @@
         self.wire, _ = await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, local_addr=(host, 0))
         if old:
             old.close()
-        self.place.closing.append(self.wire)
+        self.place.open_sockets.append(self.wire)
         return self
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
@@ -65,27 +65,27 @@
     ) -> bytes:
         """A client's Initial, padded so that the datagram has `size` octets."""
         to = to_id or self.first_id
-        bare = len(seal_initial(self.version, b"", to, self.client_id, b"\0" * 4, True, token)) - 4
-        made = seal_initial(
+        overhead = len(seal_initial(self.version, b"", to, self.client_id, b"\0" * 4, True, token)) - 4
+        datagram = seal_initial(
             self.version,
             keys_of or to,
             to,
             self.client_id,
-            payload.ljust(max(4, size - bare), b"\0"),
+            payload.ljust(max(4, size - overhead), b"\0"),
             True,
             token,
             self.number,
         )
         self.number += 1
-        return made
+        return datagram
 
     def send(self, *datagrams: bytes) -> None:
         for datagram in datagrams:
             self.wire.sendto(datagram, self.place.front)
 
-    def send_short(self, an_id: bytes, text: bytes = b"something that only the ends can read") -> bytes:
+    def send_short(self, connection_id: bytes, text: bytes = b"something that only the ends can read") -> bytes:
         """A short packet."""
-        datagram = b"\x41" + an_id + text
+        datagram = b"\x41" + connection_id + text
         self.send(datagram)
         return datagram
 
@@ -112,15 +112,15 @@
 
     async def expect_no_answer(self) -> None:
         """The front hasn't answered what was sent before: its next word is the answer to this."""
-        mark = os.urandom(8)
-        self.send(long(GREASE, os.urandom(8), mark).ljust(1_200, b"\0"))
+        marker = os.urandom(8)
+        self.send(long_header(GREASE, os.urandom(8), marker).ljust(1_200, b"\0"))
         head = invariants(await self.receive())
-        assert head and head.version == 0 and head.to_id == mark, "the front answered what it must not"
+        assert head and head.version == 0 and head.to_id == marker, "the front answered what it must not"
         for _ in range(4):
             await asyncio.sleep(0)
 
 
-def long(version: int, to_id: bytes, from_id: bytes, rest: bytes = b"", first: int = 0xC0) -> bytes:
+def long_header(version: int, to_id: bytes, from_id: bytes, rest: bytes = b"", first: int = 0xC0) -> bytes:
     """A long header of any version."""
     return b"".join(
         (bytes([first]), version.to_bytes(4), bytes([len(to_id)]), to_id, bytes([len(from_id)]), from_id, rest)
@@ -137,17 +137,17 @@
         self.real: list[QuicBackend] = []
         self.discovery: Discovery
         self.relay: Program
-        self.closing: list[Any] = []
-        self.soiled = False
+        self.open_sockets: list[Any] = []
+        self.needs_restart = False
         self.clients: list[Client] = []
         self.over: set[bytes] = set()
 
-    def manner(self, how: Callable[[RawBackend, Packet, Where], None]) -> None:
+    def set_handler(self, handler: Callable[[RawBackend, Packet, Where], None]) -> None:
         """What all backends do. After silence or errors the decision module holds placements back for a while:
         the next case gets a fresh place."""
-        self.soiled = self.soiled or how is not serve
+        self.needs_restart = self.needs_restart or handler is not serve
         for backend in self.backends:
-            backend.manner = how
+            backend.on_initial = handler
 
     async def client(self, host: str = "127.0.0.1", **more: Any) -> Client:
         self.clients.append(Client(self, **more))
@@ -185,16 +185,16 @@
     def clean(self) -> None:
         """Between cases."""
         for backend in self.backends:
-            backend.manner = serve
+            backend.on_initial = serve
         self.over |= {client.first_id for client in self.clients}
         self.clients = []
         for backend in self.backends:
             backend.form = PLAIN
         while not self.inbox.empty():
             self.inbox.get_nowait()
-        for wire in self.closing:
+        for wire in self.open_sockets:
             wire.close()
-        self.closing = []
+        self.open_sockets = []
 
 
 WIDE = {"pressure": 1e6, "address_rate": 1e6, "address_burst": 1e6, "network_rate": 1e6, "network_burst": 1e6}
@@ -214,7 +214,7 @@
     ]
 
 
-def retry_of(mode: str, life_s: float = 10.0) -> dict[str, object]:
+def retry_settings(mode: str, life_s: float = 10.0) -> dict[str, object]:
     """Address validation, for the file."""
     return {
         "mode": mode,
@@ -223,7 +223,7 @@
     }
 
 
-def mint(newest: int = 2, life_us: int = 10_000_000) -> TokenMint:
+def token_mint(newest: int = 2, life_us: int = 10_000_000) -> TokenMint:
     """What the relay makes its tokens with."""
     keys = {n: TokenKey(bytes.fromhex(key), bytes.fromhex(iv)) for n, (key, iv) in TOKEN_KEYS.items()}
     return TokenMint(keys, newest, life_us)
@@ -233,8 +233,8 @@
 FRONT_SETTINGS: dict[str, dict[str, Any]] = {
     "plain": {"ids": ids_of(PLAIN), "limits": WIDE},
     "forms": {"ids": ids_of(*FORMS.values()), "limits": WIDE},
-    "retry": {"ids": ids_of(PLAIN), "limits": WIDE, "retry": retry_of("always")},
-    "auto": {"ids": ids_of(PLAIN), "limits": {**WIDE, "pressure": 40.0}, "retry": retry_of("auto")},
+    "retry": {"ids": ids_of(PLAIN), "limits": WIDE, "retry": retry_settings("always")},
+    "auto": {"ids": ids_of(PLAIN), "limits": {**WIDE, "pressure": 40.0}, "retry": retry_settings("auto")},
     "pressure": {"ids": ids_of(PLAIN), "limits": {**WIDE, "pressure": 40.0}},
     "tight": {
         "ids": ids_of(PLAIN),
@@ -249,7 +249,7 @@
     },
     "ports": {"ids": ids_of(PLAIN), "limits": WIDE, "most_ports": 2, "port_share": 8},
     "real": {"ids": ids_of(PLAIN), "limits": WIDE},
-    "real retry": {"ids": ids_of(PLAIN), "limits": WIDE, "retry": retry_of("always")},
+    "real retry": {"ids": ids_of(PLAIN), "limits": WIDE, "retry": retry_settings("always")},
 }
 
 
@@ -291,33 +291,33 @@
                     backend.wire.close()
 
 
-async def play(only: list[str], against: list[Where], tell: Callable[[Verdict], None]) -> list[Verdict]:
+async def play(only: list[str], against: list[Where], report: Callable[[Verdict], None]) -> list[Verdict]:
     """All chosen cases, a place for each kind of settings."""
     from . import quic_cases  # noqa: F401 - writes the cases into the suite
 
     verdicts: list[Verdict] = []
-    chosen = suite.chosen(only)
+    chosen = suite.matching(only)
     if against:
         for front in against:
             place = Place(front)
             for case in chosen:
-                verdicts.append(await judge(case, place) if case.outside else Verdict(case, None))
-                tell(verdicts[-1])
+                verdicts.append(await judge(case, place) if case.address_only else Verdict(case, None))
+                report(verdicts[-1])
                 place.clean()
         return verdicts
     for name in dict.fromkeys(case.settings for case in chosen):
-        left = [case for case in chosen if case.settings == name]
-        while left:
+        remaining = [case for case in chosen if case.settings == name]
+        while remaining:
             async with open_place(name) as place:
-                while left and not place.soiled:
-                    verdicts.append(await judge(left.pop(0), place))
-                    tell(verdicts[-1])
+                while remaining and not place.needs_restart:
+                    verdicts.append(await judge(remaining.pop(0), place))
+                    report(verdicts[-1])
                     place.clean()
     return verdicts
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Play, tell, write; 1 where a case fails."""
+    """Play, report, write; 1 where a case fails."""
     parser = argparse.ArgumentParser(prog="gradefront conform quic")
     parser.add_argument("--against", action="append", default=[])
     parser.add_argument("--only", action="append", default=[])
@@ -331,11 +331,11 @@
             return 2
         against.append((host, int(port)))
 
-    def tell(verdict: Verdict) -> None:
+    def report(verdict: Verdict) -> None:
         if verdict.passed is False:
             print(f"FAIL {verdict.case.section}: {verdict.case.name}: {verdict.said}", flush=True)
 
-    verdicts = asyncio.run(play(options.only, against, tell))
+    verdicts = asyncio.run(play(options.only, against, report))
     for out in options.out:
         write(verdicts, "quic", out)
     passed = sum(v.passed is True for v in verdicts)
--- a/lab/conform/raw_backend.py
+++ b/lab/conform/raw_backend.py
@@ -33,7 +33,7 @@
         self.name = f"box-{number}"
         self.server_ids = [bytes([number + 1] * length) for length in (1, 2, 3, 4)]
         self.inbox = inbox
-        self.manner: Callable[[RawBackend, Packet, Where], None] = serve
+        self.on_initial: Callable[[RawBackend, Packet, Where], None] = serve
         self.form = PLAIN
 
     async def open(self) -> None:
@@ -47,7 +47,7 @@
             return
         self.inbox.put_nowait((self, data, addr))
         if packets and packets[0].kind is Kind.INITIAL:
-            self.manner(self, packets[0], addr)
+            self.on_initial(self, packets[0], addr)
 
     def new_id(self, form: IdForm | None = None) -> bytes:
         form = form or self.form
@@ -73,10 +73,10 @@
     backend.wire.sendto(close_initial(packet.version, packet.to_id, packet.from_id, "full"), addr)
 
 
-def err(backend: RawBackend, packet: Packet, addr: Where) -> None:
+def close_with_error(backend: RawBackend, packet: Packet, addr: Where) -> None:
     """Fail in an orderly way."""
     backend.wire.sendto(close_initial(packet.version, packet.to_id, packet.from_id, "", 0x01), addr)
 
 
-def mute(backend: RawBackend, packet: Packet, addr: Where) -> None:
+def stay_silent(backend: RawBackend, packet: Packet, addr: Where) -> None:
     """Say nothing."""
