--- a/lab/conform/__init__.py
+++ b/lab/conform/__init__.py
@@ -1,4 +1,8 @@
-"""Conformance suites: scripted peers on both sides of a front, and a table of requirement, section, case, verdict."""
+"""Conformance suites: registration of cases, their execution against scripted peers, and the report.
+
+A suite puts scripted clients and backends on both sides of a front. Its report has one row for each case:
+requirement, section, case and verdict.
+"""
 
 from __future__ import annotations
 
@@ -11,33 +15,33 @@
 from pathlib import Path
 from typing import Any
 
-CASE_TIMEOUT_S = 20.0  # against a hang only
+CASE_TIMEOUT_S = 20.0  # guards only against a case that hangs
 
 
 @dataclass(frozen=True)
 class Case:
-    """One case: what is required, where that is said, and what is done to see it."""
+    """One conformance case: a requirement, the section that states it, and the check to run."""
 
     name: str
     section: str
     requirement: str
-    settings: str  # which place it is played in
+    settings: str  # name of the front settings that the case runs with
     run: Callable[[Any], Awaitable[None]]
-    address_only: bool  # whether it needs nothing but the front's address
+    address_only: bool  # True if the case needs nothing but the front's address
 
 
 @dataclass
 class Verdict:
-    """How a case went."""
+    """The outcome of one case."""
 
     case: Case
-    passed: bool | None  # None: not played
+    passed: bool | None  # None: the case was not run
     said: str = ""
     seconds: float = 0.0
 
 
 class Suite:
-    """Cases, in the order in which they are written."""
+    """The conformance cases of one protocol, in the order in which they are defined."""
 
     def __init__(self, protocol: str) -> None:
         self.protocol = protocol
@@ -51,7 +55,11 @@
         address_only: bool = False,
         over: Iterable[Any] = (),
     ) -> Callable[[Callable[..., Awaitable[None]]], Callable[..., Awaitable[None]]]:
-        """A function is a case; with `over` it is one for each value."""
+        """Return a decorator that registers a function as a case.
+
+        With `over`, one case is registered for each value; the function receives the value as its second argument.
+        A case's name is the function's name with spaces for underscores, followed by the value's label, if any.
+        """
 
         def register(run: Callable[..., Awaitable[None]]) -> Callable[..., Awaitable[None]]:
             name = run.__name__.replace("_", " ")
@@ -75,7 +83,7 @@
         return register
 
     def matching(self, only: Iterable[str]) -> list[Case]:
-        """Cases whose name, section or settings hold one of the texts; all where there is none."""
+        """Return the cases whose name, section or settings contain one of the texts; all if there are none."""
         texts = [text.lower() for text in only]
         return [
             c
@@ -85,7 +93,10 @@
 
 
 async def judge(case: Case, place: Any) -> Verdict:
-    """Play one case."""
+    """Run one case and return its verdict.
+
+    A failed assertion, a timeout and any other exception are reported as failures of the case.
+    """
     started = time.monotonic()
     try:
         await asyncio.wait_for(case.run(place), CASE_TIMEOUT_S)
@@ -93,14 +104,14 @@
         frame = traceback.extract_tb(error.__traceback__)[-1]
         return Verdict(case, False, str(error).partition("\n")[0] or f"{frame.line}", time.monotonic() - started)
     except TimeoutError:
-        return Verdict(case, False, "what had to come didn't", time.monotonic() - started)
+        return Verdict(case, False, "timed out waiting for an expected packet or state", time.monotonic() - started)
     except Exception as error:
         return Verdict(case, False, f"{type(error).__name__}: {error}", time.monotonic() - started)
     return Verdict(case, True, "", time.monotonic() - started)
 
 
 def write(verdicts: list[Verdict], protocol: str, out: Path) -> None:
-    """The table, as JSON or Markdown by the file's name."""
+    """Write the verdicts as a table: JSON if the file's name ends in .json, else Markdown."""
     labels = {True: "pass", False: "FAIL", None: "not played"}
     if out.suffix == ".json":
         rows = [
--- a/lab/conform/quic_cases.py
+++ b/lab/conform/quic_cases.py
@@ -1,4 +1,7 @@
-"""The cases of the QUIC suite, by area, in this order. Each names the requirement that it shows."""
+"""The cases of the QUIC suite, by area. Each case names the requirement that it verifies.
+
+The order of the imports is the order of the cases in the report.
+"""
 
 from __future__ import annotations
 
--- a/lab/conform/raw_backend.py
+++ b/lab/conform/raw_backend.py
@@ -1,4 +1,4 @@
-"""A backend that answers raw packets as a case says, and the forms of its ids."""
+"""A backend that answers raw packets as a case directs, and the connection id configurations that it can use."""
 
 from __future__ import annotations
 
@@ -10,8 +10,10 @@
 from gradefront.quic.ids import IdForm
 from gradefront.quic.initials import close_initial, seal_initial
 
-Where = tuple[str, int]
+Where = tuple[str, int]  # host and port
 KEY = bytes.fromhex("8f95f09245765f80256934e50c66207f")
+#: Connection id configurations (QUIC-LB): number, server id length, nonce length, whether the first octet encodes
+#: the id's length, and the key, if the id is encrypted.
 FORMS = {
     "plain": IdForm(0, 2, 9),
     "four passes": IdForm(1, 2, 9, True, KEY),
@@ -26,10 +28,13 @@
 
 
 class RawBackend(asyncio.DatagramProtocol):
-    """A backend that does with an Initial what the case says, and notes all that comes."""
+    """A backend that passes each Initial to the case's handler and records every datagram that it receives.
+
+    Datagrams for clients of finished cases are dropped: the relay may still be retrying for them.
+    """
 
     def __init__(self, number: int, inbox: asyncio.Queue[tuple[RawBackend, bytes, Where]], over: set[bytes]) -> None:
-        self.over = over  # first ids of clients whose case is over: the relay may still be trying for them
+        self.over = over  # first ids of clients of finished cases
         self.name = f"box-{number}"
         self.server_ids = [bytes([number + 1] * length) for length in (1, 2, 3, 4)]
         self.inbox = inbox
@@ -56,7 +61,7 @@
     def answer(
         self, packet: Packet, addr: Where, payload: bytes, from_id: bytes | None = None, first_id: bytes | None = None
     ) -> None:
-        """An Initial of the server's."""
+        """Send the client a server Initial with `payload`, sealed with the keys of `first_id` or the packet's id."""
         self.wire.sendto(
             seal_initial(packet.version, first_id or packet.to_id, packet.from_id, from_id or self.new_id(), payload),
             addr,
@@ -64,19 +69,19 @@
 
 
 def serve(backend: RawBackend, packet: Packet, addr: Where) -> None:
-    """Go on with the handshake."""
+    """Continue the handshake: answer with a ServerHello."""
     backend.answer(packet, addr, SERVER_HELLO)
 
 
 def refuse(backend: RawBackend, packet: Packet, addr: Where) -> None:
-    """Be full."""
+    """Refuse the connection, as a backend without capacity does."""
     backend.wire.sendto(close_initial(packet.version, packet.to_id, packet.from_id, "full"), addr)
 
 
 def close_with_error(backend: RawBackend, packet: Packet, addr: Where) -> None:
-    """Fail in an orderly way."""
+    """Close the connection with INTERNAL_ERROR (0x01), as a backend with a fault does."""
     backend.wire.sendto(close_initial(packet.version, packet.to_id, packet.from_id, "", 0x01), addr)
 
 
 def stay_silent(backend: RawBackend, packet: Packet, addr: Where) -> None:
-    """Say nothing."""
+    """Send no answer."""
