--- a/lab/conform/quic.py
+++ b/lab/conform/quic.py
@@ -1,8 +1,8 @@
-"""`gradefront conform quic`: the front between scripted clients and backends.
+"""`gradefront conform quic`: run the relay's QUIC front between scripted clients and backends.
 
-Most cases are played with raw packets on both sides, since no endpoint library misbehaves on demand; aioquic plays
-where a whole handshake matters. Silence is shown without waiting: after what must go unanswered, the same client asks
-for Version Negotiation, and that must be the next thing that it hears.
+Most cases send raw packets from both sides, since no endpoint library misbehaves on demand; cases that need a whole
+handshake use aioquic. That a packet gets no answer is verified without waiting: after it, the same client asks for
+Version Negotiation, and the reply to that must be the next datagram that the client receives.
 """
 
 from __future__ import annotations
@@ -27,18 +27,19 @@
 from . import Suite, Verdict, judge, write
 from .raw_backend import FORMS, PLAIN, RawBackend, Where, serve
 
-RECEIVE_TIMEOUT_S = 6.0  # against a hang; a case that expects something fails then
-GREASE = 0x1A2A3A4A
+RECEIVE_TIMEOUT_S = 6.0  # against a hang; a case that waits longer for an expected datagram fails
+GREASE = 0x1A2A3A4A  # a reserved version (RFC 9000 15), which no endpoint supports
 RESET_KEY = bytes(range(16))
 TOKEN_KEYS = {1: (bytes(range(16)).hex(), bytes(12).hex()), 2: (bytes(range(16, 32)).hex(), bytes(range(12)).hex())}
-HELLO = b"\x06\x00\x40\x40" + b"\x01\x00\x00\x3c" + bytes(60)  # a CRYPTO frame; raw backends don't read on
+# A CRYPTO frame that holds a ClientHello of zeros; raw backends don't parse it.
+HELLO = b"\x06\x00\x40\x40" + b"\x01\x00\x00\x3c" + bytes(60)
 CLIENT_CLOSE = b"\x1c\x00\x00\x00"
 
 suite = Suite("quic")
 
 
 class Client(asyncio.DatagramProtocol):
-    """A client of raw packets."""
+    """A client that sends and receives raw QUIC packets."""
 
     def __init__(self, place: Place, version: int = V1, id_length: int = 8) -> None:
         self.place = place
@@ -49,7 +50,7 @@
         self.number = 0
 
     async def open(self, host: str = "127.0.0.1") -> Client:
-        """Take a port; a second time another one."""
+        """Bind a port of `host`. A further call moves the client to a new port and closes the old socket."""
         old = getattr(self, "wire", None)
         self.wire, _ = await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, local_addr=(host, 0))
         if old:
@@ -63,7 +64,11 @@
     def initial(
         self, payload: bytes = HELLO, size: int = 1_200, token: bytes = b"", to_id: bytes = b"", keys_of: bytes = b""
     ) -> bytes:
-        """A client's Initial, padded so that the datagram has `size` octets."""
+        """Return a client's Initial, padded so that the datagram has `size` octets.
+
+        It is sent to `to_id` (by default the client's first id) and sealed with the keys of `keys_of` (by default
+        the id that it is sent to).
+        """
         to = to_id or self.first_id
         overhead = len(seal_initial(self.version, b"", to, self.client_id, b"\0" * 4, True, token)) - 4
         datagram = seal_initial(
@@ -84,51 +89,56 @@
             self.wire.sendto(datagram, self.place.front)
 
     def send_short(self, connection_id: bytes, text: bytes = b"something that only the ends can read") -> bytes:
-        """A short packet."""
+        """Send a packet with a short header to `connection_id` and return the datagram."""
         datagram = b"\x41" + connection_id + text
         self.send(datagram)
         return datagram
 
     async def receive(self) -> bytes:
-        """The next datagram."""
+        """Return the next datagram; raise TimeoutError after RECEIVE_TIMEOUT_S."""
         return await asyncio.wait_for(self.received.get(), RECEIVE_TIMEOUT_S)
 
     async def packet(self) -> Packet:
-        """The next datagram's first packet."""
+        """Return the first packet of the next datagram."""
         return split(await self.receive(), len(self.client_id))[0]
 
     async def retry(self) -> Packet:
-        """The Retry that comes next."""
+        """Return the next packet, which must be a Retry."""
         packet = await self.packet()
-        assert packet.kind is Kind.RETRY, f"{packet.kind.value} came"
+        assert packet.kind is Kind.RETRY, f"expected a Retry packet, received {packet.kind.value}"
         return packet
 
     async def closed(self, first_id: bytes = b"") -> int:
-        """The error code of the close that comes next."""
+        """Return the error code of the next packet, which must be an Initial that closes the connection."""
         opened = open_initial(await self.packet(), first_id or self.first_id, from_client=False)
-        assert opened is not None, "what came isn't sound"
-        assert opened.close_code is not None, "what came doesn't close"
+        assert opened is not None, "expected a server Initial, received a packet that cannot be authenticated as one"
+        assert opened.close_code is not None, "expected a CONNECTION_CLOSE frame, received an Initial without one"
         return opened.close_code
 
     async def expect_no_answer(self) -> None:
-        """The front hasn't answered what was sent before: its next word is the answer to this."""
+        """Assert that the earlier datagrams got no answer: the next one received answers the probe sent here."""
         marker = os.urandom(8)
         self.send(long_header(GREASE, os.urandom(8), marker).ljust(1_200, b"\0"))
         head = invariants(await self.receive())
-        assert head and head.version == 0 and head.to_id == marker, "the front answered what it must not"
+        assert head and head.version == 0 and head.to_id == marker, (
+            "the front answered a datagram that must get no answer"
+        )
         for _ in range(4):
             await asyncio.sleep(0)
 
 
 def long_header(version: int, to_id: bytes, from_id: bytes, rest: bytes = b"", first: int = 0xC0) -> bytes:
-    """A long header of any version."""
+    """Return a datagram with a long header of any version, followed by `rest`."""
     return b"".join(
         (bytes([first]), version.to_bytes(4), bytes([len(to_id)]), to_id, bytes([len(from_id)]), from_id, rest)
     )
 
 
 class Place:
-    """A relay between raw clients and raw backends, or only the address of a front that runs already."""
+    """The environment of a case: a relay between raw clients and raw backends, or the address of a running front.
+
+    `inbox` receives every datagram that reaches a backend; `over` holds the first ids of clients of finished cases.
+    """
 
     def __init__(self, front: Where) -> None:
         self.front = front
@@ -143,8 +153,11 @@
         self.over: set[bytes] = set()
 
     def set_handler(self, handler: Callable[[RawBackend, Packet, Where], None]) -> None:
-        """What all backends do. After silence or errors the decision module holds placements back for a while:
-        the next case gets a fresh place."""
+        """Set what all backends do with an Initial.
+
+        After silence or errors from backends the decision module delays further attempts for a while, so any handler
+        but `serve` has the next case run in a fresh environment.
+        """
         self.needs_restart = self.needs_restart or handler is not serve
         for backend in self.backends:
             backend.on_initial = handler
@@ -154,14 +167,17 @@
         return await self.clients[-1].open(host)
 
     async def reached(self) -> tuple[RawBackend, bytes, Where]:
-        """What a backend got next."""
+        """Return the next datagram that reached a backend, with that backend and the sender's address."""
         return await asyncio.wait_for(self.inbox.get(), RECEIVE_TIMEOUT_S)
 
     def nothing_reached(self) -> None:
-        assert self.inbox.empty(), "a backend got something"
+        assert self.inbox.empty(), "a datagram reached a backend although none may"
 
     async def standing(self, host: str = "127.0.0.1", **more: Any) -> tuple[Client, RawBackend, bytes, Where]:
-        """A client whose connection stands: with its backend, that one's id for it, and the address it shows."""
+        """Establish a connection.
+
+        Return the client, its backend, the backend's connection id, and the relay's address that the backend sees.
+        """
         client = await self.client(host, **more)
         client.send(client.initial())
         backend, _, addr = await self.reached()
@@ -171,7 +187,7 @@
         return client, backend, packet.from_id, addr
 
     async def standing_by_retry(self) -> tuple[Client, RawBackend, bytes, Where]:
-        """The same through the relay's Retry."""
+        """Establish a connection as `standing` does, but through the relay's Retry."""
         client = await self.client()
         client.send(client.initial())
         packet = await client.retry()
@@ -183,7 +199,7 @@
         return client, backend, packet.from_id, addr
 
     def clean(self) -> None:
-        """Between cases."""
+        """Restore the default behaviour of the backends and drop the state of the last case."""
         for backend in self.backends:
             backend.on_initial = serve
         self.over |= {client.first_id for client in self.clients}
@@ -201,7 +217,7 @@
 
 
 def ids_of(*forms: IdForm) -> list[dict[str, object]]:
-    """Configurations, for the file."""
+    """Return the connection id configurations as the settings file holds them."""
     return [
         {
             "config_id": f.number,
@@ -215,7 +231,7 @@
 
 
 def retry_settings(mode: str, life_s: float = 10.0) -> dict[str, object]:
-    """Address validation, for the file."""
+    """Return the address validation settings as the settings file holds them."""
     return {
         "mode": mode,
         "life_s": life_s,
@@ -224,12 +240,12 @@
 
 
 def token_mint(newest: int = 2, life_us: int = 10_000_000) -> TokenMint:
-    """What the relay makes its tokens with."""
+    """Return a token mint with the relay's keys; key number `newest` seals new tokens."""
     keys = {n: TokenKey(bytes.fromhex(key), bytes.fromhex(iv)) for n, (key, iv) in TOKEN_KEYS.items()}
     return TokenMint(keys, newest, life_us)
 
 
-#: What the front's file says beside backends, by the name of the place.
+#: The front's settings file without its backends, by the name that a case gives in `settings`.
 FRONT_SETTINGS: dict[str, dict[str, Any]] = {
     "plain": {"ids": ids_of(PLAIN), "limits": WIDE},
     "forms": {"ids": ids_of(*FORMS.values()), "limits": WIDE},
@@ -255,7 +271,7 @@
 
 @asynccontextmanager
 async def open_place(name: str) -> AsyncIterator[Place]:
-    """A relay with the settings of that name."""
+    """Start backends and a relay with the FRONT_SETTINGS of that name, and stop them at the end."""
     place = Place(("", 0))
     discovery = place.discovery = Discovery()
     backends: list[Any] = place.backends
@@ -292,8 +308,12 @@
 
 
 async def play(only: list[str], against: list[Where], report: Callable[[Verdict], None]) -> list[Verdict]:
-    """All chosen cases, a place for each kind of settings."""
-    from . import quic_cases  # noqa: F401 - writes the cases into the suite
+    """Run the selected cases and return their verdicts, each of which is passed to `report` as well.
+
+    Cases with the same settings share an environment until one of them changes the backends' behaviour. With
+    `against`, only cases that need nothing but a front's address are run, once for each address.
+    """
+    from . import quic_cases  # noqa: F401 - registers the cases with the suite
 
     verdicts: list[Verdict] = []
     chosen = suite.matching(only)
@@ -317,7 +337,10 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Play, report, write; 1 where a case fails."""
+    """Run the suite, print failures and a summary, and write the tables.
+
+    Return the exit status: 0 if no case fails, 1 if one fails, 2 for unusable arguments.
+    """
     parser = argparse.ArgumentParser(prog="gradefront conform quic")
     parser.add_argument("--against", action="append", default=[])
     parser.add_argument("--only", action="append", default=[])
@@ -342,13 +365,13 @@
     failed = sum(v.passed is False for v in verdicts)
     print(f"{passed} cases pass, {failed} fail, {len(verdicts) - passed - failed} not played")
     if not verdicts:
-        print("gradefront: --only: no case has such a name", file=sys.stderr)
+        print("gradefront: --only: no case has a name, section or settings with such a text", file=sys.stderr)
         return 2
     return 1 if failed else 0
 
 
 if __name__ == "__main__":
-    # As the module that the cases import, not as a hedged request of it.
+    # Run the module object that the cases import and register with; __main__ is a second copy of it.
     from lab.conform import quic
 
     sys.exit(quic.main())
