--- a/lab/conform/cases_backends.py
+++ b/lab/conform/cases_backends.py
@@ -1,4 +1,4 @@
-"""Cases of the second front's suite: what backends do, and ids."""
+"""Cases of the QUIC suite: behaviour of backends, and routing by connection id."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 def now_us() -> int:
-    """Unix time."""
+    """Return the Unix time in microseconds."""
     return time.time_ns() // 1000
 
 
-# ---- what backends do
+# ---- behaviour of backends
 
 
 @case("BRIEF rule 2", "A backend that refuses is left for another at once")
@@ -241,7 +241,7 @@
     assert await client.receive() == answer
 
 
-# ---- ids
+# ---- routing by connection id
 
 
 @case("QUIC-LB 5", "Short packets are routed by ids of every configuration at once", "forms", over=list(FORMS))
@@ -259,7 +259,9 @@
     client, backend, _, addr = await place.standing()
     for _ in range(3):
         client.send_short(backend.new_id(FORMS[name]))
-        assert (await place.reached())[::2] == (backend, addr), "a fresh id on the same path"
+        assert (await place.reached())[::2] == (backend, addr), (
+            "a fresh id on the same path must reach the same backend from the same address"
+        )
 
 
 @case("QUIC-LB 3.1", "Ids change their configuration in the middle of a connection", "forms")
--- a/lab/conform/cases_packets.py
+++ b/lab/conform/cases_packets.py
@@ -1,4 +1,4 @@
-"""Cases of the second front's suite: versions, headers, what makes no sense, Initials."""
+"""Cases of the QUIC suite: versions, headers, malformed packets and Initials."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def now_us() -> int:
-    """Unix time."""
+    """Return the Unix time in microseconds."""
     return time.time_ns() // 1000
 
 
@@ -140,8 +140,10 @@
     assert await client.closed() == CONNECTION_REFUSED
 
 
-# ---- headers and what makes no sense
+# ---- headers and malformed packets
 
+#: Datagrams to be dropped (malformed, or with an id of no known backend or configuration), by the label in the case's
+#: name.
 UNREADABLE = {
     "empty": b"",
     "one octet of a short header": b"\x40",
@@ -228,6 +230,7 @@
     assert await client.receive() == answer
 
 
+#: Builders of Initials that must not be forwarded, by the label in the case's name; each is called with the client.
 UNSOUND_INITIALS = {
     "the tag bent": lambda c: c.initial()[:-1] + b"x",
     "the first octet bent": lambda c: b"\xc3" + c.initial()[1:],
@@ -304,7 +307,9 @@
     place.set_handler(serve)
     again = [await place.reached() for _ in sent]
     assert [a[1] for a in again] == [f[1] for f in first] == sent
-    assert {a[0] for a in again}.isdisjoint({f[0] for f in first}), "the same backend was asked twice"
+    assert {a[0] for a in again}.isdisjoint({f[0] for f in first}), (
+        "the second attempt went to a backend of the first"
+    )
 
 
 @case("RFC 9000 10.2", "A client that closes while it waits is owed nothing more, and nobody else is tried")
--- a/lab/conform/cases_paths.py
+++ b/lab/conform/cases_paths.py
@@ -1,4 +1,4 @@
-"""Cases of the second front's suite: classes, migration, moves, resets and whole handshakes."""
+"""Cases of the QUIC suite: request classes, migration, changes of backends, resets and whole handshakes."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 
 def now_us() -> int:
-    """Unix time."""
+    """Return the Unix time in microseconds."""
     return time.time_ns() // 1000
 
 
-# ---- classes
+# ---- request classes
 
 
 @case(
@@ -64,7 +64,9 @@
     first = client.initial(pieces[0])
     client.send(first)
     received = [(await place.reached())[1] for _ in range(2)]
-    assert received == [second, first], "all that came goes to the backend, in the order in which it came"
+    assert received == [second, first], (
+        "the backend must receive every datagram, in the order of arrival at the relay"
+    )
 
 
 @case(
@@ -175,7 +177,9 @@
         await place.reached()
     assert (await place.relay.counters())["quic_ids_now"] - before <= 24
     client.send_short(first)
-    assert (await place.reached())[::2] == (backend, addr), "a forgotten id still decodes"
+    assert (await place.reached())[::2] == (backend, addr), (
+        "an id that was evicted from the table must still be routed by decoding it"
+    )
 
 
 @case("RFC 9000 5.1", "Where ports run out, paths share them and answers still find their client", "ports")
@@ -204,12 +208,15 @@
             pass
 
 
-# ---- moves and resets
+# ---- changes of backends, and stateless resets
 
 
 @asynccontextmanager
 async def published(place: Place, backend: Any, phase: str) -> AsyncIterator[None]:
-    """The endpoint list tells this of a backend; afterwards that it serves, and the relay knows that it does."""
+    """Publish `phase` for a backend in the endpoint list, and SERVING at exit.
+
+    Wait at exit until the relay forwards to the backend again, so that the next case finds it in service.
+    """
     place.discovery.publish(backend.name, phase)
     try:
         yield
@@ -236,9 +243,12 @@
         assert reset[-16:] == reset_token(RESET_KEY, last) and 21 <= len(reset) <= 43 and reset[0] & 0xC0 == 0x40
         client.send_short(last, b"x" * 60)
         repeated = await client.receive()
-        assert repeated[-16:] == reset_token(RESET_KEY, last) and len(repeated) < 60 + len(last) + 1, "given again"
+        assert repeated[-16:] == reset_token(RESET_KEY, last) and len(repeated) < 60 + len(last) + 1, (
+            "a further packet must get the same reset, shorter than the packet"
+        )
         client.send_short(last, b"")
-        await client.expect_no_answer()  # RFC 9000 10.3.3: too short to be answered with something shorter
+        # RFC 9000 10.3.3: a reset must be shorter than the packet that it answers; this one leaves no room.
+        await client.expect_no_answer()
 
 
 @case("BRIEF rule 3", "Ids of a gone backend lead nowhere")
@@ -302,7 +312,11 @@
 
 
 async def connect_and_exchange(front: tuple[str, int], rounds: int = 3, migrate: bool = False) -> Device:
-    """A device of aioquic's comes up and is served."""
+    """Connect an aioquic device and verify the answer to each of `rounds` requests; return the device.
+
+    With `migrate`, the device takes a new source port after each request, and every second time a fresh
+    connection id.
+    """
     device = Device(front)
     await device.start()
     for n in range(rounds):
@@ -328,6 +342,7 @@
     (await connect_and_exchange(place.front, 8, migrate=variant != "once")).close()
 
 
+#: Impairments of the link between device and relay, by the label in the case's name.
 LINKS = {
     "5% loss": Impairment(loss=0.05),
     "20% loss": Impairment(loss=0.2),
--- a/lab/conform/cases_validation.py
+++ b/lab/conform/cases_validation.py
@@ -1,4 +1,4 @@
-"""Cases of the second front's suite: address validation, and clients without proofs."""
+"""Cases of the QUIC suite: address validation, and admission of clients without a validated address."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def now_us() -> int:
-    """Unix time."""
+    """Return the Unix time in microseconds."""
     return time.time_ns() // 1000
 
 
@@ -33,7 +33,7 @@
 
 
 async def receive_retry(client: Client) -> Any:
-    """Send a first Initial and take the Retry that it gets."""
+    """Send a first Initial and return the Retry that answers it."""
     client.send(client.initial())
     return await client.retry()
 
@@ -89,6 +89,7 @@
 
 
 async def expect_invalid_token(place: Place, client: Client, token: bytes, to_id: bytes) -> None:
+    """Send an Initial with `token` and assert that it is refused with INVALID_TOKEN and reaches no backend."""
     client.send(client.initial(to_id=to_id, token=token))
     assert await client.closed(to_id) == INVALID_TOKEN
     place.nothing_reached()
@@ -158,7 +159,7 @@
     client.send(client.initial(to_id=packet.from_id, token=packet.token))
     await place.reached()
     if ending == "it ends after its answer":
-        await client.receive()  # a close that overtakes the answer ends the connection without one
+        await client.receive()  # a close sent earlier might overtake the answer and end the connection without one
     place.set_handler(stay_silent)
     client.send(client.initial(CLIENT_CLOSE, to_id=packet.from_id, token=packet.token))
     await client.expect_no_answer()
@@ -223,11 +224,11 @@
     assert open_initial(await stranger.packet(), packet.from_id, from_client=False)
 
 
-# ---- the door without proofs
+# ---- admission without a validated address
 
 
 async def raise_pressure(place: Place) -> None:
-    """Bring the door under pressure."""
+    """Send enough Initials from different addresses to bring admission under pressure."""
     for n in range(60):
         client = await place.client(f"127.0.5.{n + 1}")
         client.send(client.initial())
@@ -275,8 +276,8 @@
     assert opened and opened.close_code == CONNECTION_REFUSED and len(datagram) < 400
     other = await place.client("127.0.9.1")
     other.send(other.initial())
-    assert (await other.packet()).kind is Kind.INITIAL, "another address pays nothing"
-    await asyncio.sleep(0.51)  # two a second: the pause is half a second
+    assert (await other.packet()).kind is Kind.INITIAL, "the rate limit of one address must not affect another"
+    await asyncio.sleep(0.51)  # the rate is two a second, so the pause is half a second
     returning = await place.client("127.0.8.1")
     returning.send(returning.initial())
     opened = open_initial(await returning.packet(), returning.first_id, from_client=False)
