--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -1,4 +1,4 @@
-"""The conformance suite in CI: its raw-packet cases against the real program, and that it can fail."""
+"""The conformance suite in CI: raw-packet cases against the real program, and the reporting of failed cases."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_the_front_conforms(name: str) -> None:
+def test_selected_cases_pass_against_the_real_relay(name: str) -> None:
     reported: list[Verdict] = []
     verdicts = asyncio.run(conform.play([name], [], reported.append))
     assert reported == verdicts and len(verdicts) >= 2
     assert [(v.case.name, v.said) for v in verdicts if not v.passed] == []
 
 
-def test_cases_against_an_address_need_nothing_else_and_others_are_not_played(tmp_path: Path) -> None:
+def test_against_an_address_only_cases_that_need_nothing_else_are_run(tmp_path: Path) -> None:
     async def against() -> list[Verdict]:
         async with conform.open_place("plain") as place:
             return await conform.play(["RFC 8999 6"], [place.front], lambda verdict: None)
@@ -38,7 +38,7 @@
     assert [c["verdict"] for c in table["cases"]] == ["pass"] * 6 and "6 of 6" in (tmp_path / "t.md").read_text()
 
 
-def test_a_case_that_does_not_hold_fails_and_says_why() -> None:
+def test_a_failed_case_is_reported_with_its_assertion_message() -> None:
     suite = Suite("none")
 
     @suite.case("section 1", "nothing holds", over=["a", "b"])
@@ -49,7 +49,7 @@
     assert [(v.passed, v.said) for v in verdicts] == [(True, ""), (False, "it was b")]
 
 
-def test_the_suite_is_large_and_names_its_sources() -> None:
+def test_the_suite_has_at_least_120_uniquely_named_cases_with_section_and_requirement() -> None:
     from lab.conform import quic_cases  # noqa: F401
 
     assert len(conform.suite.cases) >= 120
@@ -57,13 +57,13 @@
     assert all(c.section and c.requirement for c in conform.suite.cases)
 
 
-def test_one_seed_does_the_same_to_the_same_traffic_and_keeps_its_rates() -> None:
-    how = Impairment(loss=0.1, burst=3, duplicate=0.2, corrupt=0.1, jitter=0.02, mtu=1_000)
+def test_impairments_are_reproducible_by_seed_and_keep_their_rates() -> None:
+    impairment = Impairment(loss=0.1, burst=3, duplicate=0.2, corrupt=0.1, jitter=0.02, mtu=1_000)
 
     def arrivals(seed: str) -> list[list[tuple[float, bytes]]]:
         from collections import Counter
 
-        direction, counts = Direction(how, seed), Counter[str]()
+        direction, counts = Direction(impairment, seed), Counter[str]()
         return [direction.arrivals(b"%d" % n * 50, counts) for n in range(5_000)]
 
     first = arrivals("1 there")
