--- a/fuzz/quic.py
+++ b/fuzz/quic.py
@@ -16,10 +16,10 @@
 from pathlib import Path
 
 from gradefront.quic.headers import V1, V2, invariants, read_long, read_varint, split, varint, version_negotiation
-from gradefront.quic.hello import LONGEST_HELLO, HelloReader, InvalidHelloError, read_hello
-from gradefront.quic.ids import IdBook, IdForm
-from gradefront.quic.initials import make_retry, open_initial, read_frames, seal_initial, sound_retry
-from gradefront.quic.tokens import Standing, TokenKey, TokenMint, packed
+from gradefront.quic.hello import MAX_HELLO_LENGTH, HelloReader, InvalidHelloError, read_hello
+from gradefront.quic.ids import IdDecoder, IdForm
+from gradefront.quic.initials import is_valid_retry, make_retry, open_initial, read_frames, seal_initial
+from gradefront.quic.tokens import TokenKey, TokenMint, TokenVerdict, pack_address
 
 LONGEST_CONNECTION_ID = 255  # octets that its length field can say
 MOST_PROTOCOLS = 16
@@ -55,7 +55,7 @@
             opened = open_initial(packet, packet.to_id, side)
             if opened:
                 assert all(at >= 0 for at, _ in opened.crypto)
-        sound_retry(packet, b"first-id")
+        is_valid_retry(packet, b"first-id")
     opened = read_frames(data)
     if opened:
         assert sum(len(piece) for _, piece in opened.crypto) <= len(data)
@@ -81,25 +81,25 @@
         whole.hello()
     except InvalidHelloError:
         pass
-    assert len(reader.text) <= LONGEST_HELLO and reader.held <= 3 * LONGEST_HELLO
+    assert len(reader.text) <= MAX_HELLO_LENGTH and reader.held <= 3 * MAX_HELLO_LENGTH
 
 
 def tokens(data: bytes) -> None:
     """Tokens: nothing from outside proves anything; what is sealed with our key does only at its address."""
-    assert MINT.read(data, CLIENT, b"retry-id", NOW_US).standing is not Standing.PROVEN
+    assert MINT.read(data, CLIENT, b"retry-id", NOW_US).verdict is not TokenVerdict.PROVEN
     sealed = MINT._seal(data[0] & 0x80 | 2 if data else 2, data[1:])
-    if MINT.read(sealed, CLIENT, b"retry-id", NOW_US).standing is Standing.PROVEN:
-        assert packed(CLIENT[0]) in data
-    MINT.unsealed(sealed)
+    if MINT.read(sealed, CLIENT, b"retry-id", NOW_US).verdict is TokenVerdict.PROVEN:
+        assert pack_address(CLIENT[0]) in data
+    MINT.retry_ids(sealed)
 
 
 def ids(data: bytes) -> None:
     """Ids of every form."""
-    book = IdBook(FORMS, cached=32)
-    an_id = book.id_of(data)
+    decoder = IdDecoder(FORMS, cached=32)
+    an_id = decoder.short_header_id(data)
     if an_id:
         assert data[1 : 1 + len(an_id)] == an_id
-    found = book.server_of(data)
+    found = decoder.server_id_of(data)
     if found:
         form = next(f for f in FORMS if f.number == found[0])
         decoded = form.decode(data)
@@ -107,7 +107,9 @@
 
 
 THEIRS = TokenMint({2: TokenKey(KEY[::-1], bytes(12))}, 2, 10_000_000)  # who knows everything but the key
-BODY = b"\0\x08\x08first-idretry-id" + packed(CLIENT[0]) + CLIENT[1].to_bytes(2) + (NOW_US // 1000 + 9).to_bytes(8)
+BODY = (
+    b"\0\x08\x08first-idretry-id" + pack_address(CLIENT[0]) + CLIENT[1].to_bytes(2) + (NOW_US // 1000 + 9).to_bytes(8)
+)
 TARGETS: dict[str, Callable[[bytes], None]] = {f.__name__: f for f in (headers, initials, hello, tokens, ids)}
 
 
@@ -135,7 +137,7 @@
             THEIRS.make(CLIENT, b"first-id", b"retry-id", NOW_US),
             THEIRS.make_new(CLIENT, NOW_US, 10),
             BODY,
-            b"\x80\0\0" + packed(CLIENT[0]) + bytes(2) + (NOW_US // 1000 + 9).to_bytes(8),
+            b"\x80\0\0" + pack_address(CLIENT[0]) + bytes(2) + (NOW_US // 1000 + 9).to_bytes(8),
         ],
         "ids": [form.make(bytes(form.server_id_length)) for form in FORMS],
     }
--- a/gradefront/quic/config.py
+++ b/gradefront/quic/config.py
@@ -15,7 +15,7 @@
 from gradefront.settings.files import parse_hex, read_key
 
 from . import FILE
-from .ids import IdBook, IdForm
+from .ids import IdDecoder, IdForm
 from .tokens import TokenKey
 
 
@@ -48,9 +48,9 @@
     class_of_protocol: dict[str, int] = field(default_factory=dict)
     class_of_name: dict[str, int] = field(default_factory=dict)
 
-    def book(self) -> IdBook:
-        """A book of all configurations."""
-        return IdBook(self.forms)
+    def id_decoder(self) -> IdDecoder:
+        """Return a decoder of all configurations."""
+        return IdDecoder(self.forms)
 
     def server_ids(self) -> dict[tuple[int, bytes], str]:
         """Backends by configuration and server id."""
@@ -134,7 +134,7 @@
         except ValueError as error:
             raise ValueError(f"ids[{n}].{error}") from None
     try:
-        IdBook(forms)
+        IdDecoder(forms)
     except ValueError as error:
         raise ValueError(f"ids: {error}") from None
     return tuple(forms)
--- a/gradefront/quic/connections.py
+++ b/gradefront/quic/connections.py
@@ -13,7 +13,7 @@
 from .config import QuicConfig
 from .headers import Kind, Packet, split, stateless_reset
 from .hello import HelloReader, InvalidHelloError
-from .initials import CONNECTION_REFUSED, Opened, busy, close_initial, open_initial, sound_retry
+from .initials import CONNECTION_REFUSED, Opened, busy, close_initial, is_valid_retry, open_initial
 from .listener import Listener
 from .paths import Path
 
@@ -232,7 +232,7 @@
                     self.attempt.end(Cause.ERROR)
                     return
                 break
-            if sound_retry(packet, owner.first_id):
+            if is_valid_retry(packet, owner.first_id):
                 if owner.by_retry:  # RFC 9000 17.2.5.2: a client takes one Retry only, and had ours
                     self.attempt.end(Cause.ERROR)
                 else:
--- a/gradefront/quic/front.py
+++ b/gradefront/quic/front.py
@@ -38,7 +38,7 @@
 from .listener import Listener
 from .maintenance import SERVING, TICK_US, Maintenance
 from .tables import ANSWERED_US
-from .tokens import Shown, Standing
+from .tokens import Shown, TokenVerdict
 
 MOST_USED_TOKENS = 16_384
 LONGEST_SHORT_HEADER = 21  # octets before the packet number: the first one and an id
@@ -66,7 +66,7 @@
             self.drop("malformed")
         elif datagram[0] & LONG:
             self._long(listener, datagram, client)
-        elif an_id := self.book.id_of(datagram):
+        elif an_id := self.id_decoder.short_header_id(datagram):
             self._by_id(listener, an_id, datagram, client)
         else:
             self.drop("malformed" if len(datagram) < LONGEST_SHORT_HEADER else "unknown_id")
@@ -120,10 +120,10 @@
             return
         now = self.now()
         shown = self.mint.read(first.token, client[:2], an_id, now) if self.mint and first.token else None
-        if shown and shown.standing not in (Standing.NONE, Standing.PROVEN):
-            self._bad_token(listener, first, client, shown.standing, now)
+        if shown and shown.verdict not in (TokenVerdict.NONE, TokenVerdict.PROVEN):
+            self._bad_token(listener, first, client, shown.verdict, now)
             return
-        proven = shown is not None and shown.standing is Standing.PROVEN
+        proven = shown is not None and shown.verdict is TokenVerdict.PROVEN
         if proven and shown and shown.number in self.used_tokens:
             self.drop("token_replayed")
             return
@@ -159,9 +159,9 @@
             if len(self.used_tokens) > MOST_USED_TOKENS:
                 self.used_tokens.popitem(last=False)
 
-    def _bad_token(self, listener: Listener, first: Packet, client: Address, standing: Standing, now: int) -> None:
+    def _bad_token(self, listener: Listener, first: Packet, client: Address, verdict: TokenVerdict, now: int) -> None:
         """RFC 9000 8.1.2: a client whose Retry token isn't good is told, rather than left to time out."""
-        self.drop(f"token_{standing.value}")
+        self.drop(f"token_{verdict.value}")
         if self.admission.rejections.take(now):
             listener.reply(close_initial(first.version, first.to_id, first.from_id, "", INVALID_TOKEN), client)
 
--- a/gradefront/quic/hello.py
+++ b/gradefront/quic/hello.py
@@ -5,7 +5,7 @@
 
 from typing import NamedTuple
 
-LONGEST_HELLO = 16_384  # post-quantum key shares make 1.8 KB; no sane client comes near this
+MAX_HELLO_LENGTH = 16_384  # post-quantum key shares make 1.8 KB; no sane client comes near this
 MOST_PIECES = 64  # out of order at once
 CLIENT_HELLO = 1
 HANDSHAKE_HEADER = 4  # octets: the message's type and its length
@@ -35,7 +35,7 @@
     def take(self, offset: int, piece: bytes) -> None:
         """Add one frame; a known piece changes nothing. Raises InvalidHelloError where a bound is broken."""
         end = offset + len(piece)
-        if end > LONGEST_HELLO:
+        if end > MAX_HELLO_LENGTH:
             raise InvalidHelloError("a ClientHello of more than 16 KiB")
         if end <= len(self.text) or not piece:
             return
@@ -44,7 +44,7 @@
             if len(piece) > len(known):
                 self.held += len(piece) - len(known)
                 self.later[offset] = piece
-            if len(self.later) > MOST_PIECES or self.held > 2 * LONGEST_HELLO:
+            if len(self.later) > MOST_PIECES or self.held > 2 * MAX_HELLO_LENGTH:
                 raise InvalidHelloError("a ClientHello in too many pieces")
             return
         self.text += piece[len(self.text) - offset :]
@@ -63,7 +63,7 @@
         if len(text) < HANDSHAKE_HEADER:
             return None
         length = int.from_bytes(text[1:4])
-        if length > LONGEST_HELLO - HANDSHAKE_HEADER:
+        if length > MAX_HELLO_LENGTH - HANDSHAKE_HEADER:
             raise InvalidHelloError("a ClientHello of more than 16 KiB")
         if len(text) < HANDSHAKE_HEADER + length:
             return None
--- a/gradefront/quic/ids.py
+++ b/gradefront/quic/ids.py
@@ -138,7 +138,7 @@
     return _join(left, right, half, size)
 
 
-class IdBook:
+class IdDecoder:
     """All configurations that are live, told apart by the 3 bits, with decoded ids cached in bounded memory.
 
     When the cache is full its older half goes: ids in use come back at the price of one decoding each.
@@ -154,14 +154,14 @@
         self.cached = cached
         self.cache: dict[bytes, tuple[int, bytes] | None] = {}
 
-    def id_of(self, datagram: bytes) -> bytes | None:
+    def short_header_id(self, datagram: bytes) -> bytes | None:
         """The id in a short header (RFC 8999 5.2), by the length of its configuration."""
         if len(datagram) <= 1:  # no octet of an id
             return None
         length = self.lengths[datagram[1] >> 5]
         return datagram[1 : 1 + length] if length and len(datagram) > length else None
 
-    def server_of(self, connection_id: bytes) -> tuple[int, bytes] | None:
+    def server_id_of(self, connection_id: bytes) -> tuple[int, bytes] | None:
         """Configuration and server id that an id names, or None."""
         try:
             return self.cache[connection_id]
--- a/gradefront/quic/initials.py
+++ b/gradefront/quic/initials.py
@@ -66,7 +66,7 @@
 
 
 @lru_cache(maxsize=KEYS_KEPT)
-def keys_of(version: int, first_id: bytes, client: bool) -> Keys:
+def derive_initial_keys(version: int, first_id: bytes, client: bool) -> Keys:
     """The keys of the client's or the server's Initials, from the id that the client wrote to first."""
     common = hmac.digest(SALTS[version], first_id, "sha256")
     secret = _expand(common, b"client in" if client else b"server in", 32)
@@ -86,7 +86,7 @@
     sample = data[at + 4 : at + 4 + SAMPLE]
     if len(sample) < SAMPLE:
         return None
-    keys = keys_of(packet.version, first_id, from_client)
+    keys = derive_initial_keys(packet.version, first_id, from_client)
     mask = _mask(keys, sample)
     first = data[0] ^ mask[0] & 0x0F
     size = (first & 3) + 1
@@ -161,7 +161,7 @@
     number: int = 0,
 ) -> bytes:
     """An Initial packet, protected."""
-    keys = keys_of(version, first_id, from_client)
+    keys = derive_initial_keys(version, first_id, from_client)
     payload = payload.ljust(4, b"\x00")  # RFC 9001 5.4.2: enough octets to sample
     size = 2
     head = b"".join(
@@ -219,7 +219,7 @@
     return body + _retry_tag(version, first_id, body)
 
 
-def sound_retry(packet: Packet, first_id: bytes) -> bool:
+def is_valid_retry(packet: Packet, first_id: bytes) -> bool:
     """Whether a Retry was made by someone who saw the client's Initial (RFC 9001 5.8)."""
     if packet.kind is not Kind.RETRY or packet.version not in RETRY_KEYS:
         return False
--- a/gradefront/quic/tables.py
+++ b/gradefront/quic/tables.py
@@ -69,8 +69,8 @@
         """Take settings, at the start or while serving: ids, backends, keys, limits. What stands goes on; paths to
         a backend that has another address now are closed, and the next datagram opens them anew."""
         self.quic = quic
-        self.book = quic.book()
-        self.lengths[:] = self.book.lengths
+        self.id_decoder = quic.id_decoder()
+        self.lengths[:] = self.id_decoder.lengths
         self.server_ids = quic.server_ids()
         admission = Admission(quic.limits, self.now())
         admission.proven = self.admission.proven  # who has shown to be there, has
@@ -116,7 +116,7 @@
             del self.routes[ids.popleft()]
 
     def _named(self, an_id: bytes) -> str | None:
-        found = self.book.server_of(an_id)
+        found = self.id_decoder.server_id_of(an_id)
         return self.server_ids.get(found) if found else None
 
     # ---- paths
--- a/gradefront/quic/tokens.py
+++ b/gradefront/quic/tokens.py
@@ -43,7 +43,7 @@
         return "TokenKey(...)"  # never shown: a log line may hold one
 
 
-class Standing(Enum):
+class TokenVerdict(Enum):
     """What a token proves."""
 
     NONE = "none"  # there is none, or it is a backend's own
@@ -57,13 +57,13 @@
 class Shown(NamedTuple):
     """A token, read."""
 
-    standing: Standing
+    verdict: TokenVerdict
     first_id: bytes = b""
     number: bytes = b""
 
 
 @lru_cache(maxsize=4_096)
-def packed(host: str) -> bytes:
+def pack_address(host: str) -> bytes:
     """An address as 16 octets. Raises OSError on what is none."""
     if ":" in host:
         return socket.inet_pton(socket.AF_INET6, host.partition("%")[0])
@@ -90,7 +90,7 @@
                     bytes([len(first_id), len(retry_id)]),
                     first_id,
                     retry_id,
-                    packed(client[0]),
+                    pack_address(client[0]),
                     client[1].to_bytes(2),
                     end_ms.to_bytes(8),
                 )
@@ -101,7 +101,7 @@
         """A NEW_TOKEN's token, as a backend that knows its client's address would make it."""
         return self._seal(
             NEW_TOKEN | self.newest,
-            b"".join((bytes(2), packed(client[0]), bytes(2), ((now_us + life_us) // 1000).to_bytes(8))),
+            b"".join((bytes(2), pack_address(client[0]), bytes(2), ((now_us + life_us) // 1000).to_bytes(8))),
         )
 
     def _seal(self, first: int, body: bytes) -> bytes:
@@ -126,7 +126,7 @@
             return None
         return body if bool(first) is not bool(token[0] & NEW_TOKEN) else None
 
-    def unsealed(self, token: bytes) -> tuple[bytes, bytes] | None:
+    def retry_ids(self, token: bytes) -> tuple[bytes, bytes] | None:
         """What a backend reads of a Retry's token: the client's first id and the Retry's, for its transport
         parameters (RFC 9000 7.3)."""
         body = self._unseal(token)
@@ -137,21 +137,21 @@
     def read(self, token: bytes, client: tuple[str, int], to_id: bytes, now_us: int) -> Shown:
         """What a token is worth, shown from this address in an Initial to this id."""
         if not token or token[0] & ~NEW_TOKEN & 0xFF not in self.sealers:
-            return Shown(Standing.NONE)
+            return Shown(TokenVerdict.NONE)
         is_new = bool(token[0] & NEW_TOKEN)
         body = self._unseal(token)
         if body is None:  # a backend may have NEW_TOKENs of its own
-            return Shown(Standing.NONE if is_new else Standing.FORGED)
+            return Shown(TokenVerdict.NONE if is_new else TokenVerdict.FORGED)
         ids = 2 + body[0] + body[1]
         if int.from_bytes(body[ids + 18 :]) * 1000 < now_us:
-            return Shown(Standing.NONE if is_new else Standing.EXPIRED)
-        if body[ids : ids + 16] != packed(client[0]):
-            return Shown(Standing.NONE if is_new else Standing.STOLEN)
+            return Shown(TokenVerdict.NONE if is_new else TokenVerdict.EXPIRED)
+        if body[ids : ids + 16] != pack_address(client[0]):
+            return Shown(TokenVerdict.NONE if is_new else TokenVerdict.STOLEN)
         number = token[1 : 1 + NUMBER]
         if is_new:
-            return Shown(Standing.PROVEN, b"", number)
+            return Shown(TokenVerdict.PROVEN, b"", number)
         if int.from_bytes(body[ids + 16 : ids + 18]) != client[1]:
-            return Shown(Standing.STOLEN)
+            return Shown(TokenVerdict.STOLEN)
         if body[2 + body[0] : ids] != to_id:
-            return Shown(Standing.MISPLACED)
-        return Shown(Standing.PROVEN, body[2 : 2 + body[0]], number)
+            return Shown(TokenVerdict.MISPLACED)
+        return Shown(TokenVerdict.PROVEN, body[2 : 2 + body[0]], number)
--- a/lab/conform/cases_paths.py
+++ b/lab/conform/cases_paths.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from gradefront.quic.headers import V1, reset_token, varint
-from gradefront.quic.hello import LONGEST_HELLO
+from gradefront.quic.hello import MAX_HELLO_LENGTH
 from gradefront.quic.initials import open_initial
 
 from ..link import Impairment, Link
@@ -78,7 +78,7 @@
     payload = {
         "half of it": b"\x06\x00\x40\x40\x01\x00\x02\x00" + bytes(60),
         "not TLS": b"\x06\x00\x04\x09\x00\x00\x00",
-        "too long": b"\x06" + varint(LONGEST_HELLO) + b"\x04text",
+        "too long": b"\x06" + varint(MAX_HELLO_LENGTH) + b"\x04text",
     }[how]
     client.send(client.initial(payload))
     await place.reached()
--- a/lab/conform/cases_validation.py
+++ b/lab/conform/cases_validation.py
@@ -48,11 +48,11 @@
 
 @case("RFC 9001 5.8", "The Retry's tag is good for the client's first id", "retry")
 async def retry_is_sound(place: Place) -> None:
-    from gradefront.quic.initials import sound_retry
+    from gradefront.quic.initials import is_valid_retry
 
     client = await place.client()
     packet = await retried(client)
-    assert sound_retry(packet, client.first_id) and not sound_retry(packet, b"other-id")
+    assert is_valid_retry(packet, client.first_id) and not is_valid_retry(packet, b"other-id")
 
 
 @case("RFC 9000 17.2.5.1", "The Retry's id differs from the client's first, and names no backend", "retry")
@@ -85,7 +85,7 @@
     packet = await retried(client)
     client.send(client.initial(to_id=packet.from_id, token=packet.token))
     _, data, _ = await place.reached()
-    assert mint().unsealed(split(data)[0].token) == (client.first_id, packet.from_id)
+    assert mint().retry_ids(split(data)[0].token) == (client.first_id, packet.from_id)
 
 
 async def refused_token(place: Place, client: Client, token: bytes, to_id: bytes) -> None:
--- a/lab/quic.py
+++ b/lab/quic.py
@@ -205,7 +205,7 @@
         """A connection. What a Retry token of the relay's holds goes into the transport parameters
         (RFC 9000 7.3): the client checks them."""
         if self.mint and header.token:
-            inside = self.mint.unsealed(header.token)
+            inside = self.mint.retry_ids(header.token)
             if inside:
                 return Served(self, inside[0], inside[1])
         return Served(self, header.destination_cid)
--- a/tests/test_fuzz_targets.py
+++ b/tests/test_fuzz_targets.py
@@ -7,7 +7,7 @@
 import pytest
 
 from fuzz import quic as fuzz
-from gradefront.quic.tokens import Standing
+from gradefront.quic.tokens import TokenVerdict
 
 
 def test_bent_seeds_break_no_parser() -> None:
@@ -16,8 +16,8 @@
 
 def test_a_token_that_proves_what_it_must_not_is_noticed() -> None:
     assert (
-        fuzz.MINT.read(fuzz.MINT._seal(2, fuzz.BODY[1:]), fuzz.CLIENT, b"retry-id", fuzz.NOW_US).standing
-        is Standing.PROVEN
+        fuzz.MINT.read(fuzz.MINT._seal(2, fuzz.BODY[1:]), fuzz.CLIENT, b"retry-id", fuzz.NOW_US).verdict
+        is TokenVerdict.PROVEN
     ), "the seed reaches the end of the reader"
     other = fuzz.MINT.make(fuzz.CLIENT, b"first-id", b"retry-id", fuzz.NOW_US)
     with pytest.raises(AssertionError):  # for the target, this is a forgery that works
--- a/tests/test_quic_ids.py
+++ b/tests/test_quic_ids.py
@@ -1,4 +1,4 @@
-"""Connection ids: the draft's published vectors, every form both ways, and the bounded book."""
+"""Connection ids: the draft's published vectors, every form both ways, and the bounded decoder."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gradefront.quic.ids import IdBook, IdForm
+from gradefront.quic.ids import IdDecoder, IdForm
 
 KEY = bytes.fromhex("8f95f09245765f80256934e50c66207f")
 
@@ -52,15 +52,18 @@
 
 def test_a_book_distinguishes_configurations_and_stays_within_its_bound() -> None:
     old, new = IdForm(0, 2, 9), IdForm(5, 3, 4, True, KEY)
-    book = IdBook([old, new], cached=64)
+    decoder = IdDecoder([old, new], cached=64)
     first, second = old.make(b"\0\1"), new.make(b"\0\0\2")
     for _ in range(2):  # the second time from the cache
-        assert book.server_of(first) == (0, b"\0\1") and book.server_of(second) == (5, b"\0\0\2")
-    assert book.id_of(b"\x40" + second + b"payload") == second and book.id_of(b"\x40" + first + b"p") == first
-    assert book.id_of(b"\x40\xe0" + b"x" * 30) is None, "the number that names no push box"
-    assert book.id_of(b"\x40") is None and book.server_of(b"") is None
+        assert decoder.server_id_of(first) == (0, b"\0\1") and decoder.server_id_of(second) == (5, b"\0\0\2")
+    assert (
+        decoder.short_header_id(b"\x40" + second + b"payload") == second
+        and decoder.short_header_id(b"\x40" + first + b"p") == first
+    )
+    assert decoder.short_header_id(b"\x40\xe0" + b"x" * 30) is None, "the number that names no push box"
+    assert decoder.short_header_id(b"\x40") is None and decoder.server_id_of(b"") is None
     for _ in range(1_000):
-        book.server_of(os.urandom(8))
-    assert len(book.cache) <= 64 and book.server_of(first) == (0, b"\0\1")
+        decoder.server_id_of(os.urandom(8))
+    assert len(decoder.cache) <= 64 and decoder.server_id_of(first) == (0, b"\0\1")
     with pytest.raises(ValueError, match="used twice"):
-        IdBook([old, IdForm(0, 3, 4)])
+        IdDecoder([old, IdForm(0, 3, 4)])
--- a/tests/test_quic_parts.py
+++ b/tests/test_quic_parts.py
@@ -21,7 +21,7 @@
 from gradefront.quic import switch
 from gradefront.quic.headers import VERSIONS, Kind, invariants, reset_token, split, stateless_reset
 from gradefront.quic.ids import IdForm
-from gradefront.quic.initials import close_initial, open_initial, sound_retry
+from gradefront.quic.initials import close_initial, is_valid_retry, open_initial
 
 CONFIG = Config(
     name="n0",
@@ -75,7 +75,7 @@
         assert packet.data and len(packet.data) <= len(datagram)
         opened = open_initial(packet, packet.to_id, from_client=True)
         assert opened is None, "noise that opens with the Initial keys"
-        assert not sound_retry(packet, b"first-id")
+        assert not is_valid_retry(packet, b"first-id")
 
 
 @pytest.mark.parametrize("version", VERSIONS)
@@ -106,7 +106,7 @@
     retry = encode_quic_retry(VERSIONS[0], b"box-id-1", b"client", b"first-id", b"token")
     (packet,) = split(retry, 8)
     assert packet.kind is Kind.RETRY
-    assert sound_retry(packet, b"first-id") and not sound_retry(packet, b"other-id")
+    assert is_valid_retry(packet, b"first-id") and not is_valid_retry(packet, b"other-id")
 
 
 @given(st.binary(min_size=1, max_size=20), st.integers(0, 100))
--- a/tests/test_quic_tokens.py
+++ b/tests/test_quic_tokens.py
@@ -12,8 +12,15 @@
 
 from gradefront.quic.headers import V1, V2, invariants, read_varint, split, varint, version_negotiation
 from gradefront.quic.hello import Hello, HelloReader, InvalidHelloError
-from gradefront.quic.initials import keys_of, make_retry, open_initial, read_frames, seal_initial, sound_retry
-from gradefront.quic.tokens import Standing, TokenKey, TokenMint
+from gradefront.quic.initials import (
+    derive_initial_keys,
+    is_valid_retry,
+    make_retry,
+    open_initial,
+    read_frames,
+    seal_initial,
+)
+from gradefront.quic.tokens import TokenKey, TokenMint, TokenVerdict
 
 KEYS = {3: TokenKey(bytes(range(16)), bytes(12)), 4: TokenKey(bytes(16), bytes(range(12)))}
 MINT = TokenMint(KEYS, 4, 10_000_000)
@@ -26,42 +33,45 @@
 
     def shown(
         token: bytes = token, client: tuple[str, int] = CLIENT, to: bytes = b"retry-id", now: int = NOW
-    ) -> Standing:
-        return MINT.read(token, client, to, now).standing
-
-    assert MINT.read(token, CLIENT, b"retry-id", NOW)[:2] == (Standing.PROVEN, b"first-id")
-    assert MINT.unsealed(token) == (b"first-id", b"retry-id"), "what a push box needs"
-    assert shown(client=("192.0.2.8", 4433)) is Standing.STOLEN and shown(client=("192.0.2.7", 1)) is Standing.STOLEN
-    assert shown(client=("2001:db8::1", 4433)) is Standing.STOLEN
-    assert shown(to=b"other-id") is Standing.MISPLACED
-    assert shown(now=NOW + 10_001_000) is Standing.EXPIRED and shown(now=NOW + 9_999_000) is Standing.PROVEN
+    ) -> TokenVerdict:
+        return MINT.read(token, client, to, now).verdict
+
+    assert MINT.read(token, CLIENT, b"retry-id", NOW)[:2] == (TokenVerdict.PROVEN, b"first-id")
+    assert MINT.retry_ids(token) == (b"first-id", b"retry-id"), "what a push box needs"
+    assert (
+        shown(client=("192.0.2.8", 4433)) is TokenVerdict.STOLEN
+        and shown(client=("192.0.2.7", 1)) is TokenVerdict.STOLEN
+    )
+    assert shown(client=("2001:db8::1", 4433)) is TokenVerdict.STOLEN
+    assert shown(to=b"other-id") is TokenVerdict.MISPLACED
+    assert shown(now=NOW + 10_001_000) is TokenVerdict.EXPIRED and shown(now=NOW + 9_999_000) is TokenVerdict.PROVEN
     for at in range(1, len(token)):
         bent = token[:at] + bytes([token[at] ^ 1]) + token[at + 1 :]
-        assert shown(bent) is Standing.FORGED, at
-    assert shown(b"") is Standing.NONE and shown(b"\x7fof a key that nobody has") is Standing.NONE
+        assert shown(bent) is TokenVerdict.FORGED, at
+    assert shown(b"") is TokenVerdict.NONE and shown(b"\x7fof a key that nobody has") is TokenVerdict.NONE
 
 
 def test_a_rotated_key_is_read_while_it_is_known() -> None:
     old = TokenMint(KEYS, 3, 10_000_000).make(CLIENT, b"first-id", b"retry-id", NOW)
-    assert MINT.read(old, CLIENT, b"retry-id", NOW).standing is Standing.PROVEN
-    assert TokenMint({4: KEYS[4]}, 4, 1).read(old, CLIENT, b"retry-id", NOW).standing is Standing.NONE
+    assert MINT.read(old, CLIENT, b"retry-id", NOW).verdict is TokenVerdict.PROVEN
+    assert TokenMint({4: KEYS[4]}, 4, 1).read(old, CLIENT, b"retry-id", NOW).verdict is TokenVerdict.NONE
     with pytest.raises(ValueError, match="newest"):
         TokenMint(KEYS, 9, 1)
 
 
 def test_a_backend_s_new_token_passes_and_ours_prove_the_address_from_any_port() -> None:
     ours = MINT.make_new(CLIENT, NOW, 86_400_000_000)
-    assert MINT.read(ours, (CLIENT[0], 9), b"any-id..", NOW).standing is Standing.PROVEN
+    assert MINT.read(ours, (CLIENT[0], 9), b"any-id..", NOW).verdict is TokenVerdict.PROVEN
     for token in (ours[:-1] + b"x", b"\x84" + b"a box's own, of any length" * 3):
-        assert MINT.read(token, CLIENT, b"any-id..", NOW).standing is Standing.NONE, "not to be refused"
-    assert MINT.read(ours, ("192.0.2.8", 9), b"any-id..", NOW).standing is Standing.NONE
+        assert MINT.read(token, CLIENT, b"any-id..", NOW).verdict is TokenVerdict.NONE, "not to be refused"
+    assert MINT.read(ours, ("192.0.2.8", 9), b"any-id..", NOW).verdict is TokenVerdict.NONE
     assert repr(KEYS[3]) == "TokenKey(...)"
 
 
 @given(st.binary(max_size=200))
 def test_no_token_breaks_the_mint(token: bytes) -> None:
-    assert MINT.read(token, CLIENT, b"x", NOW).standing in (Standing.NONE, Standing.FORGED)
-    MINT.unsealed(token)
+    assert MINT.read(token, CLIENT, b"x", NOW).verdict in (TokenVerdict.NONE, TokenVerdict.FORGED)
+    MINT.retry_ids(token)
 
 
 def hello_of(name: str, protocols: list[str]) -> tuple[bytes, tuple[tuple[int, bytes], ...]]:
@@ -128,16 +138,16 @@
     opened = open_initial(packet, b"first-id", from_client=True)
     assert opened and opened.crypto == ((0, b"text"),) and open_initial(packet, b"other-id", True) is None
     (retry,) = split(make_retry(version, b"first-id", b"client", b"new-id", b"token"))
-    assert sound_retry(retry, b"first-id") and not sound_retry(retry, b"other-id")
+    assert is_valid_retry(retry, b"first-id") and not is_valid_retry(retry, b"other-id")
     assert (retry.to_id, retry.from_id, retry.token) == (b"client", b"new-id", b"token")
 
 
 def test_keys_are_those_of_the_rfc() -> None:
     """RFC 9001 A.1 and RFC 9369 A.1."""
     first = bytes.fromhex("8394c8f03e515708")
-    assert keys_of(V1, first, True)[0].hex() == "1f369613dd76d5467730efcbe3b1a22d"
-    assert keys_of(V1, first, False)[2].hex() == "c206b8d9b9f0f37644430b490eeaa314"
-    assert keys_of(V2, first, True)[0].hex() == "8b1a0bc121284290a29e0971b5cd045d"
+    assert derive_initial_keys(V1, first, True)[0].hex() == "1f369613dd76d5467730efcbe3b1a22d"
+    assert derive_initial_keys(V1, first, False)[2].hex() == "c206b8d9b9f0f37644430b490eeaa314"
+    assert derive_initial_keys(V2, first, True)[0].hex() == "8b1a0bc121284290a29e0971b5cd045d"
 
 
 @given(st.binary(max_size=300))
