--- a/fuzz/quic.py
+++ b/fuzz/quic.py
@@ -36,7 +36,7 @@
     packets = split(data, 12)
     assert sum(len(p.data) for p in packets) <= len(data)
     for packet in packets:
-        assert len(packet.to_id) <= LONGEST_CONNECTION_ID and packet.payload_at <= len(packet.data)
+        assert len(packet.to_id) <= LONGEST_CONNECTION_ID and packet.payload_offset <= len(packet.data)
     head = invariants(data)
     if head:
         assert head.end <= len(data)
@@ -95,7 +95,7 @@
 
 def ids(data: bytes) -> None:
     """Ids of every form."""
-    decoder = IdDecoder(FORMS, cached=32)
+    decoder = IdDecoder(FORMS, cache_size=32)
     an_id = decoder.short_header_id(data)
     if an_id:
         assert data[1 : 1 + len(an_id)] == an_id
--- a/gradefront/quic/config.py
+++ b/gradefront/quic/config.py
@@ -78,19 +78,19 @@
 def _build(file: Any, config: Config, folder: Path) -> QuicConfig:
     forms = _forms(file, folder)
     backends = _backends(file, forms)
-    limits, prove = _limits(file), file.retry
+    limits, retry = _limits(file), file.retry
     keys = {
         key.sequence: TokenKey(
             read_key(key.key, key.key_file, 16, f"retry.keys[{n}]", folder),
             parse_hex(key.iv, f"retry.keys[{n}].iv", 12),
         )
-        for n, key in enumerate(prove.keys)
+        for n, key in enumerate(retry.keys)
     }
-    if len(keys) < len(prove.keys):
+    if len(keys) < len(retry.keys):
         raise ValueError("retry.keys: two have the same sequence")
-    newest = prove.newest if prove.newest is not None else (prove.keys[-1].sequence if prove.keys else 0)
-    if prove.mode != "never" and newest not in keys:
-        raise ValueError(f"retry.newest: {newest}: no key has this sequence, and mode is '{prove.mode}'")
+    newest = retry.newest if retry.newest is not None else (retry.keys[-1].sequence if retry.keys else 0)
+    if retry.mode != "never" and newest not in keys:
+        raise ValueError(f"retry.newest: {newest}: no key has this sequence, and mode is '{retry.mode}'")
     return QuicConfig(
         listen={
             _class(name, config, "listen"): parse_address(where, f"listen.{name}")
@@ -107,7 +107,7 @@
         limits=limits,
         token_keys=keys,
         newest_token_key=newest,
-        token_life_us=round(prove.life_s * 1e6),
+        token_life_us=round(retry.life_s * 1e6),
         class_of_protocol={p: _class(name, config, f"classes.alpn.{p}") for p, name in file.classes.alpn.items()},
         class_of_name={n.lower(): _class(name, config, f"classes.sni.{n}") for n, name in file.classes.sni.items()},
     )
@@ -127,10 +127,12 @@
                 raise ValueError(f"{name}: missing")
         return (IdForm(file.config_id, file.server_id_length, file.nonce_length, file.id_encodes_length),)
     forms = []
-    for n, one in enumerate(given):
-        key = read_key(one.key, one.key_file, 16, f"ids[{n}]", folder) if one.key or one.key_file else None
+    for n, entry in enumerate(given):
+        key = read_key(entry.key, entry.key_file, 16, f"ids[{n}]", folder) if entry.key or entry.key_file else None
         try:
-            forms.append(IdForm(one.config_id, one.server_id_length, one.nonce_length, one.encodes_length, key))
+            forms.append(
+                IdForm(entry.config_id, entry.server_id_length, entry.nonce_length, entry.encodes_length, key)
+            )
         except ValueError as error:
             raise ValueError(f"ids[{n}].{error}") from None
     try:
--- a/gradefront/quic/connections.py
+++ b/gradefront/quic/connections.py
@@ -13,16 +13,18 @@
 from .config import QuicConfig
 from .headers import Kind, Packet, split, stateless_reset
 from .hello import HelloReader, InvalidHelloError
-from .initials import CONNECTION_REFUSED, Opened, busy, close_initial, is_valid_retry, open_initial
+from .initials import CONNECTION_REFUSED, InitialPayload, busy_reason, close_initial, is_valid_retry, open_initial
 from .listener import Listener
 from .paths import Path
 
-KEPT = 12  # datagrams of a waiting client, for the next backend; a post-quantum ClientHello makes two
-EARLY = 4  # of a backend, that overtook its first Initial
-IDS = 16  # ids remembered for one connection
+MAX_BUFFERED_DATAGRAMS = (
+    12  # datagrams of a waiting client, for the next backend; a post-quantum ClientHello makes two
+)
+MAX_EARLY_DATAGRAMS = 4  # of a backend, that overtook its first Initial
+MAX_IDS_PER_CONNECTION = 16  # ids remembered for one connection
 
 
-class Tables(Protocol):
+class FrontTables(Protocol):
     """What a connection uses of its front."""
 
     quic: QuicConfig
@@ -31,10 +33,10 @@
     def now(self) -> int:
         """The time."""
 
-    def drop(self, why: str) -> None:
+    def count_drop(self, reason: str) -> None:
         """Count a datagram that goes nowhere."""
 
-    def path(
+    def get_path(
         self, client: Address, backend: str, owner: QuicClientConnection | None, listener: Listener
     ) -> Path | None:
         """A path, new where there is none."""
@@ -42,19 +44,19 @@
     def close_paths(self, owner: QuicClientConnection) -> None:
         """Give all its places back."""
 
-    def adopt(self, owner: QuicClientConnection, backend: str) -> bool:
+    def adopt_paths(self, owner: QuicClientConnection, backend: str) -> bool:
         """Take over paths that may be this connection's."""
 
-    def answer(self, an_id: bytes, datagram: bytes) -> None:
+    def remember_answer(self, connection_id: bytes, datagram: bytes) -> None:
         """Remember a final answer."""
 
-    def left(self, an_id: bytes, key: bytes) -> None:
+    def remember_moved_id(self, connection_id: bytes, key: bytes) -> None:
         """Remember an id that was moved."""
 
-    def settled(self, owner: QuicClientConnection) -> None:
+    def on_settled(self, owner: QuicClientConnection) -> None:
         """A connection stands, or is over: it waits no more."""
 
-    def forgot(self, owner: QuicClientConnection) -> None:
+    def on_discarded(self, owner: QuicClientConnection) -> None:
         """A connection is over."""
 
 
@@ -63,7 +65,7 @@
 
     def __init__(  # noqa: PLR0913 - what the client's first datagram tells
         self,
-        front: Tables,
+        front: FrontTables,
         listener: Listener,
         client: Address,
         first_id: bytes,
@@ -78,60 +80,60 @@
         self.version = version
         self.client = client  # the address that it used last
         self.network = network
-        self.waits = False  # whether it counts among those who wait
-        self.by_retry = False  # it came with a token of ours: a second Retry would be ignored
+        self.is_pending = False  # whether it counts among those who wait
+        self.used_retry = False  # it came with a token of ours: a second Retry would be ignored
         self.confirmed = False  # the client has used an id that only the backend's answer held
         self.last_id = b""  # the backend's id that it used last
-        self.kept: list[bytes] = []
+        self.buffered: list[bytes] = []
         self.hello: HelloReader | None = None
         self.ids: OrderedDict[bytes, None] = OrderedDict()
         self.paths: dict[Address, Path] = {}
         self.adopted_path: Path | None = None  # a path that had no connection, which this one is made for
         self.upstream: QuicBackendConnection | None = None
         self.connection: Connection | None = None
-        self.since_us = self.used_us = front.now()
+        self.created_us = self.last_used_us = front.now()
         self.unanswered = 0
-        self.unanswered_us = 0
-        self.learn(first_id)
+        self.unanswered_since_us = 0
+        self.add_id(first_id)
 
     @property
-    def stands(self) -> bool:
+    def is_established(self) -> bool:
         """Whether a backend serves it."""
         return self.connection is not None and self.connection.state is ConnectionState.ESTABLISHED
 
     @property
-    def reaching(self) -> bool:
+    def is_connecting(self) -> bool:
         """Whether an attempt is out."""
         return self.connection is not None and self.connection.state is ConnectionState.CONNECTING
 
-    def learn(self, an_id: bytes) -> None:
+    def add_id(self, connection_id: bytes) -> None:
         """An id is this connection's. The oldest goes where there are too many."""
-        if an_id not in self.ids:
-            self.ids[an_id] = None
-            self.front.owners[an_id] = self
-            if len(self.ids) > IDS:
+        if connection_id not in self.ids:
+            self.ids[connection_id] = None
+            self.front.owners[connection_id] = self
+            if len(self.ids) > MAX_IDS_PER_CONNECTION:
                 old = self.ids.popitem(last=False)[0]
                 if self.front.owners.get(old) is self:
                     del self.front.owners[old]
 
-    def forget(self) -> None:
+    def discard(self) -> None:
         """None of its ids is known any more."""
-        for an_id in self.ids:
-            if self.front.owners.get(an_id) is self:
-                del self.front.owners[an_id]
+        for connection_id in self.ids:
+            if self.front.owners.get(connection_id) is self:
+                del self.front.owners[connection_id]
         self.ids.clear()
         self.front.close_paths(self)
-        self.front.forgot(self)
+        self.front.on_discarded(self)
 
-    def waiting(self, datagram: bytes, client: Address) -> None:
+    def buffer_datagram(self, datagram: bytes, client: Address) -> None:
         """A datagram before the connection stands: kept for the next backend, and sent to the present one."""
         self.client = client
-        if datagram not in self.kept:
-            self.kept = [*self.kept[:1], *self.kept[1:][-KEPT + 2 :], datagram]
+        if datagram not in self.buffered:
+            self.buffered = [*self.buffered[:1], *self.buffered[1:][-MAX_BUFFERED_DATAGRAMS + 2 :], datagram]
         if self.upstream:
             self.upstream.send(datagram, client)
 
-    def read_hello(self, opened: Opened) -> tuple[str, tuple[str, ...]] | None:
+    def read_hello(self, opened: InitialPayload) -> tuple[str, tuple[str, ...]] | None:
         """Put a client's CRYPTO frames together; server name and protocols once they are whole, or once it is
         clear that they never will be."""
         if self.hello is None:
@@ -150,11 +152,11 @@
 
     def establish(self, upstream: BackendConnection, response_line: object) -> None:  # noqa: ARG002 - core's port
         """The backend's first sound answer goes to the client; from here on packets go by id."""
-        self.kept = []
+        self.buffered = []
         self.hello = None
         for path in self.paths.values():
-            path.plain = True
-        self.front.settled(self)
+            path.is_direct = True
+        self.front.on_settled(self)
         if isinstance(response_line, tuple):
             path, datagrams = response_line
             for datagram in datagrams:
@@ -162,7 +164,7 @@
 
     def reject(self, pause_us: int) -> None:
         """The final answer: a close, with the advised pause as its reason."""
-        self._close(busy(pause_us))
+        self._close(busy_reason(pause_us))
 
     def fail(self) -> None:
         """The final answer: a close that advises nothing."""
@@ -170,14 +172,14 @@
 
     def _close(self, reason: str) -> None:
         datagram = close_initial(self.version, self.first_id, self.client_id, reason)
-        self.front.answer(self.first_id, datagram)
+        self.front.remember_answer(self.first_id, datagram)
         self.listener.reply(datagram, self.client)
-        self.forget()
+        self.discard()
 
     def migrate(self) -> None:
         """A stateless reset, which the client takes as the backend's own: it comes again with an Initial."""
         if self.upstream:
-            self.front.adopt(self, self.upstream.attempt.backend)
+            self.front.adopt_paths(self, self.upstream.attempt.backend)
         self._reset()
 
     def has_disconnected(self) -> bool:
@@ -193,23 +195,23 @@
         if backend:
             if self.last_id:
                 self.listener.reply(stateless_reset(backend.reset_key, self.last_id), self.client)
-            for an_id in self.ids:
-                self.front.left(an_id, backend.reset_key)
-        self.forget()
+            for connection_id in self.ids:
+                self.front.remember_moved_id(connection_id, backend.reset_key)
+        self.discard()
 
 
 class QuicBackendConnection:
     """One attempt at a backend, and after it the connection's place there."""
 
-    def __init__(self, front: Tables, owner: QuicClientConnection, attempt: Attempt) -> None:
+    def __init__(self, front: FrontTables, owner: QuicClientConnection, attempt: Attempt) -> None:
         self.front = front
         self.owner = owner
         self.attempt = attempt
-        self.early: list[bytes] = []
+        self.early_datagrams: list[bytes] = []
 
     def begin(self) -> None:
         """Send all that the client has sent so far."""
-        for datagram in list(self.owner.kept):
+        for datagram in list(self.owner.buffered):
             self.send(datagram, self.owner.client)
         self.attempt.advance(AttemptPhase.SENT)
 
@@ -217,7 +219,7 @@
         """To the backend. Guards against a retransmit that opens a connection at a backend told to drain."""
         if self.attempt.send_veto() is None:
             self.attempt.advance(AttemptPhase.WRITING)
-            path = self.front.path(client, self.attempt.backend, self.owner, self.owner.listener)
+            path = self.front.get_path(client, self.attempt.backend, self.owner, self.owner.listener)
             if path:
                 path.send(datagram)
 
@@ -233,7 +235,7 @@
                     return
                 break
             if is_valid_retry(packet, owner.first_id):
-                if owner.by_retry:  # RFC 9000 17.2.5.2: a client takes one Retry only, and had ours
+                if owner.used_retry:  # RFC 9000 17.2.5.2: a client takes one Retry only, and had ours
                     self.attempt.end(Cause.ERROR)
                 else:
                     self._establish(packet, path, datagram)
@@ -242,12 +244,12 @@
             if opened:
                 self._on_initial(opened, packet, path, datagram)
                 return
-            if packet.kind in (Kind.HANDSHAKE, Kind.SHORT) and len(self.early) < EARLY:
-                self.early.append(datagram)
+            if packet.kind in (Kind.HANDSHAKE, Kind.SHORT) and len(self.early_datagrams) < MAX_EARLY_DATAGRAMS:
+                self.early_datagrams.append(datagram)
                 return
-        self.front.drop("unsound_answer")
+        self.front.count_drop("unsound_answer")
 
-    def _on_initial(self, opened: Opened, packet: Packet, path: Path, datagram: bytes) -> None:
+    def _on_initial(self, opened: InitialPayload, packet: Packet, path: Path, datagram: bytes) -> None:
         """Decide by the backend's Initial: an error, an established connection, or nothing yet."""
         if opened.close_code is not None:
             full = opened.close_code == CONNECTION_REFUSED
@@ -255,25 +257,25 @@
         elif opened.crypto:
             self._establish(packet, path, datagram)
         else:  # only an ACK: no client may hear of a backend that doesn't go on
-            self.front.drop("ack_only")
+            self.front.count_drop("ack_only")
 
     def _establish(self, packet: Packet, path: Path, datagram: bytes) -> None:
-        self.owner.learn(packet.from_id)
+        self.owner.add_id(packet.from_id)
         self.owner.last_id = packet.from_id
-        self.attempt.succeed((path, (datagram, *self.early)))
-        self.early = []
+        self.attempt.succeed((path, (datagram, *self.early_datagrams)))
+        self.early_datagrams = []
 
     def close(self, ending: ConnectionEnd) -> None:  # noqa: ARG002 - core's port
         """Its places are given back, so that what the backend still sends reaches nobody."""
         self.front.close_paths(self.owner)
-        if self.owner.upstream is self and self.owner.reaching:
+        if self.owner.upstream is self and self.owner.is_connecting:
             self.owner.upstream = None
 
 
-def adopted_over(front: Any, path: Path) -> QuicClientConnection:
+def connection_for_path(front: Any, path: Path) -> QuicClientConnection:
     """A connection for a path that has none: a connection from before this relay's start, or another relay's."""
     owner = QuicClientConnection(
-        front, path.listener, path.client, path.last_id, path.client_id if path.plain else b"", 0
+        front, path.listener, path.client, path.last_id, path.client_id if path.is_direct else b"", 0
     )
     owner.adopted_path = path
     owner.confirmed = True
--- a/gradefront/quic/front.py
+++ b/gradefront/quic/front.py
@@ -21,9 +21,9 @@
 from .connections import QuicClientConnection
 from .headers import (
     KINDS,
-    LEAST_ID,
-    LEAST_INITIAL,
-    LONG,
+    LONG_HEADER_BIT,
+    MIN_FIRST_ID_LENGTH,
+    MIN_INITIAL_LENGTH,
     Invariants,
     Kind,
     Packet,
@@ -34,16 +34,16 @@
 )
 from .hello import HelloReader
 from .ids import UNROUTABLE
-from .initials import INVALID_TOKEN, Opened, busy, close_initial, make_retry, open_initial
+from .initials import INVALID_TOKEN, InitialPayload, busy_reason, close_initial, make_retry, open_initial
 from .listener import Listener
-from .maintenance import SERVING, TICK_US, Maintenance
-from .tables import ANSWERED_US
-from .tokens import Shown, TokenVerdict
+from .maintenance import SERVING_STATES, TICK_US, Maintenance
+from .tables import ANSWER_RETENTION_US
+from .tokens import TokenCheck, TokenVerdict
 
-MOST_USED_TOKENS = 16_384
-LONGEST_SHORT_HEADER = 21  # octets before the packet number: the first one and an id
-LEAST_RESET = 21  # octets of a stateless reset (RFC 9000 10.3)
-HELLO_US = 250_000  # how long a ClientHello in pieces is waited for; then the port tells the class
+MAX_USED_TOKENS = 16_384
+MAX_SHORT_HEADER_LENGTH = 21  # octets before the packet number: the first one and an id
+MIN_RESET_LENGTH = 21  # octets of a stateless reset (RFC 9000 10.3)
+HELLO_TIMEOUT_US = 250_000  # how long a ClientHello in pieces is waited for; then the port tells the class
 
 
 class QuicFront(Maintenance):
@@ -52,157 +52,170 @@
     def __init__(self, config: Config, quic: QuicConfig, core: RelayCore, reactor: Reactor) -> None:
         super().__init__(config, quic, core, reactor)
         self.listeners = [
-            Listener(self.hub, request_class, where, self.routes, self.lengths, self.take)
+            Listener(self.hub, request_class, where, self.routes, self.lengths, self.on_client_datagram)
             for request_class, where in quic.listen.items()
         ]
         core.call_later(TICK_US, self._tick)
 
     # ---- from clients
 
-    def take(self, listener: Listener, datagram: bytes, client: Address) -> None:
+    def on_client_datagram(self, listener: Listener, datagram: bytes, client: Address) -> None:
         """A client's datagram that the listener knows no path for."""
         self.core.counters.add("quic_datagrams_in")
         if not datagram:
-            self.drop("malformed")
-        elif datagram[0] & LONG:
-            self._long(listener, datagram, client)
-        elif an_id := self.id_decoder.short_header_id(datagram):
-            self._by_id(listener, an_id, datagram, client)
+            self.count_drop("malformed")
+        elif datagram[0] & LONG_HEADER_BIT:
+            self._on_long_header(listener, datagram, client)
+        elif connection_id := self.id_decoder.short_header_id(datagram):
+            self._forward_by_id(listener, connection_id, datagram, client)
         else:
-            self.drop("malformed" if len(datagram) < LONGEST_SHORT_HEADER else "unknown_id")
+            self.count_drop("malformed" if len(datagram) < MAX_SHORT_HEADER_LENGTH else "unknown_id")
 
-    def _long(self, listener: Listener, datagram: bytes, client: Address) -> None:
+    def _on_long_header(self, listener: Listener, datagram: bytes, client: Address) -> None:
         head = invariants(datagram)
         if head is None or head.version == 0:  # RFC 9000 6.1: never an answer to Version Negotiation
-            self.drop("malformed")
+            self.count_drop("malformed")
             return
         if head.version not in KINDS:
-            self._other_version(listener, head, datagram, client)
+            self._on_unsupported_version(listener, head, datagram, client)
             return
         packets = split(datagram)
         if not packets:
-            self.drop("malformed")
+            self.count_drop("malformed")
             return
         first = packets[0]
         owner = self.owners.get(first.to_id)
         if owner is None and first.kind is Kind.INITIAL:
-            self._initial(listener, packets, datagram, client)
-        elif owner and not owner.stands:
-            self._before_it_stands(owner, packets, datagram, client)
+            self._on_initial(listener, packets, datagram, client)
+        elif owner and not owner.is_established:
+            self._on_pending_datagram(owner, packets, datagram, client)
         elif owner or first.kind is Kind.HANDSHAKE:
-            self._by_id(listener, first.to_id, datagram, client)
+            self._forward_by_id(listener, first.to_id, datagram, client)
         else:  # 0-RTT without its Initial, or what no client sends
-            self.drop("unknown_id")
+            self.count_drop("unknown_id")
 
-    def _other_version(self, listener: Listener, head: Invariants, datagram: bytes, client: Address) -> None:
+    def _on_unsupported_version(self, listener: Listener, head: Invariants, datagram: bytes, client: Address) -> None:
         """RFC 9000 6 and RFC 8999: on a connection that stands, ids alone count; else we tell our versions."""
         owner = self.owners.get(head.to_id)
-        if owner and owner.stands:
-            self._by_id(listener, head.to_id, datagram, client)
+        if owner and owner.is_established:
+            self._forward_by_id(listener, head.to_id, datagram, client)
             return
-        self.drop("version")
-        if len(datagram) >= LEAST_INITIAL and self.negotiations.take(self.now()):
+        self.count_drop("version")
+        if len(datagram) >= MIN_INITIAL_LENGTH and self.negotiations.take(self.now()):
             self.core.counters.add("quic_negotiations")
             listener.reply(version_negotiation(head), client)
 
     # ---- requests
 
-    def _initial(self, listener: Listener, packets: list[Packet], datagram: bytes, client: Address) -> None:
+    def _on_initial(self, listener: Listener, packets: list[Packet], datagram: bytes, client: Address) -> None:
         """An Initial whose id no connection has: a request, whatever backend the id happens to name."""
         first = packets[0]
-        an_id = first.to_id
-        if an_id in self.answered:  # the answer was lost, or crossed with this: it is given again, not anew
-            self.drop("answered")
-            listener.reply(self.answered[an_id][0], client)
+        connection_id = first.to_id
+        if (
+            connection_id in self.final_answers
+        ):  # the answer was lost, or crossed with this: it is given again, not anew
+            self.count_drop("answered")
+            listener.reply(self.final_answers[connection_id][0], client)
             return
-        if len(datagram) < LEAST_INITIAL or len(an_id) < LEAST_ID:
-            self.drop("malformed")
+        if len(datagram) < MIN_INITIAL_LENGTH or len(connection_id) < MIN_FIRST_ID_LENGTH:
+            self.count_drop("malformed")
             return
         now = self.now()
-        shown = self.mint.read(first.token, client[:2], an_id, now) if self.mint and first.token else None
-        if shown and shown.verdict not in (TokenVerdict.NONE, TokenVerdict.PROVEN):
-            self._bad_token(listener, first, client, shown.verdict, now)
+        token_check = (
+            self.mint.read(first.token, client[:2], connection_id, now) if self.mint and first.token else None
+        )
+        if token_check and token_check.verdict not in (TokenVerdict.NONE, TokenVerdict.PROVEN):
+            self._reject_token(listener, first, client, token_check.verdict, now)
             return
-        proven = shown is not None and shown.verdict is TokenVerdict.PROVEN
-        if proven and shown and shown.number in self.used_tokens:
-            self.drop("token_replayed")
+        proven = token_check is not None and token_check.verdict is TokenVerdict.PROVEN
+        if proven and token_check and token_check.number in self.used_tokens:
+            self.count_drop("token_replayed")
             return
-        verdict, pause_us = self.admission.decide(now, client[0], an_id, proven)
+        verdict, pause_us = self.admission.decide(now, client[0], connection_id, proven)
         if verdict is Verdict.ADMIT:
-            self._accept(listener, packets, datagram, client, shown if proven else None)
+            self._accept(listener, packets, datagram, client, token_check if proven else None)
         elif verdict is Verdict.REQUIRE_PROOF and self.mint and self.retries.take(now):
             self.core.counters.add("quic_retries")
-            new_id = bytes([UNROUTABLE << 5]) + os.urandom(LEAST_ID)  # names no backend, whatever it is taken for
-            token = self.mint.make(client[:2], an_id, new_id, now)
-            listener.reply(make_retry(first.version, an_id, first.from_id, new_id, token), client)
+            new_id = bytes([UNROUTABLE << 5]) + os.urandom(
+                MIN_FIRST_ID_LENGTH
+            )  # names no backend, whatever it is taken for
+            token = self.mint.make(client[:2], connection_id, new_id, now)
+            listener.reply(make_retry(first.version, connection_id, first.from_id, new_id, token), client)
         elif verdict is Verdict.REJECT:
             self.core.counters.add("quic_refused_at_door")
-            answer = close_initial(first.version, an_id, first.from_id, busy(pause_us))
-            self.answer(an_id, answer, min(pause_us, ANSWERED_US))
+            answer = close_initial(first.version, connection_id, first.from_id, busy_reason(pause_us))
+            self.remember_answer(connection_id, answer, min(pause_us, ANSWER_RETENTION_US))
             listener.reply(answer, client)
         else:
-            self.drop(f"at_door_{verdict.value}")
+            self.count_drop(f"at_door_{verdict.value}")
 
     def _accept(
-        self, listener: Listener, packets: list[Packet], datagram: bytes, client: Address, shown: Shown | None
+        self,
+        listener: Listener,
+        packets: list[Packet],
+        datagram: bytes,
+        client: Address,
+        token_check: TokenCheck | None,
     ) -> None:
-        """Make a connection of an Initial that is admitted; `shown`: the sound token that it carries."""
+        """Make a connection of an Initial that is admitted; `token_check`: the sound token that it carries."""
         first = packets[0]
         opened = self._open(first, first.to_id)
         if opened is None or opened.close_code is not None:
-            self._stray(listener, first, opened, datagram, client)
+            self._on_stray_initial(listener, first, opened, datagram, client)
             return
-        owner = self._arrive(listener, packets, opened, datagram, client)
-        if shown:
-            owner.by_retry = bool(shown.first_id)
-            self.used_tokens[shown.number] = None
-            if len(self.used_tokens) > MOST_USED_TOKENS:
+        owner = self._create_connection(listener, packets, opened, datagram, client)
+        if token_check:
+            owner.used_retry = bool(token_check.first_id)
+            self.used_tokens[token_check.number] = None
+            if len(self.used_tokens) > MAX_USED_TOKENS:
                 self.used_tokens.popitem(last=False)
 
-    def _bad_token(self, listener: Listener, first: Packet, client: Address, verdict: TokenVerdict, now: int) -> None:
+    def _reject_token(
+        self, listener: Listener, first: Packet, client: Address, verdict: TokenVerdict, now: int
+    ) -> None:
         """RFC 9000 8.1.2: a client whose Retry token isn't good is told, rather than left to time out."""
-        self.drop(f"token_{verdict.value}")
+        self.count_drop(f"token_{verdict.value}")
         if self.admission.rejections.take(now):
             listener.reply(close_initial(first.version, first.to_id, first.from_id, "", INVALID_TOKEN), client)
 
-    def _open(self, packet: Packet, first_id: bytes) -> Opened | None:
+    def _open(self, packet: Packet, first_id: bytes) -> InitialPayload | None:
         """Open a client's Initial on the listener's budget of CPU."""
         began = time.perf_counter_ns()
         opened = open_initial(packet, first_id, from_client=True)
         self.admission.cpu.spend(self.now(), (time.perf_counter_ns() - began) / 1_000)
         return opened
 
-    def _stray(
-        self, listener: Listener, first: Packet, opened: Opened | None, datagram: bytes, client: Address
+    def _on_stray_initial(
+        self, listener: Listener, first: Packet, opened: InitialPayload | None, datagram: bytes, client: Address
     ) -> None:
         """An Initial that is no request. It may belong to a connection that another relay set up, or this one
         before a restart: its keys come from an id that is gone. It may go on where new work may go."""
-        backend = self._named(first.to_id) if opened is None else None
+        backend = self._backend_of_id(first.to_id) if opened is None else None
         if backend and self.core.is_ready(backend):
-            self._by_id(listener, first.to_id, datagram, client)
+            self._forward_by_id(listener, first.to_id, datagram, client)
         else:
-            self.drop("malformed" if opened is None else "closed")
+            self.count_drop("malformed" if opened is None else "closed")
 
-    def _arrive(
-        self, listener: Listener, packets: list[Packet], opened: Opened, datagram: bytes, client: Address
+    def _create_connection(
+        self, listener: Listener, packets: list[Packet], opened: InitialPayload, datagram: bytes, client: Address
     ) -> QuicClientConnection:
         first = packets[0]
         network = self.quic.limits.prefixes.network_of(client[0])
         owner = QuicClientConnection(self, listener, client, first.to_id, first.from_id, first.version, network)
-        owner.waits = True
+        owner.is_pending = True
         self.admission.add_pending(network)
         self.connections[owner] = None
-        owner.kept.append(datagram)
+        owner.buffered.append(datagram)
         if self.quic.class_of_protocol or self.quic.class_of_name:
             owner.hello = HelloReader()
-            self._gather(owner, opened)
+            self._read_hello(owner, opened)
             if owner.connection is None:
-                self.core.call_later(HELLO_US, lambda: self._place(owner, listener.request_class))
+                self.core.call_later(HELLO_TIMEOUT_US, lambda: self._submit(owner, listener.request_class))
         else:
-            self._place(owner, listener.request_class)
+            self._submit(owner, listener.request_class)
         return owner
 
-    def _gather(self, owner: QuicClientConnection, opened: Opened) -> None:
+    def _read_hello(self, owner: QuicClientConnection, opened: InitialPayload) -> None:
         """A ClientHello may tell the class better than the port does; it may come in several datagrams."""
         found = owner.read_hello(opened)
         if found is None:
@@ -213,16 +226,16 @@
             if protocol in self.quic.class_of_protocol:
                 request_class = self.quic.class_of_protocol[protocol]
                 break
-        self._place(owner, request_class)
+        self._submit(owner, request_class)
 
-    def _place(self, owner: QuicClientConnection, request_class: int) -> None:
+    def _submit(self, owner: QuicClientConnection, request_class: int) -> None:
         if owner.connection is None and owner in self.connections:
-            spent = self.now() - owner.since_us
+            spent = self.now() - owner.created_us
             timeout = max(1, self.config.settings.classes[request_class].deadline_us - spent)
             owner.hello = None
             owner.connection = self.core.accept(ConnectRequest(timeout, owner, request_class), owner, self)
 
-    def _before_it_stands(
+    def _on_pending_datagram(
         self, owner: QuicClientConnection, packets: list[Packet], datagram: bytes, client: Address
     ) -> None:
         for packet in packets:
@@ -232,55 +245,59 @@
             if opened and opened.close_code is not None:
                 if owner.connection:
                     self.core.on_client_closed(owner.connection, ConnectionEnd.ORDERLY)
-                owner.forget()
+                owner.discard()
                 return
             if opened and owner.hello:
-                self._gather(owner, opened)
-        owner.waiting(datagram, client)
+                self._read_hello(owner, opened)
+        owner.buffer_datagram(datagram, client)
 
     # ---- packets of connections that stand
 
-    def _by_id(self, listener: Listener, an_id: bytes, datagram: bytes, client: Address) -> None:
+    def _forward_by_id(self, listener: Listener, connection_id: bytes, datagram: bytes, client: Address) -> None:
         """A packet of a connection that stands goes to its backend, whatever address it comes from."""
-        owner = self.owners.get(an_id)
-        if owner is not None and not owner.stands:
-            owner.waiting(datagram, client)
+        owner = self.owners.get(connection_id)
+        if owner is not None and not owner.is_established:
+            owner.buffer_datagram(datagram, client)
             return
-        if owner is None and an_id in self.moved:
-            self.drop("moved")
+        if owner is None and connection_id in self.moved_ids:
+            self.count_drop("moved")
             if (
-                len(datagram) > LEAST_RESET + 1
+                len(datagram) > MIN_RESET_LENGTH + 1
             ):  # RFC 9000 10.3.3: smaller than what it answers, so that no loop can run
-                listener.reply(stateless_reset(self.moved[an_id][0], an_id, len(datagram) - 1), client)
+                listener.reply(
+                    stateless_reset(self.moved_ids[connection_id][0], connection_id, len(datagram) - 1), client
+                )
             return
-        backend = owner.upstream.attempt.backend if owner and owner.upstream else self._named(an_id)
+        backend = owner.upstream.attempt.backend if owner and owner.upstream else self._backend_of_id(connection_id)
         if backend is None:
-            self.drop("unknown_id")
+            self.count_drop("unknown_id")
             return
-        if self.core.backends.state(backend) not in SERVING:
-            self.drop("gone_box")
+        if self.core.backends.state(backend) not in SERVING_STATES:
+            self.count_drop("gone_box")
             return
-        path = self.path(client, backend, owner, listener)
+        path = self.get_path(client, backend, owner, listener)
         if path is None:
-            self.drop("no_room")
+            self.count_drop("no_room")
             return
         owner = path.owner
         if owner:
-            self._used(owner, an_id, listener, client)
-        path.last_id = an_id
-        path.used_us = self.now()
-        path.plain = path.plain or owner is not None
-        if not owner or an_id != owner.first_id:
-            self._route(an_id, path)
+            self._record_use(owner, connection_id, listener, client)
+        path.last_id = connection_id
+        path.last_used_us = self.now()
+        path.is_direct = path.is_direct or owner is not None
+        if not owner or connection_id != owner.first_id:
+            self._add_route(connection_id, path)
         path.send(datagram)
 
-    def _used(self, owner: QuicClientConnection, an_id: bytes, listener: Listener, client: Address) -> None:
-        owner.learn(an_id)  # a fresh id on a known path is the same connection's
-        owner.client, owner.used_us, owner.listener = client, self.now(), listener
+    def _record_use(
+        self, owner: QuicClientConnection, connection_id: bytes, listener: Listener, client: Address
+    ) -> None:
+        owner.add_id(connection_id)  # a fresh id on a known path is the same connection's
+        owner.client, owner.last_used_us, owner.listener = client, self.now(), listener
         if owner.upstream:
             owner.upstream.attempt.on_activity()
-        if an_id != owner.first_id:
-            owner.last_id = an_id
+        if connection_id != owner.first_id:
+            owner.last_id = connection_id
             if not owner.confirmed:
                 owner.confirmed = True
                 self.unconfirmed.pop(owner, None)
--- a/gradefront/quic/ids.py
+++ b/gradefront/quic/ids.py
@@ -14,13 +14,13 @@
 
 from cryptography.hazmat.primitives.ciphers import Cipher, algorithms, modes
 
-LONGEST_ID = 20  # RFC 9000 17.2; the draft keeps one octet of it for itself
+MAX_ID_LENGTH = 20  # RFC 9000 17.2; the draft keeps one octet of it for itself
 UNROUTABLE = 7  # 0b111: the number of ids that name no backend (section 3.1 of the draft)
 KEY_LENGTH = 16
-LONGEST_SERVER_ID = 15  # octets, as the draft allows
-LEAST_NONCE, LONGEST_NONCE = 4, 18
+MAX_SERVER_ID_LENGTH = 15  # octets, as the draft allows
+MIN_NONCE_LENGTH, MAX_NONCE_LENGTH = 4, 18
 BLOCK = 16
-CACHED = 8_192  # decoded ids remembered; about 200 octets each
+DEFAULT_CACHE_SIZE = 8_192  # decoded ids remembered; about 200 octets each
 
 
 class Decoded(NamedTuple):
@@ -54,11 +54,11 @@
     def __post_init__(self) -> None:
         if not 0 <= self.number < UNROUTABLE:
             raise ValueError("config_id: must be from 0 to 6")
-        if not 1 <= self.server_id_length <= LONGEST_SERVER_ID:
+        if not 1 <= self.server_id_length <= MAX_SERVER_ID_LENGTH:
             raise ValueError("server_id_length: must be from 1 to 15")
-        if not LEAST_NONCE <= self.nonce_length <= LONGEST_NONCE:
+        if not MIN_NONCE_LENGTH <= self.nonce_length <= MAX_NONCE_LENGTH:
             raise ValueError("nonce_length: must be from 4 to 18")
-        if self.length > LONGEST_ID:
+        if self.length > MAX_ID_LENGTH:
             raise ValueError("server_id_length and nonce_length: must not be over 19 together")
         if self.key is not None:
             if len(self.key) != KEY_LENGTH:
@@ -77,11 +77,11 @@
         nonce = os.urandom(self.nonce_length) if nonce is None else nonce
         if len(nonce) != self.nonce_length:
             raise ValueError(f"nonce: must be {self.nonce_length} octets")
-        low = self.length - 1 if self.encodes_length else os.urandom(1)[0] & 0x1F
-        hidden = server_id + nonce
+        low_bits = self.length - 1 if self.encodes_length else os.urandom(1)[0] & 0x1F
+        body = server_id + nonce
         if self._aes:
-            hidden = self._aes.encrypt(hidden) if len(hidden) == BLOCK else _passes(self._aes, hidden, (1, 2, 3, 4))
-        return bytes([self.number << 5 | low]) + hidden
+            body = self._aes.encrypt(body) if len(body) == BLOCK else _feistel_passes(self._aes, body, (1, 2, 3, 4))
+        return bytes([self.number << 5 | low_bits]) + body
 
     def decode(self, connection_id: bytes) -> Decoded | None:
         """What an id holds, or None where it isn't of this form. Octets after the id are let be."""
@@ -92,50 +92,52 @@
             return None
         plain = connection_id[1:length]
         if self._aes:
-            plain = self._aes.decrypt(plain) if len(plain) == BLOCK else _passes(self._aes, plain, (4, 3, 2, 1))
+            plain = (
+                self._aes.decrypt(plain) if len(plain) == BLOCK else _feistel_passes(self._aes, plain, (4, 3, 2, 1))
+            )
         return Decoded(self.number, plain[: self.server_id_length], plain[self.server_id_length :])
 
     def read(self, connection_id: bytes) -> bytes | None:
         """The server id that an id holds, or None where it isn't of this form."""
-        found = self.decode(connection_id)
-        return found.server_id if found else None
+        decoded = self.decode(connection_id)
+        return decoded.server_id if decoded else None
 
 
 # ---- the four-pass form. Halves are held as whole numbers; `half` is their length in octets. With an odd number
 # of octets both halves own four bits of the middle one: the left its high ones, the right its low ones.
 
 
-def _split(text: bytes) -> tuple[int, int, int, int, int]:
+def _split_halves(text: bytes) -> tuple[int, int, int, int, int]:
     """Halves, their length, and the masks that clear the nibble that each doesn't own."""
     size = len(text)
-    half = -(-size // 2)
-    whole = (1 << 8 * half) - 1
-    left_mask, right_mask = (whole ^ 0x0F, whole >> 4) if size % 2 else (whole, whole)
-    left = int.from_bytes(text[:half]) & left_mask
-    right = int.from_bytes(text[size - half :]) & right_mask
-    return left, right, half, left_mask, right_mask
+    half_length = -(-size // 2)
+    full_mask = (1 << 8 * half_length) - 1
+    left_mask, right_mask = (full_mask ^ 0x0F, full_mask >> 4) if size % 2 else (full_mask, full_mask)
+    left = int.from_bytes(text[:half_length]) & left_mask
+    right = int.from_bytes(text[size - half_length :]) & right_mask
+    return left, right, half_length, left_mask, right_mask
 
 
-def _join(left: int, right: int, half: int, size: int) -> bytes:
-    return (left << 8 * (size - half) | right).to_bytes(size)
+def _join_halves(left: int, right: int, half_length: int, size: int) -> bytes:
+    return (left << 8 * (size - half_length) | right).to_bytes(size)
 
 
-def _stir(aes: _Aes, given: int, half: int, size: int, number: int) -> int:
+def _round_value(aes: _Aes, value: int, half_length: int, size: int, number: int) -> int:
     """Leading octets of AES-ECB(half, zeros up to 14 octets, size, number of the pass)."""
-    block = given.to_bytes(half) + bytes(14 - half) + bytes((size, number))
-    return int.from_bytes(aes.encrypt(block)[:half])
+    block = value.to_bytes(half_length) + bytes(14 - half_length) + bytes((size, number))
+    return int.from_bytes(aes.encrypt(block)[:half_length])
 
 
-def _passes(aes: _Aes, text: bytes, order: Iterable[int]) -> bytes:
+def _feistel_passes(aes: _Aes, text: bytes, order: Iterable[int]) -> bytes:
     """The passes in this order, 1 to 4 to hide and 4 to 1 to show: each one undoes itself."""
     size = len(text)
-    left, right, half, left_mask, right_mask = _split(text)
+    left, right, half_length, left_mask, right_mask = _split_halves(text)
     for number in order:
         if number % 2:
-            right ^= _stir(aes, left, half, size, number) & right_mask
+            right ^= _round_value(aes, left, half_length, size, number) & right_mask
         else:
-            left ^= _stir(aes, right, half, size, number) & left_mask
-    return _join(left, right, half, size)
+            left ^= _round_value(aes, right, half_length, size, number) & left_mask
+    return _join_halves(left, right, half_length, size)
 
 
 class IdDecoder:
@@ -144,14 +146,14 @@
     When the cache is full its older half goes: ids in use come back at the price of one decoding each.
     """
 
-    def __init__(self, forms: Iterable[IdForm], cached: int = CACHED) -> None:
+    def __init__(self, forms: Iterable[IdForm], cache_size: int = DEFAULT_CACHE_SIZE) -> None:
         self.forms: list[IdForm | None] = [None] * 8
         for form in forms:
             if self.forms[form.number]:
                 raise ValueError(f"config_id: {form.number} is used twice")
             self.forms[form.number] = form
         self.lengths = [form.length if form else 0 for form in self.forms]
-        self.cached = cached
+        self.cache_size = cache_size
         self.cache: dict[bytes, tuple[int, bytes] | None] = {}
 
     def short_header_id(self, datagram: bytes) -> bytes | None:
@@ -168,10 +170,10 @@
         except KeyError:
             pass
         form = self.forms[connection_id[0] >> 5] if connection_id else None
-        found = form.decode(connection_id) if form else None
-        named = (found.config_id, found.server_id) if found else None
-        if len(self.cache) >= self.cached:
-            for old in list(self.cache)[: self.cached // 2 or 1]:
+        decoded = form.decode(connection_id) if form else None
+        result = (decoded.config_id, decoded.server_id) if decoded else None
+        if len(self.cache) >= self.cache_size:
+            for old in list(self.cache)[: self.cache_size // 2 or 1]:
                 del self.cache[old]
-        self.cache[connection_id] = named
-        return named
+        self.cache[connection_id] = result
+        return result
--- a/gradefront/quic/initials.py
+++ b/gradefront/quic/initials.py
@@ -14,13 +14,13 @@
 from cryptography.hazmat.primitives.ciphers import Cipher, algorithms, modes
 from cryptography.hazmat.primitives.ciphers.aead import AESGCM
 
-from .headers import TOKEN, V1, V2, Kind, Packet, first_octet, read_varint, varint
+from .headers import TAG_LENGTH, V1, V2, Kind, Packet, first_octet, read_varint, varint
 
 CONNECTION_REFUSED = 0x02  # RFC 9000 20.1
 INVALID_TOKEN = 0x0B
-SAMPLE = 16  # octets for header protection (RFC 9001 5.4.2)
-COUNT_OF_RANGES = 2  # the field's place in an ACK frame (RFC 9000 19.3)
-KEYS_KEPT = 512  # derived keys remembered: those of connections that wait
+SAMPLE_LENGTH = 16  # octets for header protection (RFC 9001 5.4.2)
+RANGE_COUNT_FIELD = 2  # the field's place in an ACK frame (RFC 9000 19.3)
+MAX_CACHED_KEYS = 512  # derived keys remembered: those of connections that wait
 
 SALTS = {
     V1: bytes.fromhex("38762cf7f55934b34d179ae6a4c80cadccbb7f0a"),  # RFC 9001 5.2
@@ -39,10 +39,10 @@
 }
 
 PADDING, PING, ACK, ACK_ECN, CRYPTO = 0x00, 0x01, 0x02, 0x03, 0x06
-CLOSES = (0x1C, 0x1D)
+CONNECTION_CLOSE_TYPES = (0x1C, 0x1D)
 
 
-class Keys(NamedTuple):
+class InitialKeys(NamedTuple):
     """What protects one side's Initials."""
 
     key: bytes
@@ -50,7 +50,7 @@
     header: bytes
 
 
-class Opened(NamedTuple):
+class InitialPayload(NamedTuple):
     """What an Initial holds, as far as an edge cares."""
 
     close_code: int | None = None
@@ -58,96 +58,100 @@
     acks: bool = False
 
 
-def _expand(secret: bytes, label: bytes, length: int) -> bytes:
+def _hkdf_expand_label(secret: bytes, label: bytes, length: int) -> bytes:
     """HKDF-Expand-Label (RFC 8446 7.1) of at most one block, with no context."""
     name = b"tls13 " + label
     info = length.to_bytes(2) + bytes([len(name)]) + name + b"\x00"
     return hmac.digest(secret, info + b"\x01", "sha256")[:length]
 
 
-@lru_cache(maxsize=KEYS_KEPT)
-def derive_initial_keys(version: int, first_id: bytes, client: bool) -> Keys:
+@lru_cache(maxsize=MAX_CACHED_KEYS)
+def derive_initial_keys(version: int, first_id: bytes, client: bool) -> InitialKeys:
     """The keys of the client's or the server's Initials, from the id that the client wrote to first."""
     common = hmac.digest(SALTS[version], first_id, "sha256")
-    secret = _expand(common, b"client in" if client else b"server in", 32)
+    secret = _hkdf_expand_label(common, b"client in" if client else b"server in", 32)
     key, iv, header = LABELS[version]
-    return Keys(_expand(secret, key, 16), _expand(secret, iv, 12), _expand(secret, header, 16))
+    return InitialKeys(
+        _hkdf_expand_label(secret, key, 16),
+        _hkdf_expand_label(secret, iv, 12),
+        _hkdf_expand_label(secret, header, 16),
+    )
 
 
-def _mask(keys: Keys, sample: bytes) -> bytes:
+def _mask(keys: InitialKeys, sample: bytes) -> bytes:
     return Cipher(algorithms.AES(keys.header), modes.ECB()).encryptor().update(sample)  # noqa: S305 - RFC 9001 5.4.3
 
 
-def open_initial(packet: Packet, first_id: bytes, from_client: bool) -> Opened | None:
+def open_initial(packet: Packet, first_id: bytes, from_client: bool) -> InitialPayload | None:
     """Open an Initial with the keys of the client's first id; None where it isn't sound."""
     if packet.kind is not Kind.INITIAL or packet.version not in SALTS:
         return None
-    data, at = packet.data, packet.payload_at
-    sample = data[at + 4 : at + 4 + SAMPLE]
-    if len(sample) < SAMPLE:
+    data, pos = packet.data, packet.payload_offset
+    sample = data[pos + 4 : pos + 4 + SAMPLE_LENGTH]
+    if len(sample) < SAMPLE_LENGTH:
         return None
     keys = derive_initial_keys(packet.version, first_id, from_client)
     mask = _mask(keys, sample)
     first = data[0] ^ mask[0] & 0x0F
     size = (first & 3) + 1
-    number = int.from_bytes(data[at : at + size]) ^ int.from_bytes(mask[1 : 1 + size])
-    head = bytes([first]) + data[1:at] + number.to_bytes(size)
+    number = int.from_bytes(data[pos : pos + size]) ^ int.from_bytes(mask[1 : 1 + size])
+    header = bytes([first]) + data[1:pos] + number.to_bytes(size)
     nonce = (int.from_bytes(keys.iv) ^ number).to_bytes(12)
     try:
-        payload = AESGCM(keys.key).decrypt(nonce, data[at + size :], head)
+        payload = AESGCM(keys.key).decrypt(nonce, data[pos + size :], header)
     except (InvalidTag, ValueError):
         return None
     return read_frames(payload)
 
 
-def read_frames(payload: bytes) -> Opened | None:
+def read_frames(payload: bytes) -> InitialPayload | None:
     """The frames that an Initial may hold (RFC 9000 12.4); None where there is another, or none at all."""
     crypto: list[tuple[int, bytes]] = []
-    at, acks, end = 0, False, len(payload)
-    while at < end:
-        kind = payload[at]
-        at += 1
+    pos, acks, end = 0, False, len(payload)
+    while pos < end:
+        kind = payload[pos]
+        pos += 1
         if kind == PADDING:  # mostly the greater part of a datagram: skipped in one go
-            at = end - len(payload[at:].lstrip(b"\x00"))
+            pos = end - len(payload[pos:].lstrip(b"\x00"))
         elif kind == PING:
             continue
         elif kind in (ACK, ACK_ECN):
             acks = True
-            found = _skip_ack(payload, at, kind == ACK_ECN)
+            found = _skip_ack(payload, pos, kind == ACK_ECN)
             if found is None:
                 return None
-            at = found
+            pos = found
         elif kind == CRYPTO:
-            offset = read_varint(payload, at)
+            offset = read_varint(payload, pos)
             length = read_varint(payload, offset[1]) if offset else None
             if offset is None or length is None or length[1] + length[0] > end:
                 return None
-            at = length[1] + length[0]
-            crypto.append((offset[0], payload[length[1] : at]))
-        elif kind in CLOSES:
-            code = read_varint(payload, at)
-            return Opened(code[0], tuple(crypto), acks) if code else None
+            pos = length[1] + length[0]
+            crypto.append((offset[0], payload[length[1] : pos]))
+        elif kind in CONNECTION_CLOSE_TYPES:
+            code = read_varint(payload, pos)
+            return InitialPayload(code[0], tuple(crypto), acks) if code else None
         else:
             return None
-    return Opened(None, tuple(crypto), acks) if payload else None
+    return InitialPayload(None, tuple(crypto), acks) if payload else None
 
 
-def _skip_ack(payload: bytes, at: int, with_ecn: bool) -> int | None:
+def _skip_ack(payload: bytes, pos: int, with_ecn: bool) -> int | None:
     """Where an ACK frame ends (RFC 9000 19.3)."""
     ranges = 0
     for field in range(4):  # largest, delay, count of ranges, first range
-        found = read_varint(payload, at)
+        found = read_varint(payload, pos)
         if found is None:
             return None
-        at = found[1]
-        if field == COUNT_OF_RANGES:
+        pos = found[1]
+        if field == RANGE_COUNT_FIELD:
             ranges = found[0]
     for _ in range(min(2 * ranges, len(payload)) + (3 if with_ecn else 0)):
-        found = read_varint(payload, at)
+        found = read_varint(payload, pos)
         if found is None:
             return None
-        at = found[1]
-    return at
+        pos = found[1]
+    return pos
 
 
 def seal_initial(  # noqa: PLR0913 - the fields of the packet
@@ -164,7 +168,7 @@
     keys = derive_initial_keys(version, first_id, from_client)
     payload = payload.ljust(4, b"\x00")  # RFC 9001 5.4.2: enough octets to sample
     size = 2
-    head = b"".join(
+    header = b"".join(
         (
             bytes([first_octet(version, Kind.INITIAL, size - 1)]),
             version.to_bytes(4),
@@ -174,14 +178,14 @@
             from_id,
             varint(len(token)),
             token,
-            (0x4000 | size + len(payload) + TOKEN).to_bytes(2),
+            (0x4000 | size + len(payload) + TAG_LENGTH).to_bytes(2),
             number.to_bytes(size),
         )
     )
-    sealed = AESGCM(keys.key).encrypt((int.from_bytes(keys.iv) ^ number).to_bytes(12), payload, head)
+    sealed = AESGCM(keys.key).encrypt((int.from_bytes(keys.iv) ^ number).to_bytes(12), payload, header)
     mask = _mask(keys, sealed[4 - size : 20 - size])
-    hidden = int.from_bytes(head[-size:]) ^ int.from_bytes(mask[1 : 1 + size])
-    return bytes([head[0] ^ mask[0] & 0x0F]) + head[1:-size] + hidden.to_bytes(size) + sealed
+    hidden = int.from_bytes(header[-size:]) ^ int.from_bytes(mask[1 : 1 + size])
+    return bytes([header[0] ^ mask[0] & 0x0F]) + header[1:-size] + hidden.to_bytes(size) + sealed
 
 
 def close_initial(
@@ -189,11 +193,11 @@
 ) -> bytes:
     """A server's Initial that closes. It is a tenth of the least Initial that it answers (RFC 9000 8.1)."""
     text = reason.encode()
-    frame = bytes([CLOSES[0]]) + varint(code) + b"\x00" + varint(len(text)) + text
+    frame = bytes([CONNECTION_CLOSE_TYPES[0]]) + varint(code) + b"\x00" + varint(len(text)) + text
     return seal_initial(version, first_id, client_id, os.urandom(8), frame)
 
 
-def busy(pause_us: int) -> str:
+def busy_reason(pause_us: int) -> str:
     """The reason of a close that refuses: when to come again, in milliseconds, where that is advised."""
     return f"BUSY {-(-pause_us // 1000)}" if pause_us else "BUSY"
 
@@ -223,5 +227,5 @@
     """Whether a Retry was made by someone who saw the client's Initial (RFC 9001 5.8)."""
     if packet.kind is not Kind.RETRY or packet.version not in RETRY_KEYS:
         return False
-    tag = _retry_tag(packet.version, first_id, packet.data[:-TOKEN])
-    return hmac.compare_digest(tag, packet.data[-TOKEN:])
+    tag = _retry_tag(packet.version, first_id, packet.data[:-TAG_LENGTH])
+    return hmac.compare_digest(tag, packet.data[-TAG_LENGTH:])
--- a/gradefront/quic/maintenance.py
+++ b/gradefront/quic/maintenance.py
@@ -11,21 +11,23 @@
 from gradefront.core.connection import Attempt
 from gradefront.core.ports import BackendConnection, ConnectionEnd
 
-from .connections import QuicBackendConnection, QuicClientConnection, adopted_over
+from .connections import QuicBackendConnection, QuicClientConnection, connection_for_path
 from .paths import Path
 from .tables import Tables
 
 log = logging.getLogger("gradefront.quic")
 
 TICK_US = 125_000  # between two looks at a part of the tables; all are looked at in eight of them
-TICKS = 8
-SILENT_US = 5_000_000  # a backend that answers none of several datagrams for so long is gone
-SILENT_DATAGRAMS = 4
-IDLE_AFTER_US = 5_000_000  # devices speak every 2 s: one quiet for longer may have gone on at another address
-ALONE_US = 6_000_000  # a path that no connection took over by then is a connection of its own
-START_US = 10_000_000  # after a start paths are adopted at once: no connection of ours can have left them
-EXCHANGES = 2  # datagrams each way that show a connection which goes on
-SERVING = (BackendState.READY, BackendState.DRAINING)
+TICKS_PER_SWEEP = 8
+SILENCE_TIMEOUT_US = 5_000_000  # a backend that answers none of several datagrams for so long is gone
+SILENCE_MIN_DATAGRAMS = 4
+ADDRESS_CHANGE_IDLE_US = (
+    5_000_000  # devices speak every 2 s: one quiet for longer may have gone on at another address
+)
+UNOWNED_PATH_US = 6_000_000  # a path that no connection took over by then is a connection of its own
+RESTART_WINDOW_US = 10_000_000  # after a start paths are adopted at once: no connection of ours can have left them
+MIN_DATAGRAMS_EACH_WAY = 2  # datagrams each way that show a connection which goes on
+SERVING_STATES = (BackendState.READY, BackendState.DRAINING)
 
 
 class Maintenance(Tables):
@@ -47,97 +49,101 @@
     def _tick(self) -> None:
         self.core.call_later(TICK_US, self._tick)
         now = self.now()
-        for table in (self.answered, self.moved):
+        for table in (self.final_answers, self.moved_ids):
             while table and next(iter(table.values()))[1] <= now:
                 table.popitem(last=False)
         while self.unconfirmed:
             owner = next(iter(self.unconfirmed))
-            if now - owner.since_us < self.quic.confirm_us:
+            if now - owner.created_us < self.quic.confirm_us:
                 break
-            self._nobody_there(owner)
-        self._gone_backends()
-        if now - self.began_us < START_US + ALONE_US:  # later no path is young enough for the question
-            self.placed_since = self._placed_since()
+            self._end_unconfirmed(owner)
+        self._end_gone_backends()
+        if (
+            now - self.started_us < RESTART_WINDOW_US + UNOWNED_PATH_US
+        ):  # later no path is young enough for the question
+            self.first_placed_us = self._find_first_placed()
         # An eighth of the paths, the oldest first, each to the end of the line; then an eighth of the connections.
-        for path in list(islice(self.route_ids, len(self.route_ids) // TICKS + 1)):
+        for path in list(islice(self.route_ids, len(self.route_ids) // TICKS_PER_SWEEP + 1)):
             self.route_ids[path] = self.route_ids.pop(path)
-            self._look_at_path(path, now)
-        for owner in list(islice(self.connections, len(self.connections) // TICKS + 1)):
+            self._check_path(path, now)
+        for owner in list(islice(self.connections, len(self.connections) // TICKS_PER_SWEEP + 1)):
             del self.connections[owner]
             self.connections[owner] = None
-            if owner.stands:
+            if owner.is_established:
                 self._check_connection(owner, now)
 
-    def _nobody_there(self, owner: QuicClientConnection) -> None:
+    def _end_unconfirmed(self, owner: QuicClientConnection) -> None:
         """The backend answered, and no client went on: a made-up sender, or one who left."""
         self.core.counters.add("quic_unconfirmed")
         self.admission.credit(owner.client[0], responded=False)
         if owner.connection:
             self.core.on_client_closed(owner.connection, ConnectionEnd.ORDERLY)
-        owner.forget()
+        owner.discard()
 
-    def _gone_backends(self) -> None:
+    def _end_gone_backends(self) -> None:
         """A backend that the list no longer names gets nothing more, by any path."""
         for backend in self.quic.backends:
-            serving = self.core.backends.state(backend) in SERVING
-            if self.states.get(backend, True) and not serving:
+            serving = self.core.backends.state(backend) in SERVING_STATES
+            if self.was_serving.get(backend, True) and not serving:
                 for path in [p for p in self.route_ids if p.backend == backend]:
                     if path.owner is None:
                         self._close_path(path)
                 for owner in [
-                    v for v in self.connections if v.stands and v.upstream and v.upstream.attempt.backend == backend
+                    v
+                    for v in self.connections
+                    if v.is_established and v.upstream and v.upstream.attempt.backend == backend
                 ]:
                     assert owner.upstream
                     owner.upstream.attempt.end(Cause.BROKEN, ConnectionEnd.BROKEN)
-            self.states[backend] = serving
+            self.was_serving[backend] = serving
 
-    def _look_at_path(self, path: Path, now: int) -> None:
+    def _check_path(self, path: Path, now: int) -> None:
         owner = path.owner
-        sent, received = self.freshen(path, now)
+        sent, received = self.update_usage(path, now)
         if owner:
             if sent:
-                owner.used_us, owner.client, owner.last_id = now, path.client, path.last_id or owner.last_id
+                owner.last_used_us, owner.client, owner.last_id = now, path.client, path.last_id or owner.last_id
             if (sent or received) and owner.upstream:
                 owner.upstream.attempt.on_activity()
             if received:
                 owner.unanswered = 0
             elif sent:
                 if not owner.unanswered:
-                    owner.unanswered_us = now
+                    owner.unanswered_since_us = now
                 owner.unanswered += sent
-        if now - path.used_us > self.quic.path_idle_us and not (owner and owner.reaching):
+        if now - path.last_used_us > self.quic.path_idle_us and not (owner and owner.is_connecting):
             self._close_path(path)
         elif (
             owner is None
-            and path.plain
-            and path.received >= EXCHANGES
-            and path.sent >= EXCHANGES
+            and path.is_direct
+            and path.received >= MIN_DATAGRAMS_EACH_WAY
+            and path.sent >= MIN_DATAGRAMS_EACH_WAY
             and self.core.accepts_work
-            and self.core.backends.state(path.backend) in SERVING
-            and (now - path.since_us > ALONE_US or self._from_before(path))
+            and self.core.backends.state(path.backend) in SERVING_STATES
+            and (now - path.created_us > UNOWNED_PATH_US or self._predates_start(path))
         ):
-            self._bring_over(path)
+            self._adopt_unowned_path(path)
 
-    def _from_before(self, path: Path) -> bool:
+    def _predates_start(self, path: Path) -> bool:
         """Whether a path without a connection goes on from before this relay's start: no connection that was placed
         since can have left its old address for it."""
-        first = self.placed_since.get(path.backend)
-        return path.since_us - self.began_us < START_US and (first is None or first >= path.since_us)
+        first = self.first_placed_us.get(path.backend)
+        return path.created_us - self.started_us < RESTART_WINDOW_US and (first is None or first >= path.created_us)
 
-    def _placed_since(self) -> dict[str, int]:
+    def _find_first_placed(self) -> dict[str, int]:
         """By backend, since when the first of the connections there that this relay placed has been."""
         since: dict[str, int] = {}
         for v in self.connections:
             if v.adopted_path is None and v.upstream:
                 backend = v.upstream.attempt.backend
-                since[backend] = min(v.since_us, since.get(backend, v.since_us))
+                since[backend] = min(v.created_us, since.get(backend, v.created_us))
         return since
 
-    def _bring_over(self, path: Path) -> None:
+    def _adopt_unowned_path(self, path: Path) -> None:
         """A path that no connection has, and on which both sides speak: the module must count it."""
-        owner = adopted_over(self, path)
+        owner = connection_for_path(self, path)
         self.connections[owner] = None
-        self._give(path, owner)
+        self._assign_owner(path, owner)
         owner.connection = self.core.adopt_connection(
             ConnectRequest(
                 self.config.settings.classes[path.listener.request_class].deadline_us,
@@ -152,31 +158,33 @@
     def _check_connection(self, owner: QuicClientConnection, now: int) -> None:
         assert owner.upstream and owner.connection
         attempt = owner.upstream.attempt
-        if owner.unanswered >= SILENT_DATAGRAMS and now - owner.unanswered_us > SILENT_US:
+        if owner.unanswered >= SILENCE_MIN_DATAGRAMS and now - owner.unanswered_since_us > SILENCE_TIMEOUT_US:
             attempt.end(Cause.TIMED_OUT, ConnectionEnd.BROKEN)
-        elif now - owner.used_us > IDLE_AFTER_US and self.adopt(owner, attempt.backend):
+        elif now - owner.last_used_us > ADDRESS_CHANGE_IDLE_US and self.adopt_paths(owner, attempt.backend):
             log.debug("connection %d goes on at another address", owner.connection.number)
-        elif now - owner.used_us > self.quic.connection_idle_us:
+        elif now - owner.last_used_us > self.quic.connection_idle_us:
             log.info("connection %d at backend %s has expired idle", owner.connection.number, attempt.backend)
             self.core.on_client_closed(owner.connection, ConnectionEnd.ORDERLY)
-            owner.forget()
+            owner.discard()
 
-    def adopt(self, owner: QuicClientConnection, backend: str) -> bool:
+    def adopt_paths(self, owner: QuicClientConnection, backend: str) -> bool:
         """A connection that takes a new address and a fresh id at once can't be told from others, by QUIC's
         design. So a connection that has gone quiet takes over the paths at its backend that no connection has and
         that began since: the core goes on holding one connection for each connection, and a move reaches its
         client."""
         found = False
         for path in list(owner.paths.values()):
-            if self.freshen(path, self.now())[0]:
-                owner.used_us = self.now()
-        while lone := [p for p in self.lone.values() if p.backend == backend and p.since_us > owner.used_us]:
-            path = min(lone, key=lambda p: p.since_us)
-            self.freshen(path, self.now())
-            self._give(path, owner)
-            owner.learn(path.last_id)
+            if self.update_usage(path, self.now())[0]:
+                owner.last_used_us = self.now()
+        while lone := [
+            p for p in self.unowned.values() if p.backend == backend and p.created_us > owner.last_used_us
+        ]:
+            path = min(lone, key=lambda p: p.created_us)
+            self.update_usage(path, self.now())
+            self._assign_owner(path, owner)
+            owner.add_id(path.last_id)
             owner.client, owner.listener = path.client, path.listener
-            owner.last_id, owner.used_us = path.last_id, max(path.used_us, path.since_us)
+            owner.last_id, owner.last_used_us = path.last_id, max(path.last_used_us, path.created_us)
             owner.unanswered = 0
             if owner.upstream:
                 owner.upstream.attempt.on_activity()
--- a/gradefront/quic/settings.py
+++ b/gradefront/quic/settings.py
@@ -12,11 +12,11 @@
 Seconds = Annotated[float, Meta(gt=0, le=86_400)]
 
 
-class Part(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class Section(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """What all parts of the file share."""
 
 
-class Ids(Part, frozen=True):
+class Ids(Section, frozen=True):
     """One configuration of ids (draft-ietf-quic-load-balancers)."""
 
     config_id: int
@@ -27,7 +27,7 @@
     key_file: str = ""
 
 
-class BackendEntry(Part, frozen=True):
+class BackendEntry(Section, frozen=True):
     """A backend."""
 
     address: str
@@ -36,7 +36,7 @@
     server_ids: tuple[str, ...] = ()
 
 
-class RetryKey(Part, frozen=True):
+class RetryKey(Section, frozen=True):
     """One key of the sequence that relays and backends share."""
 
     sequence: Annotated[int, Meta(ge=0, le=127)]
@@ -45,7 +45,7 @@
     key_file: str = ""
 
 
-class Retry(Part, frozen=True):
+class Retry(Section, frozen=True):
     """Address validation by Retry."""
 
     mode: Literal["never", "always", "auto"] = "never"
@@ -54,7 +54,7 @@
     life_s: Seconds = 10.0
 
 
-class ListenerLimits(Part, frozen=True):
+class ListenerLimits(Section, frozen=True):
     """What the listener bears; rates are a second."""
 
     pressure: Rate = 200.0
@@ -71,14 +71,14 @@
     deny: tuple[str, ...] = ()
 
 
-class Classes(Part, frozen=True):
+class Classes(Section, frozen=True):
     """Which class a connection is of, where its ClientHello tells more than its port."""
 
     alpn: dict[str, str] = {}
     sni: dict[str, str] = {}
 
 
-class QuicFile(Part, frozen=True):
+class QuicFile(Section, frozen=True):
     """The whole file."""
 
     listen: dict[str, str]
--- a/gradefront/quic/sockets.py
+++ b/gradefront/quic/sockets.py
@@ -10,10 +10,10 @@
 
 from gradefront.config import Address
 
-BUSY = 4  # datagrams in one look that make a busy time
-CHECKS = 3  # more looks in a busy time, before the reactor has its turn; with LOOK_S less than a tick of 4 ms
-LOOK_S = 0.001  # what the system can wait at least
-MOST_READY = 256  # sockets served in one go
+BUSY_DATAGRAMS = 4  # datagrams in one look that make a busy time
+EXTRA_POLLS = 3  # more looks in a busy time, before the reactor has its turn; with LOOK_S less than a tick of 4 ms
+POLL_TIMEOUT_S = 0.001  # what the system can wait at least
+MAX_EVENTS = 256  # sockets served in one go
 
 
 class Hub:
@@ -38,42 +38,42 @@
         """For the reactor."""
         return "quic"
 
-    def add(self, one: Socket) -> None:
+    def add(self, sock: Socket) -> None:
         """Watch a socket."""
-        self.sockets[one.number] = one
-        self.epoll.register(one.number, select.EPOLLIN)
+        self.sockets[sock.fd] = sock
+        self.epoll.register(sock.fd, select.EPOLLIN)
 
-    def drop(self, one: Socket) -> None:
+    def remove(self, sock: Socket) -> None:
         """Watch it no more. Before it is closed."""
-        if self.sockets.pop(one.number, None):
-            self.epoll.unregister(one.number)
+        if self.sockets.pop(sock.fd, None):
+            self.epoll.unregister(sock.fd)
 
     def doRead(self) -> None:
         """Sockets are ready. In a busy time it stays for a few more looks, which wait a millisecond at most."""
-        done, checks = self._serve(0), 0
-        while done >= BUSY and checks < CHECKS:
-            done, checks = self._serve(LOOK_S), checks + 1
+        datagrams, polls = self._serve(0), 0
+        while datagrams >= BUSY_DATAGRAMS and polls < EXTRA_POLLS:
+            datagrams, polls = self._serve(POLL_TIMEOUT_S), polls + 1
 
     def _serve(self, wait_s: float) -> int:
         """Read what is ready; about how many datagrams that were."""
-        done, sockets = 0, self.sockets
-        for number, event in self.epoll.poll(wait_s, MOST_READY):
-            one = sockets.get(number)
-            if one is None:  # closed by what another one brought
+        datagrams, sockets = 0, self.sockets
+        for fd, event in self.epoll.poll(wait_s, MAX_EVENTS):
+            sock = sockets.get(fd)
+            if sock is None:  # closed by what another one brought
                 continue
             if event & select.EPOLLERR:
-                one.errors()
-            if event & select.EPOLLIN and not one.closed:
-                done += one.read()
-        return done
+                sock.read_errors()
+            if event & select.EPOLLIN and not sock.closed:
+                datagrams += sock.read()
+        return datagrams
 
     def connectionLost(self, reason: object) -> None:
         """For the reactor, at its end."""
 
     def close(self) -> None:
         """Close all sockets, and stop."""
-        for one in list(self.sockets.values()):
-            one.close()
+        for sock in list(self.sockets.values()):
+            sock.close()
         self.reactor.removeReader(self)
         self.epoll.close()
 
@@ -94,7 +94,7 @@
         except OSError:
             self.socket.close()
             raise
-        self.number = self.socket.fileno()
+        self.fd = self.socket.fileno()
         self.sendto = self.socket.sendto
         self.recvfrom = self.socket.recvfrom
         hub.add(self)
@@ -102,14 +102,14 @@
     @property
     def address(self) -> Address:
         """Where it is bound."""
-        given = self.socket.getsockname()
-        return given[0], given[1]
+        bound = self.socket.getsockname()
+        return bound[0], bound[1]
 
     def read(self) -> int:
         """Read what there is; how many datagrams."""
         raise NotImplementedError
 
-    def errors(self) -> None:
+    def read_errors(self) -> None:
         """Take an error off the socket. Overridden where somebody wants to know whose it was."""
         self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
@@ -117,20 +117,20 @@
         """Give the descriptor back."""
         if not self.closed:
             self.closed = True
-            self.hub.drop(self)
+            self.hub.remove(self)
             self.socket.close()
 
 
-def source_of(addresses: Iterable[Address]) -> str:
+def source_address(addresses: Iterable[Address]) -> str:
     """The address that the system reaches all of these from, so that it need not look for one with each datagram;
     the wildcard where they differ."""
-    found = set()
+    sources = set()
     for host, port in addresses:
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         # Suppressed: unreachable now; that is found out again by who sends there.
         with socket.socket(family, socket.SOCK_DGRAM) as probe, suppress(OSError):
             probe.connect((host, port))
-            found.add(probe.getsockname()[0])
-    if len(found) == 1:
-        return str(found.pop())
-    return "::" if any(":" in host for host in found) else "0.0.0.0"  # noqa: S104 - only backends are heard
+            sources.add(probe.getsockname()[0])
+    if len(sources) == 1:
+        return str(sources.pop())
+    return "::" if any(":" in host for host in sources) else "0.0.0.0"  # noqa: S104 - only backends are heard
--- a/gradefront/quic/tables.py
+++ b/gradefront/quic/tables.py
@@ -17,14 +17,14 @@
 from .connections import QuicClientConnection
 from .listener import Listener
 from .paths import Path, Port, PortPool
-from .sockets import Hub, source_of
+from .sockets import Hub, source_address
 from .tokens import TokenMint
 
-ANSWERED_US = 10_000_000  # how long a given answer is repeated to a client that asks with the same id
-MOST_ANSWERED = 4_096
-PATH_IDS = 8  # ids remembered for one path
-NEGOTIATIONS = 100.0  # a second
-RETRIES = 10_000.0  # a second: what one core can make
+ANSWER_RETENTION_US = 10_000_000  # how long a given answer is repeated to a client that asks with the same id
+MAX_RETAINED_ANSWERS = 4_096
+MAX_IDS_PER_PATH = 8  # ids remembered for one path
+NEGOTIATIONS_PER_S = 100.0  # a second
+RETRIES_PER_S = 10_000.0  # a second: what one core can make
 
 
 class Tables:
@@ -40,20 +40,22 @@
         self.owners: dict[bytes, QuicClientConnection] = {}
         self.routes: dict[bytes, Path] = {}
         self.route_ids: dict[Path, deque[bytes]] = {}  # every path, oldest first, with its ids in `routes`
-        self.lone: dict[tuple[Address, str], Path] = {}
-        self.latest: dict[tuple[Address, str], Path] = {}
-        self.answered: OrderedDict[bytes, tuple[bytes, int]] = OrderedDict()
-        self.moved: OrderedDict[bytes, tuple[bytes, int]] = OrderedDict()
+        self.unowned: dict[tuple[Address, str], Path] = {}
+        self.latest_paths: dict[tuple[Address, str], Path] = {}
+        self.final_answers: OrderedDict[bytes, tuple[bytes, int]] = OrderedDict()
+        self.moved_ids: OrderedDict[bytes, tuple[bytes, int]] = OrderedDict()
         self.used_tokens: OrderedDict[bytes, None] = OrderedDict()
         self.lengths = [0] * 8  # of ids, by configuration: shared with the listeners, changed in place
-        self.began_us = self.now()
-        self.negotiations = Bucket(NEGOTIATIONS, NEGOTIATIONS, self.began_us)
-        self.retries = Bucket(RETRIES, RETRIES / 4, self.began_us)
-        self.states: dict[str, bool] = {}
-        self.placed_since: dict[str, int] = {}  # by backend: the first connection there that was placed, at this tick
-        self.admission = Admission(quic.limits, self.began_us)
+        self.started_us = self.now()
+        self.negotiations = Bucket(NEGOTIATIONS_PER_S, NEGOTIATIONS_PER_S, self.started_us)
+        self.retries = Bucket(RETRIES_PER_S, RETRIES_PER_S / 4, self.started_us)
+        self.was_serving: dict[str, bool] = {}
+        self.first_placed_us: dict[
+            str, int
+        ] = {}  # by backend: the first connection there that was placed, at this tick
+        self.admission = Admission(quic.limits, self.started_us)
         self.configure(quic)
-        host = source_of(backend.address for backend in quic.backends.values())
+        host = source_address(backend.address for backend in quic.backends.values())
         self.hub = Hub(reactor)
         self.pool = PortPool(
             self.hub,
@@ -61,7 +63,7 @@
             quic.most_ports,
             quic.port_share,
             self._on_backend_datagram,
-            self._refused,
+            self._on_refused,
             core.counters.add,
         )
 
@@ -76,19 +78,19 @@
         admission.proven = self.admission.proven  # who has shown to be there, has
         self.admission = admission
         for owner in self.connections:
-            if owner.waits:
+            if owner.is_pending:
                 self.admission.add_pending(owner.network)
         self.mint = None
         if quic.token_keys:
             self.mint = TokenMint(quic.token_keys, quic.newest_token_key, quic.token_life_us)
         for path in list(self.route_ids):
             backend = quic.backends.get(path.backend)
-            if backend is None or backend.address != path.where:
+            if backend is None or backend.address != path.backend_address:
                 self._close_path(path)
 
-    def drop(self, why: str) -> None:
+    def count_drop(self, reason: str) -> None:
         """Count a datagram that goes nowhere."""
-        self.core.counters.add(f"quic_dropped_{why}")
+        self.core.counters.add(f"quic_dropped_{reason}")
 
     def levels(self) -> dict[str, int]:
         """Present sizes of the tables, for the counters."""
@@ -100,47 +102,47 @@
             "quic_under_pressure": int(self.admission.under_pressure),
         }
 
-    def _route(self, an_id: bytes, path: Path) -> None:
+    def _add_route(self, connection_id: bytes, path: Path) -> None:
         """From now on the listener sends this id along this path."""
-        old = self.routes.get(an_id)
+        old = self.routes.get(connection_id)
         if old is path:
             return
         ids = self.route_ids.get(path)
         if ids is None:
             return
         if old is not None and old in self.route_ids:
-            self.route_ids[old].remove(an_id)
-        self.routes[an_id] = path
-        ids.append(an_id)
-        if len(ids) > PATH_IDS:
+            self.route_ids[old].remove(connection_id)
+        self.routes[connection_id] = path
+        ids.append(connection_id)
+        if len(ids) > MAX_IDS_PER_PATH:
             del self.routes[ids.popleft()]
 
-    def _named(self, an_id: bytes) -> str | None:
-        found = self.id_decoder.server_id_of(an_id)
+    def _backend_of_id(self, connection_id: bytes) -> str | None:
+        found = self.id_decoder.server_id_of(connection_id)
         return self.server_ids.get(found) if found else None
 
     # ---- paths
 
-    def path(
+    def get_path(
         self, client: Address, backend: str, owner: QuicClientConnection | None, listener: Listener
     ) -> Path | None:
         """The path of a client address to a backend; a new one where there is none. None: there's no room."""
         key = (client, backend)
-        path = owner.paths.get(client) if owner else self.latest.get(key)
+        path = owner.paths.get(client) if owner else self.latest_paths.get(key)
         if path is not None and path.backend == backend:
             return path
-        if owner and key in self.lone:
+        if owner and key in self.unowned:
             # A known id on a path that no connection had: the path is that connection's, and keeps its port.
-            path = self.lone[key]
-            self._give(path, owner)
+            path = self.unowned[key]
+            self._assign_owner(path, owner)
             return path
         place = self.quic.backends.get(backend)
         if place is None:
             return None
-        if len(self.route_ids) >= self.quic.most_paths and not self._evict():
+        if len(self.route_ids) >= self.quic.most_paths and not self._evict_path():
             return None
         path = Path(client, backend, place.address, listener, owner, self.now())
-        path.plain = owner is not None and owner.stands
+        path.is_direct = owner is not None and owner.is_established
         avoid: set[Port] = {p.port for p in owner.paths.values() if p.port} if owner else set()
         client_id = owner.client_id if owner and owner.client_id else b""
         if not self.pool.place(path, client_id, avoid, self.now(), self._client_id):
@@ -149,54 +151,54 @@
         if owner:
             owner.paths[client] = path
         else:
-            self.lone[key] = path
-        self.latest[key] = path
+            self.unowned[key] = path
+        self.latest_paths[key] = path
         self.core.counters.add("quic_paths")
         return path
 
     @staticmethod
     def _client_id(path: Path) -> bytes:
-        return path.owner.client_id if path.owner else path.client_id if path.plain else b""
+        return path.owner.client_id if path.owner else path.client_id if path.is_direct else b""
 
-    def _give(self, path: Path, owner: QuicClientConnection) -> None:
+    def _assign_owner(self, path: Path, owner: QuicClientConnection) -> None:
         """A path that had no connection is this one's."""
-        self.lone.pop((path.client, path.backend), None)
+        self.unowned.pop((path.client, path.backend), None)
         path.owner = owner
-        path.plain = owner.stands
+        path.is_direct = owner.is_established
         old = owner.paths.get(path.client)
         if old is not None and old is not path:
             self._close_path(old)
         owner.paths[path.client] = path
-        self.pool.settle(path, owner.client_id)
+        self.pool.identify(path, owner.client_id)
 
-    def _evict(self) -> bool:
+    def _evict_path(self) -> bool:
         """Bound the paths: of the oldest few the one that was quiet for longest goes, unless an attempt is out
         on it. Looking at all would cost too much in a storm."""
         oldest = list(islice(self.route_ids, 16))
         for path in oldest:
-            self.freshen(path, self.now())
-        free = [p for p in oldest if not (p.owner and p.owner.reaching)]
+            self.update_usage(path, self.now())
+        free = [p for p in oldest if not (p.owner and p.owner.is_connecting)]
         if not free:
             return False
-        goes = min(free, key=lambda p: p.used_us)
+        evicted = min(free, key=lambda p: p.last_used_us)
         for path in oldest:  # those that stay go to the end of the line
-            if path is not goes:
+            if path is not evicted:
                 self.route_ids[path] = self.route_ids.pop(path)
-        self._close_path(goes)
+        self._close_path(evicted)
         self.core.counters.add("quic_paths_evicted")
         return True
 
     def _close_path(self, path: Path) -> None:
-        for an_id in self.route_ids.pop(path, ()):
-            if self.routes.get(an_id) is path:
-                del self.routes[an_id]
+        for connection_id in self.route_ids.pop(path, ()):
+            if self.routes.get(connection_id) is path:
+                del self.routes[connection_id]
         key = (path.client, path.backend)
-        for table in (self.lone, self.latest):
+        for table in (self.unowned, self.latest_paths):
             if table.get(key) is path:
                 del table[key]
         if path.owner and path.owner.paths.get(path.client) is path:
             del path.owner.paths[path.client]
-        self.pool.give_back(path, self.now())
+        self.pool.release(path, self.now())
 
     def close_paths(self, owner: QuicClientConnection) -> None:
         """Give all places of a connection back."""
@@ -207,16 +209,16 @@
         """From a backend, where the port doesn't know that it may go straight to the client."""
         path.received += 1
         owner = path.owner
-        if owner and not owner.stands:
+        if owner and not owner.is_established:
             if owner.upstream and not owner.upstream.attempt.is_over:
                 owner.upstream.on_backend_datagram(path, datagram)
             return
-        if not path.plain and path.learn(datagram):
-            path.plain = True
-            self.pool.settle(path, path.client_id)
+        if not path.is_direct and path.learn_client_id(datagram):
+            path.is_direct = True
+            self.pool.identify(path, path.client_id)
         path.listener.reply(datagram, path.client)
 
-    def _refused(self, path: Path) -> None:
+    def _on_refused(self, path: Path) -> None:
         """The system says that nothing listens at the backend."""
         owner = path.owner
         if owner and owner.upstream and not owner.upstream.attempt.is_over:
@@ -226,36 +228,36 @@
 
     # ---- what connections tell
 
-    def settled(self, owner: QuicClientConnection) -> None:
+    def on_settled(self, owner: QuicClientConnection) -> None:
         """A connection stands, or is over: it waits no more."""
-        if owner.waits:
-            owner.waits = False
+        if owner.is_pending:
+            owner.is_pending = False
             self.admission.remove_pending(owner.network)
         if not owner.confirmed and owner in self.connections:
             self.unconfirmed[owner] = None
 
-    def forgot(self, owner: QuicClientConnection) -> None:
+    def on_discarded(self, owner: QuicClientConnection) -> None:
         """A connection is over."""
-        self.settled(owner)
+        self.on_settled(owner)
         self.connections.pop(owner, None)
         self.unconfirmed.pop(owner, None)
 
-    def answer(self, an_id: bytes, datagram: bytes, for_us: int = ANSWERED_US) -> None:
+    def remember_answer(self, connection_id: bytes, datagram: bytes, for_us: int = ANSWER_RETENTION_US) -> None:
         """Remember a final answer, so that a client that repeats its Initial gets the same one."""
-        self.answered[an_id] = (datagram, self.now() + for_us)
-        while len(self.answered) > MOST_ANSWERED:
-            self.answered.popitem(last=False)
+        self.final_answers[connection_id] = (datagram, self.now() + for_us)
+        while len(self.final_answers) > MAX_RETAINED_ANSWERS:
+            self.final_answers.popitem(last=False)
 
-    def left(self, an_id: bytes, key: bytes) -> None:
+    def remember_moved_id(self, connection_id: bytes, key: bytes) -> None:
         """Remember an id of a connection that was moved."""
-        self.moved[an_id] = (key, self.now() + ANSWERED_US)
-        while len(self.moved) > MOST_ANSWERED:
-            self.moved.popitem(last=False)
+        self.moved_ids[connection_id] = (key, self.now() + ANSWER_RETENTION_US)
+        while len(self.moved_ids) > MAX_RETAINED_ANSWERS:
+            self.moved_ids.popitem(last=False)
 
     @staticmethod
-    def freshen(path: Path, now: int) -> tuple[int, int]:
+    def update_usage(path: Path, now: int) -> tuple[int, int]:
         """What passed since the last look, to and from the backend."""
         sent, received = path.sent - path.seen_sent, path.received - path.seen_received
         if sent or received:
-            path.used_us, path.seen_sent, path.seen_received = now, path.sent, path.received
+            path.last_used_us, path.seen_sent, path.seen_received = now, path.sent, path.received
         return sent, received
--- a/gradefront/quic/tokens.py
+++ b/gradefront/quic/tokens.py
@@ -24,13 +24,13 @@
 from cryptography.exceptions import InvalidTag
 from cryptography.hazmat.primitives.ciphers.aead import AESGCM
 
-from .headers import LONGEST_ID
+from .headers import MAX_ID_LENGTH
 
-NEW_TOKEN = 0x80
-NUMBER = 12
-TAG = 16
-FIXED_BODY = 2 + 16 + 2 + 8  # what a body holds beside the ids
-SHORTEST = 1 + NUMBER + FIXED_BODY + TAG
+NEW_TOKEN_BIT = 0x80
+NUMBER_LENGTH = 12
+TAG_LENGTH = 16
+FIXED_BODY_LENGTH = 2 + 16 + 2 + 8  # what a body holds beside the ids
+MIN_TOKEN_LENGTH = 1 + NUMBER_LENGTH + FIXED_BODY_LENGTH + TAG_LENGTH
 
 
 class TokenKey(NamedTuple):
@@ -54,7 +54,7 @@
     MISPLACED = "misplaced"  # sound, but came with another id than the Retry gave
 
 
-class Shown(NamedTuple):
+class TokenCheck(NamedTuple):
     """A token, read."""
 
     verdict: TokenVerdict
@@ -100,31 +100,33 @@
     def make_new(self, client: tuple[str, int], now_us: int, life_us: int) -> bytes:
         """A NEW_TOKEN's token, as a backend that knows its client's address would make it."""
         return self._seal(
-            NEW_TOKEN | self.newest,
+            NEW_TOKEN_BIT | self.newest,
             b"".join((bytes(2), pack_address(client[0]), bytes(2), ((now_us + life_us) // 1000).to_bytes(8))),
         )
 
     def _seal(self, first: int, body: bytes) -> bytes:
-        sealer, iv = self.sealers[first & ~NEW_TOKEN]
-        number = os.urandom(NUMBER)
-        head = bytes([first]) + number
-        return head + sealer.encrypt((iv ^ int.from_bytes(number)).to_bytes(NUMBER), body, head)
+        sealer, iv = self.sealers[first & ~NEW_TOKEN_BIT]
+        number = os.urandom(NUMBER_LENGTH)
+        header = bytes([first]) + number
+        return header + sealer.encrypt((iv ^ int.from_bytes(number)).to_bytes(NUMBER_LENGTH), body, header)
 
     def _unseal(self, token: bytes) -> bytes | None:
         """The body, where token and form are sound."""
-        known = self.sealers.get(token[0] & ~NEW_TOKEN & 0xFF) if len(token) >= SHORTEST else None
-        if known is None:
+        sealer_and_iv = self.sealers.get(token[0] & ~NEW_TOKEN_BIT & 0xFF) if len(token) >= MIN_TOKEN_LENGTH else None
+        if sealer_and_iv is None:
             return None
-        sealer, iv = known
-        head, number = token[: 1 + NUMBER], token[1 : 1 + NUMBER]
+        sealer, iv = sealer_and_iv
+        header, number = token[: 1 + NUMBER_LENGTH], token[1 : 1 + NUMBER_LENGTH]
         try:
-            body = sealer.decrypt((iv ^ int.from_bytes(number)).to_bytes(NUMBER), token[1 + NUMBER :], head)
+            body = sealer.decrypt(
+                (iv ^ int.from_bytes(number)).to_bytes(NUMBER_LENGTH), token[1 + NUMBER_LENGTH :], header
+            )
         except InvalidTag:
             return None
         first, second = body[0], body[1]
-        if first > LONGEST_ID or second > LONGEST_ID or len(body) != FIXED_BODY + first + second:
+        if first > MAX_ID_LENGTH or second > MAX_ID_LENGTH or len(body) != FIXED_BODY_LENGTH + first + second:
             return None
-        return body if bool(first) is not bool(token[0] & NEW_TOKEN) else None
+        return body if bool(first) is not bool(token[0] & NEW_TOKEN_BIT) else None
 
     def retry_ids(self, token: bytes) -> tuple[bytes, bytes] | None:
         """What a backend reads of a Retry's token: the client's first id and the Retry's, for its transport
@@ -134,24 +136,24 @@
             return None
         return body[2 : 2 + body[0]], body[2 + body[0] : 2 + body[0] + body[1]]
 
-    def read(self, token: bytes, client: tuple[str, int], to_id: bytes, now_us: int) -> Shown:
+    def read(self, token: bytes, client: tuple[str, int], to_id: bytes, now_us: int) -> TokenCheck:
         """What a token is worth, shown from this address in an Initial to this id."""
-        if not token or token[0] & ~NEW_TOKEN & 0xFF not in self.sealers:
-            return Shown(TokenVerdict.NONE)
-        is_new = bool(token[0] & NEW_TOKEN)
+        if not token or token[0] & ~NEW_TOKEN_BIT & 0xFF not in self.sealers:
+            return TokenCheck(TokenVerdict.NONE)
+        is_new = bool(token[0] & NEW_TOKEN_BIT)
         body = self._unseal(token)
         if body is None:  # a backend may have NEW_TOKENs of its own
-            return Shown(TokenVerdict.NONE if is_new else TokenVerdict.FORGED)
+            return TokenCheck(TokenVerdict.NONE if is_new else TokenVerdict.FORGED)
         ids = 2 + body[0] + body[1]
         if int.from_bytes(body[ids + 18 :]) * 1000 < now_us:
-            return Shown(TokenVerdict.NONE if is_new else TokenVerdict.EXPIRED)
+            return TokenCheck(TokenVerdict.NONE if is_new else TokenVerdict.EXPIRED)
         if body[ids : ids + 16] != pack_address(client[0]):
-            return Shown(TokenVerdict.NONE if is_new else TokenVerdict.STOLEN)
-        number = token[1 : 1 + NUMBER]
+            return TokenCheck(TokenVerdict.NONE if is_new else TokenVerdict.STOLEN)
+        number = token[1 : 1 + NUMBER_LENGTH]
         if is_new:
-            return Shown(TokenVerdict.PROVEN, b"", number)
+            return TokenCheck(TokenVerdict.PROVEN, b"", number)
         if int.from_bytes(body[ids + 16 : ids + 18]) != client[1]:
-            return Shown(TokenVerdict.STOLEN)
+            return TokenCheck(TokenVerdict.STOLEN)
         if body[2 + body[0] : ids] != to_id:
-            return Shown(TokenVerdict.MISPLACED)
-        return Shown(TokenVerdict.PROVEN, body[2 : 2 + body[0]], number)
+            return TokenCheck(TokenVerdict.MISPLACED)
+        return TokenCheck(TokenVerdict.PROVEN, body[2 : 2 + body[0]], number)
--- a/tests/test_quic_ids.py
+++ b/tests/test_quic_ids.py
@@ -52,7 +52,7 @@
 
 def test_a_book_distinguishes_configurations_and_stays_within_its_bound() -> None:
     old, new = IdForm(0, 2, 9), IdForm(5, 3, 4, True, KEY)
-    decoder = IdDecoder([old, new], cached=64)
+    decoder = IdDecoder([old, new], cache_size=64)
     first, second = old.make(b"\0\1"), new.make(b"\0\0\2")
     for _ in range(2):  # the second time from the cache
         assert decoder.server_id_of(first) == (0, b"\0\1") and decoder.server_id_of(second) == (5, b"\0\0\2")
--- a/tests/test_quic_model.py
+++ b/tests/test_quic_model.py
@@ -171,10 +171,10 @@
 
     @rule(client=st.integers(0, 3), which=st.integers(0, 9), fresh=st.booleans())
     def talk(self, client: int, which: int, fresh: bool) -> None:
-        an_id = self.known[which % len(self.known)]
+        connection_id = self.known[which % len(self.known)]
         if fresh:
-            an_id = FORM.make(FORM.read(an_id) or b"\0\0")
-        self.send(client, b"\x40" + an_id + b"talk to me, somebody who can read this")
+            connection_id = FORM.make(FORM.read(connection_id) or b"\0\0")
+        self.send(client, b"\x40" + connection_id + b"talk to me, somebody who can read this")
 
     @rule(client=st.integers(0, 3), junk=st.binary(max_size=60))
     def nonsense(self, client: int, junk: bytes) -> None:
@@ -197,28 +197,28 @@
     def the_tables_agree(self) -> None:
         front = self.front
         assert len(front.route_ids) <= MOST_PATHS and len(front.pool.ports) <= 4
-        waiting = [v for v in front.connections if v.waits]
+        waiting = [v for v in front.connections if v.is_pending]
         assert sum(front.admission.pending.values()) == len(waiting) <= MOST_WAITING
-        for an_id, path in front.routes.items():
-            assert an_id in front.route_ids[path], "a route along a path that is gone"
+        for connection_id, path in front.routes.items():
+            assert connection_id in front.route_ids[path], "a route along a path that is gone"
         for path, ids in front.route_ids.items():
-            assert path.port is not None and path in path.port.places[path.where].paths()
+            assert path.port is not None and path in path.port.places[path.backend_address].paths()
             assert len(ids) <= 8 and all(front.routes.get(x) is path for x in ids)
             if path.owner is None:
-                assert front.lone[path.client, path.backend] is path
+                assert front.unowned[path.client, path.backend] is path
             else:
                 assert path.owner.paths[path.client] is path and path.owner in front.connections
         places = [p for one in front.pool.ports for place in one.places.values() for p in place.paths()]
         assert sorted(map(id, places)) == sorted(map(id, front.route_ids)), "a place without a path"
-        for an_id, owner in front.owners.items():
-            assert an_id in owner.ids and owner in front.connections
+        for connection_id, owner in front.owners.items():
+            assert connection_id in owner.ids and owner in front.connections
         for owner in front.connections:
             assert len(owner.ids) <= 16
             assert owner.connection is not None and owner.connection.state is not ConnectionState.CLOSED, (
                 "a visit outlived its end"
             )
         standing = [v for v in self.core.connections.values() if v.state is ConnectionState.ESTABLISHED]
-        assert len(standing) == sum(v.stands for v in front.connections)
+        assert len(standing) == sum(v.is_established for v in front.connections)
         assert not self.core.counters.counts["exceptions"] and not self.core.counters.counts["overdue"]
 
     def teardown(self) -> None:
@@ -234,11 +234,11 @@
 def test_a_relay_that_stops_answers_what_comes_and_adopts_no_connection() -> None:
     service = Tables()
     front, client = service.front, service.clients[0]
-    an_id = FORM.make(b"\0\0")
+    connection_id = FORM.make(b"\0\0")
     for _ in range(
         3
     ):  # a connection from before this relay's start: both sides speak along a path without a connection
-        service.send(0, b"\x40" + an_id + b"talk to me, somebody who can read this")
+        service.send(0, b"\x40" + connection_id + b"talk to me, somebody who can read this")
         where = service.at_backends[-1][2]
         service.backends[0].sendto(b"\x40" + os.urandom(8) + b"talk", where)
         service.settle()
--- a/tests/test_quic_parts.py
+++ b/tests/test_quic_parts.py
@@ -110,11 +110,11 @@
 
 
 @given(st.binary(min_size=1, max_size=20), st.integers(0, 100))
-def test_a_reset_resembles_a_short_packet_and_ends_in_the_token(an_id: bytes, space: int) -> None:
+def test_a_reset_resembles_a_short_packet_and_ends_in_the_token(connection_id: bytes, space: int) -> None:
     key = os.urandom(16)
-    reset = stateless_reset(key, an_id, space)
+    reset = stateless_reset(key, connection_id, space)
     assert reset[0] & 0xC0 == 0x40 and 21 <= len(reset) <= max(21, min(space, 43))
-    assert reset[-16:] == reset_token(key, an_id) != reset_token(key + b"x", an_id)
+    assert reset[-16:] == reset_token(key, connection_id) != reset_token(key + b"x", connection_id)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_quic_places.py
+++ b/tests/test_quic_places.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from gradefront.quic.headers import FIXED, LONG
+from gradefront.quic.headers import FIXED_BIT, LONG_HEADER_BIT
 from gradefront.quic.paths import Path
 from gradefront.quic.places import Place
 
@@ -27,11 +27,11 @@
 
 
 def long_header(client_id: bytes, rest: bytes = b"\x00rest") -> bytes:
-    return bytes([LONG | FIXED]) + VERSION + bytes([len(client_id)]) + client_id + rest
+    return bytes([LONG_HEADER_BIT | FIXED_BIT]) + VERSION + bytes([len(client_id)]) + client_id + rest
 
 
 def short_header(client_id: bytes, rest: bytes = b"rest") -> bytes:
-    return bytes([FIXED]) + client_id + rest
+    return bytes([FIXED_BIT]) + client_id + rest
 
 
 class SharedPlace(RuleBasedStateMachine):
@@ -50,12 +50,12 @@
         self.come_with(second_id, first_id)
 
     def come_with(self, client_id: bytes, present_id: bytes) -> None:
-        if self.place.takes(client_id, present_id):
+        if self.place.accepts(client_id, present_id):
             self.entered.append(path())
-            self.place.share(self.entered[-1], client_id, present_id)
+            self.place.add(self.entered[-1], client_id, present_id)
 
     def is_shared(self) -> bool:
-        return bool(self.entered) and self.place.by_id is not None
+        return bool(self.entered) and self.place.by_client_id is not None
 
     @precondition(is_shared)
     @rule(client_id=IDS)
@@ -79,20 +79,20 @@
         self.check_receivers(datagram)
 
     def check_receivers(self, datagram: bytes) -> None:
-        receivers = self.place.find(datagram)
+        receivers = self.place.find_receivers(datagram)
         assert set(receivers) <= set(self.entered), "a path that has gone"
         assert receivers or not self.entered, "an answer that reaches nobody"
 
     @precondition(lambda self: self.entered)
     @rule(which=st.integers(0, 9), client_id=IDS)
     def become_known(self, which: int, client_id: bytes) -> None:
-        self.place.settle(self.entered[which % len(self.entered)], client_id)
+        self.place.identify(self.entered[which % len(self.entered)], client_id)
 
     @precondition(lambda self: self.entered)
     @rule(which=st.integers(0, 9))
     def go(self, which: int) -> None:
         left = self.entered.pop(which % len(self.entered))
-        assert self.place.drop(left) == (not self.entered)
+        assert self.place.remove(left) == (not self.entered)
 
     @invariant()
     def each_path_is_in_the_place(self) -> None:
@@ -108,8 +108,8 @@
     """A place with one path of a known id that was heard, and one of an unknown id."""
     settled, unsettled = path(), path()
     place = Place(settled)
-    place.share(unsettled, b"", settled_id)
-    assert place.find(long_header(settled_id)) == [settled]
+    place.add(unsettled, b"", settled_id)
+    assert place.find_receivers(long_header(settled_id)) == [settled]
     return place, settled, unsettled
 
 
@@ -121,27 +121,27 @@
         long_header(b"\x09" * 8)[:9],  # cut off within the id
         long_header(b"\x01" * 8)[:10],  # ... where it looks like a shorter id that is known
         long_header(b"\x09" * 8)[:6],
-        bytes([LONG]),
+        bytes([LONG_HEADER_BIT]),
     ],
 )
 def test_a_datagram_without_a_readable_id_keeps_the_unsettled_path_in_its_place(datagram: bytes) -> None:
     """Guards against answers that reach nobody, or the wrong client, after one such datagram."""
     place, settled, unsettled = shared_by(b"\x01" * 4)
-    assert place.find(datagram) == [unsettled]
-    assert place.unsettled is unsettled and place.by_id == {b"\x01" * 4: settled}
-    assert place.find(short_header(b"\x08" * 8)) == [unsettled], "its other answers reach it still"
+    assert place.find_receivers(datagram) == [unsettled]
+    assert place.unidentified is unsettled and place.by_client_id == {b"\x01" * 4: settled}
+    assert place.find_receivers(short_header(b"\x08" * 8)) == [unsettled], "its other answers reach it still"
 
 
 def test_a_whole_id_in_a_long_header_settles_the_unsettled_path() -> None:
     place, _, unsettled = shared_by(b"\x01" * 4)
-    assert place.find(long_header(b"\x09" * 8)) == [unsettled]
-    assert place.unsettled is None and place.find(short_header(b"\x09" * 8)) == [unsettled]
+    assert place.find_receivers(long_header(b"\x09" * 8)) == [unsettled]
+    assert place.unidentified is None and place.find_receivers(short_header(b"\x09" * 8)) == [unsettled]
 
 
 def test_the_longest_matching_id_identifies_the_path_of_a_short_header() -> None:
     """Guards against the order of a set: one client's id may be the beginning of another's."""
     shorter, longer = path(), path()
     place = Place(shorter)
-    place.share(longer, b"\x01" * 6, b"\x01" * 4)
-    assert place.find(short_header(b"\x01" * 6)) == [longer]
-    assert place.find(short_header(b"\x01" * 4 + b"\x02" * 4)) == [shorter]
+    place.add(longer, b"\x01" * 6, b"\x01" * 4)
+    assert place.find_receivers(short_header(b"\x01" * 6)) == [longer]
+    assert place.find_receivers(short_header(b"\x01" * 4 + b"\x02" * 4)) == [shorter]
--- a/tests/test_quic_recovery.py
+++ b/tests/test_quic_recovery.py
@@ -46,7 +46,7 @@
     """A client whose messages are answered by an echo backend."""
 
     backend: EchoBackend
-    an_id = b""
+    connection_id = b""
     count = 0
 
     def __init__(self, place: Place) -> None:
@@ -63,7 +63,7 @@
     async def _ask(self, timeout_s: float) -> bool:
         self.count += 1
         mark = self.client_id + self.count.to_bytes(4)
-        self.send_short(self.an_id, mark)
+        self.send_short(self.connection_id, mark)
         deadline = time.monotonic() + timeout_s
         while (left := deadline - time.monotonic()) > 0:
             try:
@@ -107,8 +107,8 @@
     one.send(one.initial())
     packet = split(await asyncio.wait_for(one.received.get(), 5))[0]
     assert packet.kind is Kind.INITIAL
-    one.an_id = packet.from_id
-    server = OLD.read(one.an_id)
+    one.connection_id = packet.from_id
+    server = OLD.read(one.connection_id)
     one.backend = next(b for b in place.backends if b.server_ids[1] == server)  # type: ignore[assignment]
     assert await one.ask()
     return one
@@ -169,7 +169,7 @@
                 talking = [asyncio.ensure_future(talk(p)) for p in phones]
                 await take(OLD, NEW)
                 for one in phones:  # each gets a fresh id of the new configuration from its backend
-                    one.an_id = NEW.make(one.backend.server_ids[1])
+                    one.connection_id = NEW.make(one.backend.server_ids[1])
                     await asyncio.sleep(0)
                 # What was out under the old ids is answered before their key goes.
                 assert all(await asyncio.gather(*(p.ask() for p in phones)))
@@ -181,7 +181,7 @@
                 counts = await relay.counters()
                 assert lost == 0 and asked > 200 and counts["conf_loaded_total"] == 2 and counts["visits_now"] == 40
                 # Ids of the key that was taken away lead nowhere.
-                phones[0].an_id = OLD.make(phones[0].backend.server_ids[1])
+                phones[0].connection_id = OLD.make(phones[0].backend.server_ids[1])
                 assert not await phones[0].ask(0.3)
 
     asyncio.run(play())
