--- a/gradefront/quic/__init__.py
+++ b/gradefront/quic/__init__.py
@@ -1,8 +1,8 @@
-"""The second front: QUIC connections kept with their backends by connection id."""
+"""The QUIC front: accepts QUIC connections and routes their packets to backends by connection id."""
 
 from __future__ import annotations
 
 from pathlib import Path
 
-#: The front's file, unless GRADEFRONT_QUIC names another.
+#: Default path of the QUIC front's settings file; the environment variable GRADEFRONT_QUIC overrides it.
 FILE = Path(__file__).resolve().parent.parent.parent / "deploy" / "quic.json"
--- a/gradefront/quic/config.py
+++ b/gradefront/quic/config.py
@@ -1,7 +1,7 @@
-"""The second front's file: where it listens, which backend is meant by which id, and what its listener bears.
+"""Settings of the QUIC front: listen addresses, server ids of the backends, and limits of the listeners.
 
-The file is checked whole, and an error names file, field and value. What is read of it is typed by msgspec, which
-is imported only where the front is on or checked.
+The whole file is validated, and an error names the file, the field and the value. msgspec checks the types; it is
+imported only if the front is on or its file is being checked.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class QuicBackend:
-    """A backend as the second front reaches it."""
+    """A backend's address, server ids and stateless reset key."""
 
     server_ids: tuple[bytes, ...]
     address: Address
@@ -30,9 +30,9 @@
 
 @dataclass(frozen=True)
 class QuicConfig:
-    """The second front's settings."""
+    """The QUIC front's settings."""
 
-    listen: dict[int, Address]  # by class
+    listen: dict[int, Address]  # by request class
     forms: tuple[IdForm, ...]
     backends: dict[str, QuicBackend]
     path_idle_us: int
@@ -53,7 +53,7 @@
         return IdDecoder(self.forms)
 
     def server_ids(self) -> dict[tuple[int, bytes], str]:
-        """Backends by configuration and server id."""
+        """Return the backends' names by configuration number and server id."""
         return {
             (form.number, server_id): name
             for name, backend in self.backends.items()
@@ -64,7 +64,7 @@
 
 
 def parse(given: dict[str, Any], config: Config, path: Path = FILE) -> QuicConfig:
-    """The settings from the file's object; an error names file, field and value."""
+    """Build the settings from the file's JSON object. Raises ConfigError, which names file, field and value."""
     from gradefront.settings.typed import convert
 
     from .settings import QuicFile
@@ -87,14 +87,14 @@
         for n, key in enumerate(retry.keys)
     }
     if len(keys) < len(retry.keys):
-        raise ValueError("retry.keys: two have the same sequence")
+        raise ValueError("retry.keys: two keys have the same sequence")
     newest = retry.newest if retry.newest is not None else (retry.keys[-1].sequence if retry.keys else 0)
     if retry.mode != "never" and newest not in keys:
         raise ValueError(f"retry.newest: {newest}: no key has this sequence, and mode is '{retry.mode}'")
     return QuicConfig(
         listen={
-            _class(name, config, "listen"): parse_address(where, f"listen.{name}")
-            for name, where in file.listen.items()
+            _class(name, config, "listen"): parse_address(address, f"listen.{name}")
+            for name, address in file.listen.items()
         },
         forms=forms,
         backends=backends,
@@ -113,21 +113,21 @@
     )
 
 
-def _class(name: str, config: Config, where: str) -> int:
+def _class(name: str, config: Config, setting: str) -> int:
     if name not in config.class_numbers:
-        raise ValueError(f"{where}: no class is named '{name}'")
+        raise ValueError(f"{setting}: no class is named '{name}'")
     return config.class_numbers[name]
 
 
 def _forms(file: Any, folder: Path) -> tuple[IdForm, ...]:
-    given = list(file.ids)
-    if not given:  # the form of before: one configuration, its fields beside all others
+    entries = list(file.ids)
+    if not entries:  # the older file format: a single configuration, whose fields are at the file's top level
         for name in ("config_id", "server_id_length", "nonce_length"):
             if getattr(file, name) is None:
                 raise ValueError(f"{name}: missing")
         return (IdForm(file.config_id, file.server_id_length, file.nonce_length, file.id_encodes_length),)
     forms = []
-    for n, entry in enumerate(given):
+    for n, entry in enumerate(entries):
         key = read_key(entry.key, entry.key_file, 16, f"ids[{n}]", folder) if entry.key or entry.key_file else None
         try:
             forms.append(
--- a/gradefront/quic/connections.py
+++ b/gradefront/quic/connections.py
@@ -1,4 +1,4 @@
-"""One QUIC connection as the core's client side, and the attempts that place it."""
+"""One QUIC connection as the core's client connection, and its attempts at backends."""
 
 from __future__ import annotations
 
@@ -17,53 +17,52 @@
 from .listener import Listener
 from .paths import Path
 
-MAX_BUFFERED_DATAGRAMS = (
-    12  # datagrams of a waiting client, for the next backend; a post-quantum ClientHello makes two
-)
-MAX_EARLY_DATAGRAMS = 4  # of a backend, that overtook its first Initial
-MAX_IDS_PER_CONNECTION = 16  # ids remembered for one connection
+#: Datagrams of a pending client, kept for the next attempt; a post-quantum ClientHello alone takes two.
+MAX_BUFFERED_DATAGRAMS = 12
+MAX_EARLY_DATAGRAMS = 4  # from a backend, that arrived before its first Initial
+MAX_IDS_PER_CONNECTION = 16
 
 
 class FrontTables(Protocol):
-    """What a connection uses of its front."""
+    """The part of the front that a connection uses."""
 
     quic: QuicConfig
     owners: dict[bytes, QuicClientConnection]
 
     def now(self) -> int:
-        """The time."""
+        """Return the current time in microseconds."""
 
     def count_drop(self, reason: str) -> None:
-        """Count a datagram that goes nowhere."""
+        """Count a dropped datagram by its reason."""
 
     def get_path(
         self, client: Address, backend: str, owner: QuicClientConnection | None, listener: Listener
     ) -> Path | None:
-        """A path, new where there is none."""
+        """Return the path from a client address to a backend, opening one if needed; None if there is no room."""
 
     def close_paths(self, owner: QuicClientConnection) -> None:
-        """Give all its places back."""
+        """Close all paths of a connection."""
 
     def adopt_paths(self, owner: QuicClientConnection, backend: str) -> bool:
-        """Take over paths that may be this connection's."""
+        """Take over paths without a connection that may belong to this one; return whether there were any."""
 
     def remember_answer(self, connection_id: bytes, datagram: bytes) -> None:
-        """Remember a final answer."""
+        """Remember a final answer, to repeat it if the client repeats its Initial."""
 
     def remember_moved_id(self, connection_id: bytes, key: bytes) -> None:
-        """Remember an id that was moved."""
+        """Remember an id of a connection that was reset, to answer later packets with a reset too."""
 
     def on_settled(self, owner: QuicClientConnection) -> None:
-        """A connection stands, or is over: it waits no more."""
+        """Handle a connection that is established or over: it is no longer pending."""
 
     def on_discarded(self, owner: QuicClientConnection) -> None:
-        """A connection is over."""
+        """Remove a connection that is over from the tables."""
 
 
 class QuicClientConnection:
-    """One QUIC connection. It may use many client addresses and ids."""
+    """One QUIC connection, which may use many client addresses and connection ids."""
 
-    def __init__(  # noqa: PLR0913 - what the client's first datagram tells
+    def __init__(  # noqa: PLR0913 - the fields of the client's first datagram
         self,
         front: FrontTables,
         listener: Listener,
@@ -75,20 +74,20 @@
     ) -> None:
         self.front = front
         self.listener = listener
-        self.first_id = first_id  # what the keys of its Initials come from
+        self.first_id = first_id  # the client's first destination id, from which the Initial keys are derived
         self.client_id = client_id
         self.version = version
-        self.client = client  # the address that it used last
+        self.client = client  # the client's most recent address
         self.network = network
-        self.is_pending = False  # whether it counts among those who wait
-        self.used_retry = False  # it came with a token of ours: a second Retry would be ignored
-        self.confirmed = False  # the client has used an id that only the backend's answer held
-        self.last_id = b""  # the backend's id that it used last
+        self.is_pending = False  # counted by admission as pending
+        self.used_retry = False  # the client sent a Retry token of ours and would ignore a second Retry
+        self.confirmed = False  # the client has used an id that only the backend's answer contained
+        self.last_id = b""  # the id chosen by the backend that the client used most recently
         self.buffered: list[bytes] = []
         self.hello: HelloReader | None = None
         self.ids: OrderedDict[bytes, None] = OrderedDict()
         self.paths: dict[Address, Path] = {}
-        self.adopted_path: Path | None = None  # a path that had no connection, which this one is made for
+        self.adopted_path: Path | None = None  # the path without a connection that this connection was created for
         self.upstream: QuicBackendConnection | None = None
         self.connection: Connection | None = None
         self.created_us = self.last_used_us = front.now()
@@ -98,16 +97,16 @@
 
     @property
     def is_established(self) -> bool:
-        """Whether a backend serves it."""
+        """Whether a backend has accepted the connection."""
         return self.connection is not None and self.connection.state is ConnectionState.ESTABLISHED
 
     @property
     def is_connecting(self) -> bool:
-        """Whether an attempt is out."""
+        """Whether an attempt is in flight."""
         return self.connection is not None and self.connection.state is ConnectionState.CONNECTING
 
     def add_id(self, connection_id: bytes) -> None:
-        """An id is this connection's. The oldest goes where there are too many."""
+        """Add an id to this connection; beyond MAX_IDS_PER_CONNECTION the oldest id is dropped."""
         if connection_id not in self.ids:
             self.ids[connection_id] = None
             self.front.owners[connection_id] = self
@@ -117,7 +116,7 @@
                     del self.front.owners[old]
 
     def discard(self) -> None:
-        """None of its ids is known any more."""
+        """Remove the connection, its ids and its paths from the front's tables."""
         for connection_id in self.ids:
             if self.front.owners.get(connection_id) is self:
                 del self.front.owners[connection_id]
@@ -126,7 +125,7 @@
         self.front.on_discarded(self)
 
     def buffer_datagram(self, datagram: bytes, client: Address) -> None:
-        """A datagram before the connection stands: kept for the next backend, and sent to the present one."""
+        """Keep a pending client's datagram for further attempts, and send it to the current attempt's backend."""
         self.client = client
         if datagram not in self.buffered:
             self.buffered = [*self.buffered[:1], *self.buffered[1:][-MAX_BUFFERED_DATAGRAMS + 2 :], datagram]
@@ -134,8 +133,8 @@
             self.upstream.send(datagram, client)
 
     def read_hello(self, opened: InitialPayload) -> tuple[str, tuple[str, ...]] | None:
-        """Put a client's CRYPTO frames together; server name and protocols once they are whole, or once it is
-        clear that they never will be."""
+        """Add a client's CRYPTO frames to its ClientHello. Return the server name and protocols once the ClientHello
+        is complete, empty ones if it is invalid, and None while a part is missing."""
         if self.hello is None:
             return "", ()
         try:
@@ -148,10 +147,10 @@
             self.hello = None
         return found
 
-    # ---- as the core's client side
+    # ---- the core's client connection interface
 
     def establish(self, upstream: BackendConnection, response_line: object) -> None:  # noqa: ARG002 - core's port
-        """The backend's first sound answer goes to the client; from here on packets go by id."""
+        """Send the backend's first valid answer to the client; from now on packets are routed by id."""
         self.buffered = []
         self.hello = None
         for path in self.paths.values():
@@ -163,11 +162,11 @@
                 self.listener.reply(datagram, path.client)
 
     def reject(self, pause_us: int) -> None:
-        """The final answer: a close, with the advised pause as its reason."""
+        """Close as the final answer, with the advised pause in the reason phrase."""
         self._close(busy_reason(pause_us))
 
     def fail(self) -> None:
-        """The final answer: a close that advises nothing."""
+        """Close as the final answer, with no advised pause."""
         self._close("ERR")
 
     def _close(self, reason: str) -> None:
@@ -177,17 +176,17 @@
         self.discard()
 
     def migrate(self) -> None:
-        """A stateless reset, which the client takes as the backend's own: it comes again with an Initial."""
+        """Send a stateless reset. The client takes it as the backend's own and reconnects with an Initial."""
         if self.upstream:
             self.front.adopt_paths(self, self.upstream.attempt.backend)
         self._reset()
 
     def has_disconnected(self) -> bool:
-        """A datagram client says nothing as it leaves."""
+        """Return False: a UDP client gives no sign when it disconnects."""
         return False
 
     def close(self, ending: ConnectionEnd) -> None:  # noqa: ARG002 - core's port
-        """The backend is gone: the client learns by a reset rather than by its own idle time."""
+        """Send a stateless reset when the backend is gone, so that the client need not wait for its idle timeout."""
         self._reset()
 
     def _reset(self) -> None:
@@ -201,7 +200,7 @@
 
 
 class QuicBackendConnection:
-    """One attempt at a backend, and after it the connection's place there."""
+    """One attempt at a backend and, once established, the connection to it."""
 
     def __init__(self, front: FrontTables, owner: QuicClientConnection, attempt: Attempt) -> None:
         self.front = front
@@ -210,13 +209,14 @@
         self.early_datagrams: list[bytes] = []
 
     def begin(self) -> None:
-        """Send all that the client has sent so far."""
+        """Send the backend all datagrams that the client has sent so far."""
         for datagram in list(self.owner.buffered):
             self.send(datagram, self.owner.client)
         self.attempt.advance(AttemptPhase.SENT)
 
     def send(self, datagram: bytes, client: Address) -> None:
-        """To the backend. Guards against a retransmit that opens a connection at a backend told to drain."""
+        """Send a datagram to the backend unless vetoed: a retransmission must not open a connection at a backend
+        that has begun to drain."""
         if self.attempt.send_veto() is None:
             self.attempt.advance(AttemptPhase.WRITING)
             path = self.front.get_path(client, self.attempt.backend, self.owner, self.owner.listener)
@@ -224,7 +224,7 @@
                 path.send(datagram)
 
     def on_backend_datagram(self, path: Path, datagram: bytes) -> None:
-        """From the backend while the attempt is out: only a sound answer counts."""
+        """Handle a backend's datagram while the attempt is in flight; anything but a valid answer is dropped."""
         owner = self.owner
         for packet in split(datagram, len(owner.client_id)):
             if packet.to_id != owner.client_id:
@@ -235,7 +235,7 @@
                     return
                 break
             if is_valid_retry(packet, owner.first_id):
-                if owner.used_retry:  # RFC 9000 17.2.5.2: a client takes one Retry only, and had ours
+                if owner.used_retry:  # RFC 9000 17.2.5.2: a client accepts one Retry only, and has used ours
                     self.attempt.end(Cause.ERROR)
                 else:
                     self._establish(packet, path, datagram)
@@ -250,13 +250,13 @@
         self.front.count_drop("unsound_answer")
 
     def _on_initial(self, opened: InitialPayload, packet: Packet, path: Path, datagram: bytes) -> None:
-        """Decide by the backend's Initial: an error, an established connection, or nothing yet."""
+        """Handle the backend's Initial: a close ends the attempt, a CRYPTO frame establishes the connection."""
         if opened.close_code is not None:
             full = opened.close_code == CONNECTION_REFUSED
             self.attempt.end(Cause.REJECTED if full else Cause.ERROR)
         elif opened.crypto:
             self._establish(packet, path, datagram)
-        else:  # only an ACK: no client may hear of a backend that doesn't go on
+        else:  # only an ACK: withheld from the client, as the backend may not continue the handshake
             self.front.count_drop("ack_only")
 
     def _establish(self, packet: Packet, path: Path, datagram: bytes) -> None:
@@ -266,14 +266,14 @@
         self.early_datagrams = []
 
     def close(self, ending: ConnectionEnd) -> None:  # noqa: ARG002 - core's port
-        """Its places are given back, so that what the backend still sends reaches nobody."""
+        """Close the connection's paths, so that the backend's late datagrams reach no client."""
         self.front.close_paths(self.owner)
         if self.owner.upstream is self and self.owner.is_connecting:
             self.owner.upstream = None
 
 
 def connection_for_path(front: Any, path: Path) -> QuicClientConnection:
-    """A connection for a path that has none: a connection from before this relay's start, or another relay's."""
+    """Create a connection for a path without one: it was opened before this relay's start, or at another relay."""
     owner = QuicClientConnection(
         front, path.listener, path.client, path.last_id, path.client_id if path.is_direct else b"", 0
     )
--- a/gradefront/quic/front.py
+++ b/gradefront/quic/front.py
@@ -1,8 +1,9 @@
-"""The QUIC front: an Initial with an unknown id is a connection that the core places; later packets go by id.
+"""The QUIC front: an Initial with an unknown id is a request that the core forwards; later packets are routed by id.
 
-Packets pass through, and QUIC ends at the backend. This front reads headers, and the payload of Initial
-packets only, whose keys anyone on the path can derive. A datagram's way: `listener.Listener` (known path: straight to
-its backend) or `take` below; back through `paths.Port`.
+Packets are passed through, and QUIC terminates at the backend. The front reads headers, and the payload of Initial
+packets only, whose keys any observer on the path can derive. A client's datagram arrives at `listener.Listener`,
+which sends it straight to the backend if its path is known and otherwise calls `on_client_datagram` below; the
+backend's datagrams return through `paths.Port`.
 """
 
 from __future__ import annotations
@@ -41,26 +42,26 @@
 from .tokens import TokenCheck, TokenVerdict
 
 MAX_USED_TOKENS = 16_384
-MAX_SHORT_HEADER_LENGTH = 21  # octets before the packet number: the first one and an id
+MAX_SHORT_HEADER_LENGTH = 21  # octets before the packet number: the first octet and an id
 MIN_RESET_LENGTH = 21  # octets of a stateless reset (RFC 9000 10.3)
-HELLO_TIMEOUT_US = 250_000  # how long a ClientHello in pieces is waited for; then the port tells the class
+HELLO_TIMEOUT_US = 250_000  # to wait for the rest of a ClientHello; after it the listening port decides the class
 
 
 class QuicFront(Maintenance):
-    """The front: its doors, and what becomes of each datagram that no known path takes."""
+    """The front's listeners, and the handling of client datagrams that the listeners know no path for."""
 
     def __init__(self, config: Config, quic: QuicConfig, core: RelayCore, reactor: Reactor) -> None:
         super().__init__(config, quic, core, reactor)
         self.listeners = [
-            Listener(self.hub, request_class, where, self.routes, self.lengths, self.on_client_datagram)
-            for request_class, where in quic.listen.items()
+            Listener(self.hub, request_class, address, self.routes, self.lengths, self.on_client_datagram)
+            for request_class, address in quic.listen.items()
         ]
         core.call_later(TICK_US, self._tick)
 
     # ---- from clients
 
     def on_client_datagram(self, listener: Listener, datagram: bytes, client: Address) -> None:
-        """A client's datagram that the listener knows no path for."""
+        """Handle a client's datagram that the listener knows no path for."""
         self.core.counters.add("quic_datagrams_in")
         if not datagram:
             self.count_drop("malformed")
@@ -91,11 +92,12 @@
             self._on_pending_datagram(owner, packets, datagram, client)
         elif owner or first.kind is Kind.HANDSHAKE:
             self._forward_by_id(listener, first.to_id, datagram, client)
-        else:  # 0-RTT without its Initial, or what no client sends
+        else:  # 0-RTT without its Initial, or a packet type that no client sends
             self.count_drop("unknown_id")
 
     def _on_unsupported_version(self, listener: Listener, head: Invariants, datagram: bytes, client: Address) -> None:
-        """RFC 9000 6 and RFC 8999: on a connection that stands, ids alone count; else we tell our versions."""
+        """Route a packet of an established connection by its id alone, as RFC 8999 permits; otherwise send Version
+        Negotiation (RFC 9000 6)."""
         owner = self.owners.get(head.to_id)
         if owner and owner.is_established:
             self._forward_by_id(listener, head.to_id, datagram, client)
@@ -108,12 +110,10 @@
     # ---- requests
 
     def _on_initial(self, listener: Listener, packets: list[Packet], datagram: bytes, client: Address) -> None:
-        """An Initial whose id no connection has: a request, whatever backend the id happens to name."""
+        """Handle an Initial with an unknown id: it is a request, even if the id happens to encode a backend."""
         first = packets[0]
         connection_id = first.to_id
-        if (
-            connection_id in self.final_answers
-        ):  # the answer was lost, or crossed with this: it is given again, not anew
+        if connection_id in self.final_answers:  # the answer was lost, or sent meanwhile: repeat the same one
             self.count_drop("answered")
             listener.reply(self.final_answers[connection_id][0], client)
             return
@@ -136,9 +136,7 @@
             self._accept(listener, packets, datagram, client, token_check if proven else None)
         elif verdict is Verdict.REQUIRE_PROOF and self.mint and self.retries.take(now):
             self.core.counters.add("quic_retries")
-            new_id = bytes([UNROUTABLE << 5]) + os.urandom(
-                MIN_FIRST_ID_LENGTH
-            )  # names no backend, whatever it is taken for
+            new_id = bytes([UNROUTABLE << 5]) + os.urandom(MIN_FIRST_ID_LENGTH)  # never decodes to a backend
             token = self.mint.make(client[:2], connection_id, new_id, now)
             listener.reply(make_retry(first.version, connection_id, first.from_id, new_id, token), client)
         elif verdict is Verdict.REJECT:
@@ -157,7 +155,7 @@
         client: Address,
         token_check: TokenCheck | None,
     ) -> None:
-        """Make a connection of an Initial that is admitted; `token_check`: the sound token that it carries."""
+        """Create a connection for an admitted Initial; `token_check` is set if the Initial has a valid token."""
         first = packets[0]
         opened = self._open(first, first.to_id)
         if opened is None or opened.close_code is not None:
@@ -173,13 +171,13 @@
     def _reject_token(
         self, listener: Listener, first: Packet, client: Address, verdict: TokenVerdict, now: int
     ) -> None:
-        """RFC 9000 8.1.2: a client whose Retry token isn't good is told, rather than left to time out."""
+        """Close with INVALID_TOKEN, so that a client with a bad Retry token need not time out (RFC 9000 8.1.2)."""
         self.count_drop(f"token_{verdict.value}")
         if self.admission.rejections.take(now):
             listener.reply(close_initial(first.version, first.to_id, first.from_id, "", INVALID_TOKEN), client)
 
     def _open(self, packet: Packet, first_id: bytes) -> InitialPayload | None:
-        """Open a client's Initial on the listener's budget of CPU."""
+        """Decrypt a client's Initial, and charge the time to the listeners' CPU budget."""
         began = time.perf_counter_ns()
         opened = open_initial(packet, first_id, from_client=True)
         self.admission.cpu.spend(self.now(), (time.perf_counter_ns() - began) / 1_000)
@@ -188,8 +186,9 @@
     def _on_stray_initial(
         self, listener: Listener, first: Packet, opened: InitialPayload | None, datagram: bytes, client: Address
     ) -> None:
-        """An Initial that is no request. It may belong to a connection that another relay set up, or this one
-        before a restart: its keys come from an id that is gone. It may go on where new work may go."""
+        """Handle an Initial that cannot be decrypted, or that closes. One that cannot be decrypted may belong to a
+        connection that another relay established, or this relay before a restart: its keys derive from an id that is
+        unknown here. It is routed by its id, but only to a backend that may get new requests."""
         backend = self._backend_of_id(first.to_id) if opened is None else None
         if backend and self.core.is_ready(backend):
             self._forward_by_id(listener, first.to_id, datagram, client)
@@ -216,7 +215,8 @@
         return owner
 
     def _read_hello(self, owner: QuicClientConnection, opened: InitialPayload) -> None:
-        """A ClientHello may tell the class better than the port does; it may come in several datagrams."""
+        """Submit the request once the ClientHello, which may span several datagrams, is complete. Its server name and
+        protocols take precedence over the listening port in the choice of the request class."""
         found = owner.read_hello(opened)
         if found is None:
             return
@@ -230,10 +230,10 @@
 
     def _submit(self, owner: QuicClientConnection, request_class: int) -> None:
         if owner.connection is None and owner in self.connections:
-            spent = self.now() - owner.created_us
-            timeout = max(1, self.config.settings.classes[request_class].deadline_us - spent)
+            waited_us = self.now() - owner.created_us
+            timeout_us = max(1, self.config.settings.classes[request_class].deadline_us - waited_us)
             owner.hello = None
-            owner.connection = self.core.accept(ConnectRequest(timeout, owner, request_class), owner, self)
+            owner.connection = self.core.accept(ConnectRequest(timeout_us, owner, request_class), owner, self)
 
     def _on_pending_datagram(
         self, owner: QuicClientConnection, packets: list[Packet], datagram: bytes, client: Address
@@ -251,19 +251,18 @@
                 self._read_hello(owner, opened)
         owner.buffer_datagram(datagram, client)
 
-    # ---- packets of connections that stand
+    # ---- packets of established connections
 
     def _forward_by_id(self, listener: Listener, connection_id: bytes, datagram: bytes, client: Address) -> None:
-        """A packet of a connection that stands goes to its backend, whatever address it comes from."""
+        """Send an established connection's packet to its backend, whatever client address it arrives from."""
         owner = self.owners.get(connection_id)
         if owner is not None and not owner.is_established:
             owner.buffer_datagram(datagram, client)
             return
         if owner is None and connection_id in self.moved_ids:
             self.count_drop("moved")
-            if (
-                len(datagram) > MIN_RESET_LENGTH + 1
-            ):  # RFC 9000 10.3.3: smaller than what it answers, so that no loop can run
+            # RFC 9000 10.3.3: a reset is smaller than the packet that it answers, so that resets cannot loop.
+            if len(datagram) > MIN_RESET_LENGTH + 1:
                 listener.reply(
                     stateless_reset(self.moved_ids[connection_id][0], connection_id, len(datagram) - 1), client
                 )
@@ -292,7 +291,7 @@
     def _record_use(
         self, owner: QuicClientConnection, connection_id: bytes, listener: Listener, client: Address
     ) -> None:
-        owner.add_id(connection_id)  # a fresh id on a known path is the same connection's
+        owner.add_id(connection_id)  # an unknown id on a known path belongs to the path's connection
         owner.client, owner.last_used_us, owner.listener = client, self.now(), listener
         if owner.upstream:
             owner.upstream.attempt.on_activity()
@@ -304,5 +303,5 @@
                 self.admission.credit(client[0], responded=True)
 
     def close(self) -> None:
-        """Stop listening."""
+        """Close all sockets."""
         self.hub.close()
--- a/gradefront/quic/headers.py
+++ b/gradefront/quic/headers.py
@@ -1,6 +1,6 @@
-"""QUIC headers as an edge reads them: RFC 8999 for every version, RFC 9000 17 and RFC 9369 for ours. No I/O.
+"""QUIC packet headers: RFC 8999 for every version, RFC 9000 17 and RFC 9369 for the supported versions. No I/O.
 
-A datagram comes from anyone: nothing here raises on what it holds. What can't be read is None or left out.
+Datagrams are untrusted: no function raises on their content. What cannot be parsed is returned as None or left out.
 """
 
 from __future__ import annotations
@@ -14,18 +14,20 @@
 V2 = 0x6B3343CF
 VERSIONS = (V1, V2)
 MIN_INITIAL_LENGTH = 1_200  # RFC 9000 14.1: a client's datagram with an Initial is at least this long
-MIN_FIRST_ID_LENGTH = 8  # RFC 9000 7.2: the id that a client makes up is at least this long
+MIN_FIRST_ID_LENGTH = 8  # RFC 9000 7.2: a client's first destination id is at least this long
 MAX_ID_LENGTH = 20  # RFC 9000 17.2
 TAG_LENGTH = 16  # octets of a stateless reset token and of an AEAD tag
-MAX_TOKEN_LENGTH = 512  # of an Initial; ours take 110, and a backend's has to fit a datagram with a ClientHello
-MAX_PACKETS = 8  # coalesced in one datagram: a flight has one for each of four keys
+#: In an Initial. The relay's tokens have 110 octets, and a backend's must fit in a datagram with a ClientHello.
+MAX_TOKEN_LENGTH = 512
+MAX_PACKETS = 8  # coalesced in one datagram; a flight has at most one packet for each of four encryption levels
 LONG_HEADER_BIT = 0x80
 FIXED_BIT = 0x40
-MIN_PAYLOAD_LENGTH = 4  # octets of packet number and payload: enough to sample (RFC 9001 5.4.2)
+#: Octets of packet number and payload: enough for the header protection sample (RFC 9001 5.4.2).
+MIN_PAYLOAD_LENGTH = 4
 
 
 class Kind(Enum):
-    """What a packet is."""
+    """A packet's type."""
 
     INITIAL = "initial"
     ZERO_RTT = "0-rtt"
@@ -50,21 +52,21 @@
     to_id: bytes
     from_id: bytes
     token: bytes
-    data: bytes  # the packet's own octets
-    payload_offset: int  # where the packet number begins, or what follows the ids
+    data: bytes  # the whole packet, without those coalesced with it
+    payload_offset: int  # of the packet number or, in packets without one, of the first octet after the ids
 
 
 class Invariants(NamedTuple):
-    """What RFC 8999 5.1 lets one read of a long header of any version."""
+    """The fields of a long header that are the same in every version (RFC 8999 5.1)."""
 
     version: int
     to_id: bytes
     from_id: bytes
-    end: int  # where the version's own part begins
+    end: int  # offset of the version-specific part
 
 
 def read_varint(data: bytes, start: int) -> tuple[int, int] | None:
-    """A variable-length integer (RFC 9000 16) and where it ends; None where the octets run out."""
+    """Return a variable-length integer (RFC 9000 16) and the offset after it; None if it is truncated."""
     if start >= len(data):
         return None
     size = 1 << (data[start] >> 6)
@@ -74,16 +76,16 @@
 
 
 def varint(value: int) -> bytes:
-    """A variable-length integer in its shortest form. Raises ValueError over 2^62 - 1."""
+    """Encode a variable-length integer in its shortest form. Raises ValueError if it is over 2^62 - 1."""
     for power, top in enumerate((6, 14, 30, 62)):
         if 0 <= value < 1 << top:
             size = 1 << power
             return (value | power << 8 * size - 2).to_bytes(size)
-    raise ValueError(f"{value} has no variable-length form")
+    raise ValueError(f"variable-length integer must be from 0 to 2^62 - 1, got {value}")
 
 
 def invariants(data: bytes, start: int = 0) -> Invariants | None:
-    """Read a long header's parts that no version changes. Ids may be of up to 255 octets here (RFC 8999 5.3)."""
+    """Read a long header's version-independent fields. Ids may have up to 255 octets here (RFC 8999 5.3)."""
     if len(data) < start + 7 or not data[start] & LONG_HEADER_BIT:
         return None
     pos = start + 6 + data[start + 5]
@@ -96,7 +98,7 @@
 
 
 def read_long(data: bytes, start: int = 0) -> Packet | None:
-    """Read one packet with a long header of a version of ours, from `at` on."""
+    """Read one packet with a long header of a supported version, beginning at `start`."""
     head = invariants(data, start)
     if head is None or head.version not in KINDS or not data[start] & FIXED_BIT:
         return None
@@ -122,8 +124,8 @@
 
 
 def split(datagram: bytes, id_length: int = 0) -> list[Packet]:
-    """The packets of a datagram, up to the first that makes no sense (RFC 9000 12.2). A short header ends it;
-    its id is taken to be of `id_length` octets."""
+    """Split a datagram into its packets, up to the first malformed one (RFC 9000 12.2). A packet with a short header
+    is the last; its id is assumed to have `id_length` octets."""
     packets: list[Packet] = []
     start = 0
     while start < len(datagram) and len(packets) < MAX_PACKETS:
@@ -158,8 +160,8 @@
 
 
 def version_negotiation(head: Invariants) -> bytes:
-    """RFC 8999 6 and RFC 9000 17.2.1: the client's ids the other way round, our versions, and one that no one
-    speaks (RFC 9000 15), so that nobody comes to rely on the list."""
+    """Build a Version Negotiation packet (RFC 8999 6, RFC 9000 17.2.1): the client's ids swapped, the supported
+    versions, and a reserved version (RFC 9000 15), so that clients do not come to rely on a fixed list."""
     grease = 0x0A0A0A0A | int.from_bytes(os.urandom(4)) & 0xF0F0F0F0
     return b"".join(
         (
@@ -175,17 +177,18 @@
 
 
 def first_octet(version: int, kind: Kind, low: int) -> int:
-    """The first octet of a long header."""
+    """Return the first octet of a long header; `low` holds its four lowest bits."""
     return LONG_HEADER_BIT | FIXED_BIT | KINDS[version].index(kind) << 4 | low
 
 
 def reset_token(key: bytes, connection_id: bytes) -> bytes:
-    """The token that a backend gives out with an id: the start of HMAC-SHA256 of the id by its key."""
+    """Return the stateless reset token that a backend issues with an id: the HMAC-SHA256 of the id, truncated."""
     return hmac.digest(key, connection_id, "sha256")[:TAG_LENGTH]
 
 
 def stateless_reset(key: bytes, connection_id: bytes, space: int = 43) -> bytes:
-    """RFC 9000 10.3: looks like a short packet, ends in the token; at least 21 octets, at most `room`."""
+    """Build a stateless reset (RFC 9000 10.3), which resembles a packet with a short header and ends in the token.
+    It has min(space, 43) octets, but never fewer than 21."""
     noise = bytearray(os.urandom(max(5, min(space, 43) - TAG_LENGTH)))
     noise[0] = FIXED_BIT | noise[0] & 0x3F
     return bytes(noise) + reset_token(key, connection_id)
--- a/gradefront/quic/hello.py
+++ b/gradefront/quic/hello.py
@@ -1,42 +1,42 @@
-"""The ClientHello, put together from CRYPTO frames that come in any order, and read for its server name and
-protocols (RFC 8446 4.1.2, RFC 6066 3, RFC 7301 3.1). Bounded, no I/O; nothing raises on what a client sends."""
+"""Reassembly of a ClientHello from CRYPTO frames in any order, and the parsing of its server name and ALPN protocols
+(RFC 8446 4.1.2, RFC 6066 3, RFC 7301 3.1). Memory is bounded; no I/O. Bad input raises InvalidHelloError only."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-MAX_HELLO_LENGTH = 16_384  # post-quantum key shares make 1.8 KB; no sane client comes near this
-MAX_FRAGMENTS = 64  # out of order at once
+MAX_HELLO_LENGTH = 16_384  # octets; far above real ones: about 1.8 KB with post-quantum key shares
+MAX_FRAGMENTS = 64  # held out of order at a time
 CLIENT_HELLO = 1
-HANDSHAKE_HEADER = 4  # octets: the message's type and its length
+HANDSHAKE_HEADER = 4  # octets of the message's type and length
 SERVER_NAME, ALPN = 0, 16
 MAX_PROTOCOLS = 16
 
 
 class Hello(NamedTuple):
-    """What a ClientHello asks for."""
+    """The server name and ALPN protocols of a ClientHello."""
 
     server_name: str
     protocols: tuple[str, ...]
 
 
 class InvalidHelloError(Exception):
-    """What came is no ClientHello, or not within bounds."""
+    """The data is not a valid ClientHello or exceeds a bound."""
 
 
 class HelloReader:
-    """Takes CRYPTO frames; tells the hello once it is whole."""
+    """Reassembles a ClientHello from CRYPTO frames."""
 
     def __init__(self) -> None:
-        self.text = bytearray()  # what has come without a gap
+        self.text = bytearray()  # the contiguous data received so far
         self.pending: dict[int, bytes] = {}
         self.held = 0
 
     def take(self, offset: int, fragment: bytes) -> None:
-        """Add one frame; a known piece changes nothing. Raises InvalidHelloError where a bound is broken."""
+        """Add one frame; repeated data has no effect. Raises InvalidHelloError if a bound is exceeded."""
         end = offset + len(fragment)
         if end > MAX_HELLO_LENGTH:
-            raise InvalidHelloError("a ClientHello of more than 16 KiB")
+            raise InvalidHelloError(f"ClientHello is too long: got {end} octets, limit {MAX_HELLO_LENGTH}")
         if end <= len(self.text) or not fragment:
             return
         if offset > len(self.text):
@@ -45,7 +45,7 @@
                 self.held += len(fragment) - len(present)
                 self.pending[offset] = fragment
             if len(self.pending) > MAX_FRAGMENTS or self.held > 2 * MAX_HELLO_LENGTH:
-                raise InvalidHelloError("a ClientHello in too many pieces")
+                raise InvalidHelloError(f"ClientHello has too much data out of order: {len(self.pending)} fragments")
             return
         self.text += fragment[len(self.text) - offset :]
         for pos in sorted(self.pending):
@@ -56,47 +56,49 @@
             self.text += fragment_ahead[len(self.text) - pos :]
 
     def hello(self) -> Hello | None:
-        """The hello; None while a part is missing. Raises InvalidHelloError."""
+        """Return the ClientHello, or None while a part is missing. Raises InvalidHelloError."""
         text = self.text
         if text and text[0] != CLIENT_HELLO:
-            raise InvalidHelloError("the handshake begins with another message")
+            raise InvalidHelloError(f"handshake message type is {text[0]}, expected {CLIENT_HELLO} (ClientHello)")
         if len(text) < HANDSHAKE_HEADER:
             return None
         length = int.from_bytes(text[1:4])
         if length > MAX_HELLO_LENGTH - HANDSHAKE_HEADER:
-            raise InvalidHelloError("a ClientHello of more than 16 KiB")
+            raise InvalidHelloError(
+                f"ClientHello is too long: got {length} octets, limit {MAX_HELLO_LENGTH - HANDSHAKE_HEADER}"
+            )
         if len(text) < HANDSHAKE_HEADER + length:
             return None
         return read_hello(bytes(text[HANDSHAKE_HEADER : HANDSHAKE_HEADER + length]))
 
 
 class _VectorReader:
-    """Vectors of TLS: a length, then so many octets."""
+    """Reads TLS vectors: a length field, followed by that number of octets."""
 
     def __init__(self, text: bytes) -> None:
         self.text = text
         self.pos = 0
 
     def take(self, size: int) -> bytes:
-        """So many octets. Raises InvalidHelloError where they run out."""
+        """Read `size` octets. Raises InvalidHelloError if fewer are left."""
         end = self.pos + size
         if end > len(self.text):
-            raise InvalidHelloError("a ClientHello that ends early")
+            raise InvalidHelloError(f"ClientHello is truncated: got {len(self.text)} octets, expected at least {end}")
         fragment, self.pos = self.text[self.pos : end], end
         return fragment
 
     def vector(self, size: int) -> bytes:
-        """Octets after their length, which is told in `size` octets."""
+        """Read a vector whose length field has `size` octets."""
         return self.take(int.from_bytes(self.take(size)))
 
     @property
     def has_more(self) -> bool:
-        """Whether anything is left."""
+        """Whether octets are left to read."""
         return self.pos < len(self.text)
 
 
 def read_hello(body: bytes) -> Hello:
-    """Read a whole ClientHello's body. Raises InvalidHelloError."""
+    """Parse the body of a complete ClientHello. Raises InvalidHelloError."""
     reader = _VectorReader(body)
     reader.take(2 + 32)  # version, random
     reader.vector(1)  # session id
--- a/gradefront/quic/ids.py
+++ b/gradefront/quic/ids.py
@@ -1,8 +1,8 @@
-"""Connection ids that name their backend: draft-ietf-quic-load-balancers, all of its forms.
+"""Connection ids that encode their backend's server id, in all formats of draft-ietf-quic-load-balancers.
 
-An id is a first octet (3 bits: number of the configuration; 5 bits: length of the rest, or noise), a server id
-and a nonce. The latter two are plain, or hidden with AES-128-ECB: in a single pass where they make 16 octets
-together, else in the four passes of a Feistel network (section 5.4 of the draft). No I/O.
+An id consists of a first octet (3 bits: number of the configuration; 5 bits: length of the rest, or random bits), a
+server id and a nonce. The latter two are in plaintext or encrypted with AES-128-ECB: in a single pass if they have 16
+octets together, otherwise in the four passes of a Feistel network (section 5.4 of the draft). No I/O.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 from cryptography.hazmat.primitives.ciphers import Cipher, algorithms, modes
 
-MAX_ID_LENGTH = 20  # RFC 9000 17.2; the draft keeps one octet of it for itself
-UNROUTABLE = 7  # 0b111: the number of ids that name no backend (section 3.1 of the draft)
+MAX_ID_LENGTH = 20  # RFC 9000 17.2; the draft uses one of these octets for itself
+UNROUTABLE = 7  # 0b111: the configuration number of ids that encode no backend (section 3.1 of the draft)
 KEY_LENGTH = 16
 MAX_SERVER_ID_LENGTH = 15  # octets, as the draft allows
 MIN_NONCE_LENGTH, MAX_NONCE_LENGTH = 4, 18
@@ -24,7 +24,7 @@
 
 
 class Decoded(NamedTuple):
-    """What an id holds."""
+    """The decoded fields of an id."""
 
     config_id: int
     server_id: bytes
@@ -32,23 +32,23 @@
 
 
 class _Aes:
-    """AES-128-ECB of single blocks. One context a direction is kept: making one costs more than its use."""
+    """AES-128-ECB of single blocks. The contexts are reused, as creating one costs more than its use."""
 
     def __init__(self, key: bytes) -> None:
-        cipher = Cipher(algorithms.AES(key), modes.ECB())  # noqa: S305 - the draft's own choice, one block an id
+        cipher = Cipher(algorithms.AES(key), modes.ECB())  # noqa: S305 - the draft prescribes ECB; one block for each id
         self.encrypt = cipher.encryptor().update
         self.decrypt = cipher.decryptor().update
 
 
 @dataclass(slots=True, frozen=True)
 class IdForm:
-    """One configuration. Raises ValueError, whose text begins with the field, where it makes no sense."""
+    """One configuration of ids. Raises ValueError if it is invalid; the text begins with the name of the field."""
 
     number: int
     server_id_length: int
     nonce_length: int
     encodes_length: bool = True
-    key: bytes | None = field(default=None, repr=False)  # never shown: a log line may hold a form
+    key: bytes | None = field(default=None, repr=False)  # kept out of repr: an IdForm may be logged
     _aes: _Aes | None = field(default=None, init=False, repr=False, compare=False)
 
     def __post_init__(self) -> None:
@@ -67,11 +67,11 @@
 
     @property
     def length(self) -> int:
-        """The length of a whole id."""
+        """The length of a whole id in octets."""
         return 1 + self.server_id_length + self.nonce_length
 
     def make(self, server_id: bytes, nonce: bytes | None = None) -> bytes:
-        """An id for a backend, fresh unless the nonce is given. Raises ValueError on a wrong length."""
+        """Make an id for a backend, with a random nonce unless one is given. Raises ValueError on a wrong length."""
         if len(server_id) != self.server_id_length:
             raise ValueError(f"server_id: must be {self.server_id_length} octets")
         nonce = os.urandom(self.nonce_length) if nonce is None else nonce
@@ -84,7 +84,7 @@
         return bytes([self.number << 5 | low_bits]) + body
 
     def decode(self, connection_id: bytes) -> Decoded | None:
-        """What an id holds, or None where it isn't of this form. Octets after the id are let be."""
+        """Decode an id; None if it does not belong to this configuration. Octets after the id are ignored."""
         length = self.length
         if len(connection_id) < length or connection_id[0] >> 5 != self.number:
             return None
@@ -98,17 +98,17 @@
         return Decoded(self.number, plain[: self.server_id_length], plain[self.server_id_length :])
 
     def read(self, connection_id: bytes) -> bytes | None:
-        """The server id that an id holds, or None where it isn't of this form."""
+        """Return the server id that an id encodes; None if it does not belong to this configuration."""
         decoded = self.decode(connection_id)
         return decoded.server_id if decoded else None
 
 
-# ---- the four-pass form. Halves are held as whole numbers; `half` is their length in octets. With an odd number
-# of octets both halves own four bits of the middle one: the left its high ones, the right its low ones.
+# ---- four-pass encryption. The halves are integers; `half_length` is their length in octets. If the number of octets
+# is odd, the halves share the middle octet: the left half has its high four bits, the right half its low ones.
 
 
 def _split_halves(text: bytes) -> tuple[int, int, int, int, int]:
-    """Halves, their length, and the masks that clear the nibble that each doesn't own."""
+    """Return both halves, their length, and the masks that clear the nibble belonging to the other half."""
     size = len(text)
     half_length = -(-size // 2)
     full_mask = (1 << 8 * half_length) - 1
@@ -123,13 +123,13 @@
 
 
 def _round_value(aes: _Aes, value: int, half_length: int, size: int, number: int) -> int:
-    """Leading octets of AES-ECB(half, zeros up to 14 octets, size, number of the pass)."""
+    """Return the leading octets of AES-ECB(half, zeros up to 14 octets, size, number of the pass)."""
     block = value.to_bytes(half_length) + bytes(14 - half_length) + bytes((size, number))
     return int.from_bytes(aes.encrypt(block)[:half_length])
 
 
 def _feistel_passes(aes: _Aes, text: bytes, order: Iterable[int]) -> bytes:
-    """The passes in this order, 1 to 4 to hide and 4 to 1 to show: each one undoes itself."""
+    """Apply the passes in the given order: 1 to 4 encrypts, 4 to 1 decrypts, as each pass is its own inverse."""
     size = len(text)
     left, right, half_length, left_mask, right_mask = _split_halves(text)
     for number in order:
@@ -141,9 +141,9 @@
 
 
 class IdDecoder:
-    """All configurations that are live, told apart by the 3 bits, with decoded ids cached in bounded memory.
+    """Decoder for all active configurations, which the first 3 bits of an id select, with a bounded cache of results.
 
-    When the cache is full its older half goes: ids in use come back at the price of one decoding each.
+    When the cache is full, its older half is evicted; ids still in use are then decoded once more.
     """
 
     def __init__(self, forms: Iterable[IdForm], cache_size: int = DEFAULT_CACHE_SIZE) -> None:
@@ -157,14 +157,15 @@
         self.cache: dict[bytes, tuple[int, bytes] | None] = {}
 
     def short_header_id(self, datagram: bytes) -> bytes | None:
-        """The id in a short header (RFC 8999 5.2), by the length of its configuration."""
-        if len(datagram) <= 1:  # no octet of an id
+        """Return the id in a short header (RFC 8999 5.2), whose length depends on its configuration; None if the
+        datagram is too short or the configuration unknown."""
+        if len(datagram) <= 1:  # has no octet of an id
             return None
         length = self.lengths[datagram[1] >> 5]
         return datagram[1 : 1 + length] if length and len(datagram) > length else None
 
     def server_id_of(self, connection_id: bytes) -> tuple[int, bytes] | None:
-        """Configuration and server id that an id names, or None."""
+        """Return the configuration number and server id that an id encodes, or None."""
         try:
             return self.cache[connection_id]
         except KeyError:
--- a/gradefront/quic/initials.py
+++ b/gradefront/quic/initials.py
@@ -1,6 +1,7 @@
-"""Initial packets: opened and made with the keys that anyone on the path can derive (RFC 9001 5.2). No I/O.
+"""Initial packets: decryption and encryption with keys that any observer on the path can derive (RFC 9001 5.2).
 
-Keys are derived with plain HMACs and one AEAD call a packet: under a flood this is what an Initial costs.
+No I/O. Keys are derived with plain HMACs, and each packet takes one AEAD call: under a flood this is the cost of an
+Initial.
 """
 
 from __future__ import annotations
@@ -18,9 +19,9 @@
 
 CONNECTION_REFUSED = 0x02  # RFC 9000 20.1
 INVALID_TOKEN = 0x0B
-SAMPLE_LENGTH = 16  # octets for header protection (RFC 9001 5.4.2)
-RANGE_COUNT_FIELD = 2  # the field's place in an ACK frame (RFC 9000 19.3)
-MAX_CACHED_KEYS = 512  # derived keys remembered: those of connections that wait
+SAMPLE_LENGTH = 16  # octets sampled for header protection (RFC 9001 5.4.2)
+RANGE_COUNT_FIELD = 2  # index of the ACK Range Count field in an ACK frame (RFC 9000 19.3)
+MAX_CACHED_KEYS = 512  # derived keys kept in the cache, for pending connections
 
 SALTS = {
     V1: bytes.fromhex("38762cf7f55934b34d179ae6a4c80cadccbb7f0a"),  # RFC 9001 5.2
@@ -43,7 +44,7 @@
 
 
 class InitialKeys(NamedTuple):
-    """What protects one side's Initials."""
+    """The keys that protect one side's Initials."""
 
     key: bytes
     iv: bytes
@@ -51,15 +52,15 @@
 
 
 class InitialPayload(NamedTuple):
-    """What an Initial holds, as far as an edge cares."""
+    """The fields of an Initial's payload that the front needs."""
 
     close_code: int | None = None
-    crypto: tuple[tuple[int, bytes], ...] = ()  # offset and octets of each piece of the TLS handshake
+    crypto: tuple[tuple[int, bytes], ...] = ()  # offset and data of each CRYPTO frame
     acks: bool = False
 
 
 def _hkdf_expand_label(secret: bytes, label: bytes, length: int) -> bytes:
-    """HKDF-Expand-Label (RFC 8446 7.1) of at most one block, with no context."""
+    """HKDF-Expand-Label (RFC 8446 7.1) with an empty context, for at most one hash block of output."""
     name = b"tls13 " + label
     info = length.to_bytes(2) + bytes([len(name)]) + name + b"\x00"
     return hmac.digest(secret, info + b"\x01", "sha256")[:length]
@@ -67,7 +68,7 @@
 
 @lru_cache(maxsize=MAX_CACHED_KEYS)
 def derive_initial_keys(version: int, first_id: bytes, client: bool) -> InitialKeys:
-    """The keys of the client's or the server's Initials, from the id that the client wrote to first."""
+    """Derive the keys of the client's or the server's Initials from the client's first destination id."""
     common = hmac.digest(SALTS[version], first_id, "sha256")
     secret = _hkdf_expand_label(common, b"client in" if client else b"server in", 32)
     key, iv, header = LABELS[version]
@@ -83,7 +84,7 @@
 
 
 def open_initial(packet: Packet, first_id: bytes, from_client: bool) -> InitialPayload | None:
-    """Open an Initial with the keys of the client's first id; None where it isn't sound."""
+    """Decrypt an Initial with the keys derived from the client's first id; None if it is invalid."""
     if packet.kind is not Kind.INITIAL or packet.version not in SALTS:
         return None
     data, pos = packet.data, packet.payload_offset
@@ -105,13 +106,13 @@
 
 
 def read_frames(payload: bytes) -> InitialPayload | None:
-    """The frames that an Initial may hold (RFC 9000 12.4); None where there is another, or none at all."""
+    """Parse the frames that an Initial may contain (RFC 9000 12.4); None if there is any other frame, or no frame."""
     crypto: list[tuple[int, bytes]] = []
     pos, acks, end = 0, False, len(payload)
     while pos < end:
         kind = payload[pos]
         pos += 1
-        if kind == PADDING:  # mostly the greater part of a datagram: skipped in one go
+        if kind == PADDING:  # often most of a datagram, therefore skipped at once
             pos = end - len(payload[pos:].lstrip(b"\x00"))
         elif kind == PING:
             continue
@@ -137,7 +138,7 @@
 
 
 def _skip_ack(payload: bytes, pos: int, with_ecn: bool) -> int | None:
-    """Where an ACK frame ends (RFC 9000 19.3)."""
+    """Return the offset after an ACK frame (RFC 9000 19.3); None if it is truncated."""
     ranges = 0
     for field in range(4):  # largest, delay, count of ranges, first range
         found = read_varint(payload, pos)
@@ -164,9 +165,9 @@
     token: bytes = b"",
     number: int = 0,
 ) -> bytes:
-    """An Initial packet, protected."""
+    """Build an encrypted Initial packet."""
     keys = derive_initial_keys(version, first_id, from_client)
-    payload = payload.ljust(4, b"\x00")  # RFC 9001 5.4.2: enough octets to sample
+    payload = payload.ljust(4, b"\x00")  # RFC 9001 5.4.2: enough octets for the header protection sample
     size = 2
     header = b"".join(
         (
@@ -191,14 +192,15 @@
 def close_initial(
     version: int, first_id: bytes, client_id: bytes, reason: str, code: int = CONNECTION_REFUSED
 ) -> bytes:
-    """A server's Initial that closes. It is a tenth of the least Initial that it answers (RFC 9000 8.1)."""
+    """Build a server's Initial with a CONNECTION_CLOSE. Its size is a tenth of the smallest Initial that it answers,
+    well within the anti-amplification limit (RFC 9000 8.1)."""
     text = reason.encode()
     frame = bytes([CONNECTION_CLOSE_TYPES[0]]) + varint(code) + b"\x00" + varint(len(text)) + text
     return seal_initial(version, first_id, client_id, os.urandom(8), frame)
 
 
 def busy_reason(pause_us: int) -> str:
-    """The reason of a close that refuses: when to come again, in milliseconds, where that is advised."""
+    """Return the reason phrase of a rejection, with the advised pause in milliseconds unless it is 0."""
     return f"BUSY {-(-pause_us // 1000)}" if pause_us else "BUSY"
 
 
@@ -208,7 +210,7 @@
 
 
 def make_retry(version: int, first_id: bytes, client_id: bytes, new_id: bytes, token: bytes) -> bytes:
-    """A Retry packet (RFC 9000 17.2.5): come again with this token, to this id."""
+    """Build a Retry packet (RFC 9000 17.2.5), which asks the client for an Initial with `token`, to `new_id`."""
     body = b"".join(
         (
             bytes([first_octet(version, Kind.RETRY, os.urandom(1)[0] & 0x0F)]),
@@ -224,7 +226,8 @@
 
 
 def is_valid_retry(packet: Packet, first_id: bytes) -> bool:
-    """Whether a Retry was made by someone who saw the client's Initial (RFC 9001 5.8)."""
+    """Return whether a Retry's integrity tag matches the first id of the client's Initial, which shows that the
+    sender of the Retry saw that Initial (RFC 9001 5.8)."""
     if packet.kind is not Kind.RETRY or packet.version not in RETRY_KEYS:
         return False
     tag = _retry_tag(packet.version, first_id, packet.data[:-TAG_LENGTH])
--- a/gradefront/quic/listener.py
+++ b/gradefront/quic/listener.py
@@ -1,4 +1,4 @@
-"""The second front's listening sockets: a datagram along a known path goes straight to its backend."""
+"""The QUIC front's listening sockets, which send datagrams of known paths straight to their backends."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 log = logging.getLogger("gradefront.quic")
 
-MAX_DATAGRAM_LENGTH = 9_216  # jumbo frames; QUIC over more doesn't cross a network
-MAX_BATCH = 64  # datagrams read in one go, so that timers and other sockets get their turn
-SOCKET_BUFFER = 4 << 20  # asked of the system for the listeners: a batch must not overrun while the module thinks
+MAX_DATAGRAM_LENGTH = 9_216  # jumbo frames; larger QUIC datagrams do not cross a network
+MAX_BATCH = 64  # datagrams read in one call, so that timers and other sockets are not starved
+SOCKET_BUFFER = 4 << 20  # requested of the kernel: must hold what arrives while the decision module runs
 
 
 class Listener(Socket):
-    """Where clients of one class come in. Packets of paths that stand pass here and nowhere else."""
+    """The listening socket of one request class. Client packets of known paths are handled here alone."""
 
-    def __init__(  # noqa: PLR0913 - tables that the front shares with its listeners
+    def __init__(  # noqa: PLR0913 - the front shares its tables with its listeners
         self,
         hub: Hub,
         request_class: int,
@@ -38,7 +38,7 @@
         self.on_datagram = on_datagram
 
     def read(self) -> int:
-        """Clients' datagrams: by id along a path that is known, all others by the front's tables."""
+        """Read client datagrams: those whose id has a known path are sent along it, all others go to the front."""
         routes, lengths, recvfrom = self.routes.get, self.lengths, self.recvfrom
         for count in range(MAX_BATCH):
             try:
@@ -57,14 +57,14 @@
                         path.on_send_failed()
                     continue
             try:
-                self.on_datagram(self, datagram, client)  # whole: an IPv6 sender has its scope
-            except Exception:  # guards the relay: an exception ends with this datagram
-                log.exception("a client's datagram failed")
+                self.on_datagram(self, datagram, client)  # the whole address: an IPv6 sender's includes its scope
+            except Exception:  # an exception affects this datagram only, not the relay
+                log.exception("failed to process a datagram from client %s", client)
             if self.closed:
                 break
         return MAX_BATCH
 
     def reply(self, datagram: bytes, client: Address) -> None:
-        """To a client."""
+        """Send a datagram to a client; send errors are ignored."""
         with suppress(OSError):
             self.sendto(datagram, client)
--- a/gradefront/quic/maintenance.py
+++ b/gradefront/quic/maintenance.py
@@ -1,4 +1,4 @@
-"""What the QUIC front looks after by the clock: who has gone, what has fallen silent, and whose a path is."""
+"""Periodic checks of the QUIC front: idle and silent connections, removed backends, paths without a connection."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 log = logging.getLogger("gradefront.quic")
 
-TICK_US = 125_000  # between two looks at a part of the tables; all are looked at in eight of them
+TICK_US = 125_000  # between two checks, each of which covers an eighth of the tables
 TICKS_PER_SWEEP = 8
-SILENCE_TIMEOUT_US = 5_000_000  # a backend that answers none of several datagrams for so long is gone
-SILENCE_MIN_DATAGRAMS = 4
-ADDRESS_CHANGE_IDLE_US = (
-    5_000_000  # devices speak every 2 s: one quiet for longer may have gone on at another address
-)
-UNOWNED_PATH_US = 6_000_000  # a path that no connection took over by then is a connection of its own
-RESTART_WINDOW_US = 10_000_000  # after a start paths are adopted at once: no connection of ours can have left them
-MIN_DATAGRAMS_EACH_WAY = 2  # datagrams each way that show a connection which goes on
+SILENCE_TIMEOUT_US = 5_000_000  # a backend that leaves several datagrams unanswered for so long is considered gone
+SILENCE_MIN_DATAGRAMS = 4  # unanswered datagrams needed for that
+#: Devices send every 2 s: one that is quiet for longer may have moved to another address.
+ADDRESS_CHANGE_IDLE_US = 5_000_000
+UNOWNED_PATH_US = 6_000_000  # a path that no connection takes over within this time gets a connection of its own
+#: After a start, paths are adopted at once: no connection that this relay established can have moved to them.
+RESTART_WINDOW_US = 10_000_000
+MIN_DATAGRAMS_EACH_WAY = 2  # show that a connection is in use
 SERVING_STATES = (BackendState.READY, BackendState.DRAINING)
 
 
 class Maintenance(Tables):
-    """Looks at a part of the tables at a time, and tells the core."""
+    """Checks a part of the tables at each tick, and reports to the core."""
 
     def connect(self, attempt: Attempt, request_line: object) -> BackendConnection:
-        """Begin an attempt."""
+        """Begin an attempt at a backend."""
         assert isinstance(request_line, QuicClientConnection)
         upstream = request_line.upstream = QuicBackendConnection(self, request_line, attempt)
-        if request_line.adopted_path is not None:  # it stands there already
+        if request_line.adopted_path is not None:  # it is established already
             attempt.upstream = upstream
             attempt.succeed(None)
         elif attempt.backend not in self.quic.backends:
@@ -58,11 +58,10 @@
                 break
             self._end_unconfirmed(owner)
         self._end_gone_backends()
-        if (
-            now - self.started_us < RESTART_WINDOW_US + UNOWNED_PATH_US
-        ):  # later no path is young enough for the question
+        # Later, all paths from the restart window are older than UNOWNED_PATH_US: _predates_start is not needed.
+        if now - self.started_us < RESTART_WINDOW_US + UNOWNED_PATH_US:
             self.first_placed_us = self._find_first_placed()
-        # An eighth of the paths, the oldest first, each to the end of the line; then an eighth of the connections.
+        # An eighth of the paths, oldest first, each moved to the end of the order; then an eighth of the connections.
         for path in list(islice(self.route_ids, len(self.route_ids) // TICKS_PER_SWEEP + 1)):
             self.route_ids[path] = self.route_ids.pop(path)
             self._check_path(path, now)
@@ -73,7 +72,8 @@
                 self._check_connection(owner, now)
 
     def _end_unconfirmed(self, owner: QuicClientConnection) -> None:
-        """The backend answered, and no client went on: a made-up sender, or one who left."""
+        """End a connection whose client did not continue after the backend's answer: its address was spoofed, or it
+        has disconnected."""
         self.core.counters.add("quic_unconfirmed")
         self.admission.credit(owner.client[0], responded=False)
         if owner.connection:
@@ -81,7 +81,7 @@
         owner.discard()
 
     def _end_gone_backends(self) -> None:
-        """A backend that the list no longer names gets nothing more, by any path."""
+        """End all connections and paths to backends that have left the endpoint list."""
         for backend in self.quic.backends:
             serving = self.core.backends.state(backend) in SERVING_STATES
             if self.was_serving.get(backend, True) and not serving:
@@ -125,13 +125,15 @@
             self._adopt_unowned_path(path)
 
     def _predates_start(self, path: Path) -> bool:
-        """Whether a path without a connection goes on from before this relay's start: no connection that was placed
-        since can have left its old address for it."""
+        """Return whether a path without a connection must belong to a connection from before this relay's start: it
+        is as old as any connection that this relay has established at the backend, so that none of them can have
+        moved to it from another address."""
         first = self.first_placed_us.get(path.backend)
         return path.created_us - self.started_us < RESTART_WINDOW_US and (first is None or first >= path.created_us)
 
     def _find_first_placed(self) -> dict[str, int]:
-        """By backend, since when the first of the connections there that this relay placed has been."""
+        """Return, by backend, when the first of this relay's current connections there was created; adopted ones do
+        not count."""
         since: dict[str, int] = {}
         for v in self.connections:
             if v.adopted_path is None and v.upstream:
@@ -140,7 +142,8 @@
         return since
 
     def _adopt_unowned_path(self, path: Path) -> None:
-        """A path that no connection has, and on which both sides speak: the module must count it."""
+        """Create a connection for a path without one on which both sides send, so that the decision module counts
+        it."""
         owner = connection_for_path(self, path)
         self.connections[owner] = None
         self._assign_owner(path, owner)
@@ -161,25 +164,27 @@
         if owner.unanswered >= SILENCE_MIN_DATAGRAMS and now - owner.unanswered_since_us > SILENCE_TIMEOUT_US:
             attempt.end(Cause.TIMED_OUT, ConnectionEnd.BROKEN)
         elif now - owner.last_used_us > ADDRESS_CHANGE_IDLE_US and self.adopt_paths(owner, attempt.backend):
-            log.debug("connection %d goes on at another address", owner.connection.number)
+            log.debug("connection %d continues at another client address", owner.connection.number)
         elif now - owner.last_used_us > self.quic.connection_idle_us:
             log.info("connection %d at backend %s has expired idle", owner.connection.number, attempt.backend)
             self.core.on_client_closed(owner.connection, ConnectionEnd.ORDERLY)
             owner.discard()
 
     def adopt_paths(self, owner: QuicClientConnection, backend: str) -> bool:
-        """A connection that takes a new address and a fresh id at once can't be told from others, by QUIC's
-        design. So a connection that has gone quiet takes over the paths at its backend that no connection has and
-        that began since: the core goes on holding one connection for each connection, and a move reaches its
-        client."""
+        """Give a quiet connection the paths at its backend that have no connection and were opened since its last
+        use; return whether there were any.
+
+        A connection that changes its address and id at once cannot be recognised, by QUIC's design. This rule keeps
+        one connection in the core for each QUIC connection, so that a migration reaches its client.
+        """
         found = False
         for path in list(owner.paths.values()):
             if self.update_usage(path, self.now())[0]:
                 owner.last_used_us = self.now()
-        while lone := [
+        while candidates := [
             p for p in self.unowned.values() if p.backend == backend and p.created_us > owner.last_used_us
         ]:
-            path = min(lone, key=lambda p: p.created_us)
+            path = min(candidates, key=lambda p: p.created_us)
             self.update_usage(path, self.now())
             self._assign_owner(path, owner)
             owner.add_id(path.last_id)
--- a/gradefront/quic/settings.py
+++ b/gradefront/quic/settings.py
@@ -1,4 +1,4 @@
-"""The types of `quic.json`. A field that isn't here is an error: a slip of the pen must not switch a limit off."""
+"""The types of `quic.json`. Unknown fields are errors, so that a misspelt name cannot silently disable a limit."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class Section(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What all parts of the file share."""
+    """Base of all sections of the file."""
 
 
 class Ids(Section, frozen=True):
-    """One configuration of ids (draft-ietf-quic-load-balancers)."""
+    """One configuration of connection ids (draft-ietf-quic-load-balancers)."""
 
     config_id: int
     server_id_length: int
@@ -28,7 +28,7 @@
 
 
 class BackendEntry(Section, frozen=True):
-    """A backend."""
+    """A backend's entry under `boxes`."""
 
     address: str
     reset_key: str
@@ -37,7 +37,7 @@
 
 
 class RetryKey(Section, frozen=True):
-    """One key of the sequence that relays and backends share."""
+    """One of the Retry token keys that relays and backends share."""
 
     sequence: Annotated[int, Meta(ge=0, le=127)]
     iv: str
@@ -55,7 +55,7 @@
 
 
 class ListenerLimits(Section, frozen=True):
-    """What the listener bears; rates are a second."""
+    """Limits of the listeners; rates are per second."""
 
     pressure: Rate = 200.0
     address_rate: Rate = 100.0
@@ -72,7 +72,7 @@
 
 
 class Classes(Section, frozen=True):
-    """Which class a connection is of, where its ClientHello tells more than its port."""
+    """Request classes by ALPN protocol and server name, which take precedence over the listening port."""
 
     alpn: dict[str, str] = {}
     sni: dict[str, str] = {}
@@ -82,7 +82,8 @@
     """The whole file."""
 
     listen: dict[str, str]
-    backends: dict[str, Any] = msgspec.field(name="boxes")  # of BackendEntry; each is checked with its name
+    #: BackendEntry values, checked one by one so that errors name the backend.
+    backends: dict[str, Any] = msgspec.field(name="boxes")
     on: bool = False
     config_id: int | None = None
     server_id_length: int | None = None
--- a/gradefront/quic/sockets.py
+++ b/gradefront/quic/sockets.py
@@ -1,4 +1,4 @@
-"""The second front's sockets: all behind one descriptor of the reactor's, read in batches."""
+"""The QUIC front's sockets, which share one descriptor in the reactor and are read in batches."""
 
 from __future__ import annotations
 
@@ -10,18 +10,19 @@
 
 from gradefront.config import Address
 
-BUSY_DATAGRAMS = 4  # datagrams in one look that make a busy time
-EXTRA_POLLS = 3  # more looks in a busy time, before the reactor has its turn; with LOOK_S less than a tick of 4 ms
-POLL_TIMEOUT_S = 0.001  # what the system can wait at least
-MAX_EVENTS = 256  # sockets served in one go
+BUSY_DATAGRAMS = 4  # datagrams read in one poll from which on the hub counts as busy
+#: Further polls while busy, before the reactor runs; times POLL_TIMEOUT_S they stay below a timer tick of 4 ms.
+EXTRA_POLLS = 3
+POLL_TIMEOUT_S = 0.001  # the shortest timeout that epoll supports
+MAX_EVENTS = 256  # sockets served in one poll
 
 
 class Hub:
-    """All of the front's sockets behind one descriptor that the reactor watches: an epoll of its own.
+    """An epoll instance with all of the front's sockets, which the reactor watches as one descriptor.
 
-    What the reactor does for each readable descriptor costs as much as passing on several datagrams; here it is paid
-    once for all sockets that are ready. In a busy time the hub stays a little before it goes back to the reactor,
-    less than a tick of the timer wheel.
+    The reactor's work for each readable descriptor costs as much as forwarding several datagrams; with the hub it is
+    done once for all ready sockets. While busy, the hub polls for a while longer before it returns to the reactor,
+    for less than a tick of the timer wheel.
     """
 
     def __init__(self, reactor: Any) -> None:
@@ -31,11 +32,11 @@
         reactor.addReader(self)
 
     def fileno(self) -> int:
-        """For the reactor."""
+        """Return the descriptor that the reactor watches."""
         return self.epoll.fileno()
 
     def logPrefix(self) -> str:
-        """For the reactor."""
+        """Return the prefix of the reactor's log lines."""
         return "quic"
 
     def add(self, sock: Socket) -> None:
@@ -44,22 +45,22 @@
         self.epoll.register(sock.fd, select.EPOLLIN)
 
     def remove(self, sock: Socket) -> None:
-        """Watch it no more. Before it is closed."""
+        """Stop watching a socket, before it is closed."""
         if self.sockets.pop(sock.fd, None):
             self.epoll.unregister(sock.fd)
 
     def doRead(self) -> None:
-        """Sockets are ready. In a busy time it stays for a few more looks, which wait a millisecond at most."""
+        """Serve the ready sockets. While busy, poll a few more times, each for at most a millisecond."""
         datagrams, polls = self._serve(0), 0
         while datagrams >= BUSY_DATAGRAMS and polls < EXTRA_POLLS:
             datagrams, polls = self._serve(POLL_TIMEOUT_S), polls + 1
 
     def _serve(self, wait_s: float) -> int:
-        """Read what is ready; about how many datagrams that were."""
+        """Read from all ready sockets; return the approximate number of datagrams."""
         datagrams, sockets = 0, self.sockets
         for fd, event in self.epoll.poll(wait_s, MAX_EVENTS):
             sock = sockets.get(fd)
-            if sock is None:  # closed by what another one brought
+            if sock is None:  # closed while an earlier event was handled
                 continue
             if event & select.EPOLLERR:
                 sock.read_errors()
@@ -68,10 +69,10 @@
         return datagrams
 
     def connectionLost(self, reason: object) -> None:
-        """For the reactor, at its end."""
+        """Do nothing: the reactor calls this at shutdown."""
 
     def close(self) -> None:
-        """Close all sockets, and stop."""
+        """Close all sockets and leave the reactor."""
         for sock in list(self.sockets.values()):
             sock.close()
         self.reactor.removeReader(self)
@@ -79,7 +80,7 @@
 
 
 class Socket:
-    """A datagram socket of the hub's."""
+    """A UDP socket watched by the hub."""
 
     def __init__(self, hub: Hub, host: str, port: int, buffer: int) -> None:
         self.hub = hub
@@ -101,20 +102,20 @@
 
     @property
     def address(self) -> Address:
-        """Where it is bound."""
+        """The address that the socket is bound to."""
         bound = self.socket.getsockname()
         return bound[0], bound[1]
 
     def read(self) -> int:
-        """Read what there is; how many datagrams."""
+        """Read the waiting datagrams; return their number."""
         raise NotImplementedError
 
     def read_errors(self) -> None:
-        """Take an error off the socket. Overridden where somebody wants to know whose it was."""
+        """Clear the socket's pending error. Subclasses override this to find out which path an error belongs to."""
         self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
     def close(self) -> None:
-        """Give the descriptor back."""
+        """Close the socket."""
         if not self.closed:
             self.closed = True
             self.hub.remove(self)
@@ -122,15 +123,15 @@
 
 
 def source_address(addresses: Iterable[Address]) -> str:
-    """The address that the system reaches all of these from, so that it need not look for one with each datagram;
-    the wildcard where they differ."""
+    """Return the local address from which the kernel reaches all given addresses, so that it need not select one for
+    each datagram; the wildcard address if there are several."""
     sources = set()
     for host, port in addresses:
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        # Suppressed: unreachable now; that is found out again by who sends there.
+        # Errors are ignored: an address that is unreachable now is detected again when a datagram is sent there.
         with socket.socket(family, socket.SOCK_DGRAM) as probe, suppress(OSError):
             probe.connect((host, port))
             sources.add(probe.getsockname()[0])
     if len(sources) == 1:
         return str(sources.pop())
-    return "::" if any(":" in host for host in sources) else "0.0.0.0"  # noqa: S104 - only backends are heard
+    return "::" if any(":" in host for host in sources) else "0.0.0.0"  # noqa: S104 - datagrams from other senders than backends are dropped
--- a/gradefront/quic/switch.py
+++ b/gradefront/quic/switch.py
@@ -1,4 +1,4 @@
-"""Whether the second front is on. Imports its settings, and with them its libraries, only where it is."""
+"""Loads the QUIC front's settings. Their module and its libraries are imported only if the front is on."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 def quic_file() -> Path:
-    """The QUIC front's file."""
+    """Return the path of the QUIC front's settings file."""
     return Path(os.environ.get("GRADEFRONT_QUIC", FILE))
 
 
 def load(config: Config, path: Path) -> QuicConfig | None:
-    """The front's settings; None where there is no file or the front is off. Raises ConfigError."""
+    """Load the front's settings; None if there is no file or the front is off. Raises ConfigError."""
     given = read_object(path)
     if not given or not given.get("on"):
         return None
--- a/gradefront/quic/tables.py
+++ b/gradefront/quic/tables.py
@@ -1,4 +1,4 @@
-"""The QUIC front's tables: its connections and paths by id, and how paths come and go."""
+"""The QUIC front's tables: connections and paths by id, and the opening and closing of paths."""
 
 from __future__ import annotations
 
@@ -20,16 +20,21 @@
 from .sockets import Hub, source_address
 from .tokens import TokenMint
 
-ANSWER_RETENTION_US = 10_000_000  # how long a given answer is repeated to a client that asks with the same id
+#: Time for which a final answer is repeated to a client that sends an Initial with the same id.
+ANSWER_RETENTION_US = 10_000_000
 MAX_RETAINED_ANSWERS = 4_096
-MAX_IDS_PER_PATH = 8  # ids remembered for one path
-NEGOTIATIONS_PER_S = 100.0  # a second
-RETRIES_PER_S = 10_000.0  # a second: what one core can make
+MAX_IDS_PER_PATH = 8
+NEGOTIATIONS_PER_S = 100.0
+RETRIES_PER_S = 10_000.0  # as many as one CPU core can build
 
 
 class Tables:
-    """The front's tables. `owners`: connections by id; `routes`: paths by id, for the listener; `lone`: paths that no
-    connection has, by client address and backend; `answered` and `moved`: answers given, by id."""
+    """The front's tables.
+
+    `owners`: connections by id. `routes`: paths by id, for the listeners. `unowned`: paths without a connection, by
+    client address and backend. `final_answers` and `moved_ids`: by id, closes to repeat, and the reset keys of
+    connections that were reset, each with its time of expiry.
+    """
 
     def __init__(self, config: Config, quic: QuicConfig, core: RelayCore, reactor: Reactor) -> None:
         self.config = config
@@ -45,14 +50,14 @@
         self.final_answers: OrderedDict[bytes, tuple[bytes, int]] = OrderedDict()
         self.moved_ids: OrderedDict[bytes, tuple[bytes, int]] = OrderedDict()
         self.used_tokens: OrderedDict[bytes, None] = OrderedDict()
-        self.lengths = [0] * 8  # of ids, by configuration: shared with the listeners, changed in place
+        self.lengths = [
+            0
+        ] * 8  # of ids, by configuration number; shared with the listeners, therefore updated in place
         self.started_us = self.now()
         self.negotiations = Bucket(NEGOTIATIONS_PER_S, NEGOTIATIONS_PER_S, self.started_us)
         self.retries = Bucket(RETRIES_PER_S, RETRIES_PER_S / 4, self.started_us)
         self.was_serving: dict[str, bool] = {}
-        self.first_placed_us: dict[
-            str, int
-        ] = {}  # by backend: the first connection there that was placed, at this tick
+        self.first_placed_us: dict[str, int] = {}  # by backend: see _find_first_placed
         self.admission = Admission(quic.limits, self.started_us)
         self.configure(quic)
         host = source_address(backend.address for backend in quic.backends.values())
@@ -68,14 +73,14 @@
         )
 
     def configure(self, quic: QuicConfig) -> None:
-        """Take settings, at the start or while serving: ids, backends, keys, limits. What stands goes on; paths to
-        a backend that has another address now are closed, and the next datagram opens them anew."""
+        """Apply settings at start or on a reload: ids, backends, keys, limits. Established connections continue;
+        paths to a backend whose address has changed are closed, and the next datagram opens new ones."""
         self.quic = quic
         self.id_decoder = quic.id_decoder()
         self.lengths[:] = self.id_decoder.lengths
         self.server_ids = quic.server_ids()
         admission = Admission(quic.limits, self.now())
-        admission.proven = self.admission.proven  # who has shown to be there, has
+        admission.proven = self.admission.proven  # clients that have proven their address need not do so again
         self.admission = admission
         for owner in self.connections:
             if owner.is_pending:
@@ -89,11 +94,11 @@
                 self._close_path(path)
 
     def count_drop(self, reason: str) -> None:
-        """Count a datagram that goes nowhere."""
+        """Count a dropped datagram by its reason."""
         self.core.counters.add(f"quic_dropped_{reason}")
 
     def levels(self) -> dict[str, int]:
-        """Present sizes of the tables, for the counters."""
+        """Return the current sizes of the tables, for the counters."""
         return {
             "quic_visits_now": len(self.connections),
             "quic_paths_now": len(self.route_ids),
@@ -103,7 +108,7 @@
         }
 
     def _add_route(self, connection_id: bytes, path: Path) -> None:
-        """From now on the listener sends this id along this path."""
+        """Have the listeners send packets with this id along this path."""
         old = self.routes.get(connection_id)
         if old is path:
             return
@@ -118,35 +123,35 @@
             del self.routes[ids.popleft()]
 
     def _backend_of_id(self, connection_id: bytes) -> str | None:
-        found = self.id_decoder.server_id_of(connection_id)
-        return self.server_ids.get(found) if found else None
+        decoded = self.id_decoder.server_id_of(connection_id)
+        return self.server_ids.get(decoded) if decoded else None
 
     # ---- paths
 
     def get_path(
         self, client: Address, backend: str, owner: QuicClientConnection | None, listener: Listener
     ) -> Path | None:
-        """The path of a client address to a backend; a new one where there is none. None: there's no room."""
+        """Return the path from a client address to a backend, opening one if needed; None if there is no room."""
         key = (client, backend)
         path = owner.paths.get(client) if owner else self.latest_paths.get(key)
         if path is not None and path.backend == backend:
             return path
         if owner and key in self.unowned:
-            # A known id on a path that no connection had: the path is that connection's, and keeps its port.
+            # A connection's id arrived on a path without a connection: the path is assigned to it and keeps its port.
             path = self.unowned[key]
             self._assign_owner(path, owner)
             return path
-        place = self.quic.backends.get(backend)
-        if place is None:
+        slot = self.quic.backends.get(backend)
+        if slot is None:
             return None
         if len(self.route_ids) >= self.quic.most_paths and not self._evict_path():
             return None
-        path = Path(client, backend, place.address, listener, owner, self.now())
+        path = Path(client, backend, slot.address, listener, owner, self.now())
         path.is_direct = owner is not None and owner.is_established
         avoid: set[Port] = {p.port for p in owner.paths.values() if p.port} if owner else set()
         client_id = owner.client_id if owner and owner.client_id else b""
-        if not self.pool.place(path, client_id, avoid, self.now(), self._client_id):
-            return None  # the next look gives back what is idle
+        if not self.pool.assign_port(path, client_id, avoid, self.now(), self._client_id):
+            return None  # the periodic check closes idle paths
         self.route_ids[path] = deque()
         if owner:
             owner.paths[client] = path
@@ -161,7 +166,7 @@
         return path.owner.client_id if path.owner else path.client_id if path.is_direct else b""
 
     def _assign_owner(self, path: Path, owner: QuicClientConnection) -> None:
-        """A path that had no connection is this one's."""
+        """Assign a path without a connection to a connection."""
         self.unowned.pop((path.client, path.backend), None)
         path.owner = owner
         path.is_direct = owner.is_established
@@ -172,8 +177,8 @@
         self.pool.identify(path, owner.client_id)
 
     def _evict_path(self) -> bool:
-        """Bound the paths: of the oldest few the one that was quiet for longest goes, unless an attempt is out
-        on it. Looking at all would cost too much in a storm."""
+        """Close the least recently used of the 16 oldest paths, except those with an attempt in flight; return
+        whether there was one. A search of all paths would cost too much in a connection storm."""
         oldest = list(islice(self.route_ids, 16))
         for path in oldest:
             self.update_usage(path, self.now())
@@ -181,7 +186,7 @@
         if not free:
             return False
         evicted = min(free, key=lambda p: p.last_used_us)
-        for path in oldest:  # those that stay go to the end of the line
+        for path in oldest:  # the others move to the end of the order
             if path is not evicted:
                 self.route_ids[path] = self.route_ids.pop(path)
         self._close_path(evicted)
@@ -201,12 +206,12 @@
         self.pool.release(path, self.now())
 
     def close_paths(self, owner: QuicClientConnection) -> None:
-        """Give all places of a connection back."""
+        """Close all paths of a connection."""
         for path in list(owner.paths.values()):
             self._close_path(path)
 
     def _on_backend_datagram(self, path: Path, datagram: bytes) -> None:
-        """From a backend, where the port doesn't know that it may go straight to the client."""
+        """Handle a backend's datagram that must be examined before it may go to the client."""
         path.received += 1
         owner = path.owner
         if owner and not owner.is_established:
@@ -219,17 +224,17 @@
         path.listener.reply(datagram, path.client)
 
     def _on_refused(self, path: Path) -> None:
-        """The system says that nothing listens at the backend."""
+        """Handle an ICMP rejection: nothing listens at the backend's address."""
         owner = path.owner
         if owner and owner.upstream and not owner.upstream.attempt.is_over:
             owner.upstream.attempt.end(Cause.UNREACHABLE, ConnectionEnd.BROKEN)
         else:
             self._close_path(path)
 
-    # ---- what connections tell
+    # ---- callbacks of connections
 
     def on_settled(self, owner: QuicClientConnection) -> None:
-        """A connection stands, or is over: it waits no more."""
+        """Handle a connection that is established or over: it is no longer pending."""
         if owner.is_pending:
             owner.is_pending = False
             self.admission.remove_pending(owner.network)
@@ -237,26 +242,27 @@
             self.unconfirmed[owner] = None
 
     def on_discarded(self, owner: QuicClientConnection) -> None:
-        """A connection is over."""
+        """Remove a connection that is over from the tables."""
         self.on_settled(owner)
         self.connections.pop(owner, None)
         self.unconfirmed.pop(owner, None)
 
-    def remember_answer(self, connection_id: bytes, datagram: bytes, for_us: int = ANSWER_RETENTION_US) -> None:
-        """Remember a final answer, so that a client that repeats its Initial gets the same one."""
-        self.final_answers[connection_id] = (datagram, self.now() + for_us)
+    def remember_answer(self, connection_id: bytes, datagram: bytes, retention_us: int = ANSWER_RETENTION_US) -> None:
+        """Remember a final answer, so that a client that repeats its Initial gets the same answer."""
+        self.final_answers[connection_id] = (datagram, self.now() + retention_us)
         while len(self.final_answers) > MAX_RETAINED_ANSWERS:
             self.final_answers.popitem(last=False)
 
     def remember_moved_id(self, connection_id: bytes, key: bytes) -> None:
-        """Remember an id of a connection that was moved."""
+        """Remember an id of a connection that was reset, to answer later packets with a reset too."""
         self.moved_ids[connection_id] = (key, self.now() + ANSWER_RETENTION_US)
         while len(self.moved_ids) > MAX_RETAINED_ANSWERS:
             self.moved_ids.popitem(last=False)
 
     @staticmethod
     def update_usage(path: Path, now: int) -> tuple[int, int]:
-        """What passed since the last look, to and from the backend."""
+        """Return the numbers of datagrams sent to and received from the backend since the last call; if there were
+        any, note the time as the path's last use."""
         sent, received = path.sent - path.seen_sent, path.received - path.seen_received
         if sent or received:
             path.last_used_us, path.seen_sent, path.seen_received = now, path.sent, path.received
--- a/gradefront/quic/tokens.py
+++ b/gradefront/quic/tokens.py
@@ -1,15 +1,16 @@
-"""Retry tokens that relays and backends share keys for: the shared-state form of draft-ietf-quic-retry-offload.
+"""Retry tokens under keys that relays and backends share: the shared-state format of draft-ietf-quic-retry-offload.
 
-A token proves that whoever shows it could read what was sent to its address. Layout, in octets:
+A token proves that its sender received a packet at the address that the token contains. Layout, in octets:
 
     1   kind (top bit: 0 Retry, 1 NEW_TOKEN) and sequence number of the key (7 bits)
     12  unique number of the token
     ..  AES-128-GCM of: length of the first id (0 in a NEW_TOKEN), length of the Retry's id, both ids, client's
-        address (16, IPv4 mapped) and port (2; 0 in a NEW_TOKEN), time of its end in Unix milliseconds (8)
+        address (16, IPv4 mapped) and port (2; 0 in a NEW_TOKEN), time of expiry in Unix milliseconds (8)
     16  tag
 
-The nonce is the key's IV xor the unique number; the first octet and the number are authenticated beside the rest.
-The address is inside, for a backend behind the relay sees the relay's and still has to read the ids. No I/O.
+The nonce is the key's IV xor the unique number; the first octet and the unique number are the associated data. The
+client's address is part of the token, because a backend behind the relay sees the relay's address and must still be
+able to read the ids. No I/O.
 """
 
 from __future__ import annotations
@@ -29,33 +30,33 @@
 NEW_TOKEN_BIT = 0x80
 NUMBER_LENGTH = 12
 TAG_LENGTH = 16
-FIXED_BODY_LENGTH = 2 + 16 + 2 + 8  # what a body holds beside the ids
+FIXED_BODY_LENGTH = 2 + 16 + 2 + 8  # octets of the encrypted body without the ids
 MIN_TOKEN_LENGTH = 1 + NUMBER_LENGTH + FIXED_BODY_LENGTH + TAG_LENGTH
 
 
 class TokenKey(NamedTuple):
-    """One key of the rotating sequence."""
+    """One of the keys in rotation."""
 
     key: bytes
     iv: bytes
 
     def __repr__(self) -> str:
-        return "TokenKey(...)"  # never shown: a log line may hold one
+        return "TokenKey(...)"  # a TokenKey may be logged
 
 
 class TokenVerdict(Enum):
-    """What a token proves."""
+    """The result of a token's validation."""
 
-    NONE = "none"  # there is none, or it is a backend's own
-    PROVEN = "proven"  # the client could read at this address
-    FORGED = "forged"  # it claims to be ours and does not open
-    STOLEN = "stolen"  # it is another address's
+    NONE = "none"  # no token, or one issued by a backend
+    PROVEN = "proven"  # the client received the token at this address
+    FORGED = "forged"  # has the id of a shared key but does not decrypt
+    STOLEN = "stolen"  # issued to another address
     EXPIRED = "expired"
-    MISPLACED = "misplaced"  # sound, but came with another id than the Retry gave
+    MISPLACED = "misplaced"  # valid, but in an Initial to another id than the Retry's
 
 
 class TokenCheck(NamedTuple):
-    """A token, read."""
+    """A token's verdict and, if it is valid, its contents."""
 
     verdict: TokenVerdict
     first_id: bytes = b""
@@ -64,14 +65,14 @@
 
 @lru_cache(maxsize=4_096)
 def pack_address(host: str) -> bytes:
-    """An address as 16 octets. Raises OSError on what is none."""
+    """Return an IP address as 16 octets. Raises OSError if `host` is not an address."""
     if ":" in host:
         return socket.inet_pton(socket.AF_INET6, host.partition("%")[0])
     return bytes(10) + b"\xff\xff" + socket.inet_pton(socket.AF_INET, host)
 
 
 class TokenMint:
-    """Makes tokens with the newest key and reads those of every key that is still known."""
+    """Issues tokens under the newest key and validates those under any configured key."""
 
     def __init__(self, keys: Mapping[int, TokenKey], newest: int, life_us: int) -> None:
         if newest not in keys:
@@ -81,7 +82,7 @@
         self.life_us = life_us
 
     def make(self, client: tuple[str, int], first_id: bytes, retry_id: bytes, now_us: int) -> bytes:
-        """A Retry's token. Times are Unix microseconds."""
+        """Make a Retry token. Times are in Unix microseconds."""
         end_ms = (now_us + self.life_us) // 1000
         return self._seal(
             self.newest,
@@ -98,7 +99,7 @@
         )
 
     def make_new(self, client: tuple[str, int], now_us: int, life_us: int) -> bytes:
-        """A NEW_TOKEN's token, as a backend that knows its client's address would make it."""
+        """Make a NEW_TOKEN token, as a backend that knows its client's address would."""
         return self._seal(
             NEW_TOKEN_BIT | self.newest,
             b"".join((bytes(2), pack_address(client[0]), bytes(2), ((now_us + life_us) // 1000).to_bytes(8))),
@@ -111,7 +112,7 @@
         return header + sealer.encrypt((iv ^ int.from_bytes(number)).to_bytes(NUMBER_LENGTH), body, header)
 
     def _unseal(self, token: bytes) -> bytes | None:
-        """The body, where token and form are sound."""
+        """Return the decrypted body; None if the token or its layout is invalid."""
         sealer_and_iv = self.sealers.get(token[0] & ~NEW_TOKEN_BIT & 0xFF) if len(token) >= MIN_TOKEN_LENGTH else None
         if sealer_and_iv is None:
             return None
@@ -129,20 +130,20 @@
         return body if bool(first) is not bool(token[0] & NEW_TOKEN_BIT) else None
 
     def retry_ids(self, token: bytes) -> tuple[bytes, bytes] | None:
-        """What a backend reads of a Retry's token: the client's first id and the Retry's, for its transport
-        parameters (RFC 9000 7.3)."""
+        """Return the client's first id and the Retry's id from a Retry token, which a backend needs for its transport
+        parameters (RFC 9000 7.3); None if the token is invalid or of another kind."""
         body = self._unseal(token)
         if body is None or not body[0]:
             return None
         return body[2 : 2 + body[0]], body[2 + body[0] : 2 + body[0] + body[1]]
 
     def read(self, token: bytes, client: tuple[str, int], to_id: bytes, now_us: int) -> TokenCheck:
-        """What a token is worth, shown from this address in an Initial to this id."""
+        """Validate a token that arrived from this address in an Initial to this id."""
         if not token or token[0] & ~NEW_TOKEN_BIT & 0xFF not in self.sealers:
             return TokenCheck(TokenVerdict.NONE)
         is_new = bool(token[0] & NEW_TOKEN_BIT)
         body = self._unseal(token)
-        if body is None:  # a backend may have NEW_TOKENs of its own
+        if body is None:  # may be a NEW_TOKEN that a backend issued in its own format
             return TokenCheck(TokenVerdict.NONE if is_new else TokenVerdict.FORGED)
         ids = 2 + body[0] + body[1]
         if int.from_bytes(body[ids + 18 :]) * 1000 < now_us:
--- a/tests/test_quic_model.py
+++ b/tests/test_quic_model.py
@@ -202,13 +202,13 @@
         for connection_id, path in front.routes.items():
             assert connection_id in front.route_ids[path], "a route along a path that is gone"
         for path, ids in front.route_ids.items():
-            assert path.port is not None and path in path.port.places[path.backend_address].paths()
+            assert path.port is not None and path in path.port.slots[path.backend_address].paths()
             assert len(ids) <= 8 and all(front.routes.get(x) is path for x in ids)
             if path.owner is None:
                 assert front.unowned[path.client, path.backend] is path
             else:
                 assert path.owner.paths[path.client] is path and path.owner in front.connections
-        places = [p for one in front.pool.ports for place in one.places.values() for p in place.paths()]
+        places = [p for one in front.pool.ports for slot in one.slots.values() for p in slot.paths()]
         assert sorted(map(id, places)) == sorted(map(id, front.route_ids)), "a place without a path"
         for connection_id, owner in front.owners.items():
             assert connection_id in owner.ids and owner in front.connections
--- a/tests/test_quic_places.py
+++ b/tests/test_quic_places.py
@@ -14,7 +14,7 @@
 
 from gradefront.quic.headers import FIXED_BIT, LONG_HEADER_BIT
 from gradefront.quic.paths import Path
-from gradefront.quic.places import Place
+from gradefront.quic.places import PortSlot
 
 VERSION = b"\x00\x00\x00\x01"
 IDS = st.sampled_from([b"", b"\x01" * 4, b"\x01" * 6, b"\x02" * 4, b"\x02" * 8, b"\x03" * 20])
@@ -40,22 +40,22 @@
     def __init__(self) -> None:
         super().__init__()
         self.entered: list[Path] = []
-        self.place = Place(path())
+        self.slot = PortSlot(path())
 
     @precondition(lambda self: not self.entered)
     @rule(first_id=IDS, second_id=IDS)
     def two_paths_share(self, first_id: bytes, second_id: bytes) -> None:
         self.entered = [path()]
-        self.place = Place(self.entered[0])
+        self.slot = PortSlot(self.entered[0])
         self.come_with(second_id, first_id)
 
     def come_with(self, client_id: bytes, present_id: bytes) -> None:
-        if self.place.accepts(client_id, present_id):
+        if self.slot.accepts(client_id, present_id):
             self.entered.append(path())
-            self.place.add(self.entered[-1], client_id, present_id)
+            self.slot.add(self.entered[-1], client_id, present_id)
 
     def is_shared(self) -> bool:
-        return bool(self.entered) and self.place.by_client_id is not None
+        return bool(self.entered) and self.slot.by_client_id is not None
 
     @precondition(is_shared)
     @rule(client_id=IDS)
@@ -79,38 +79,38 @@
         self.check_receivers(datagram)
 
     def check_receivers(self, datagram: bytes) -> None:
-        receivers = self.place.find_receivers(datagram)
+        receivers = self.slot.find_receivers(datagram)
         assert set(receivers) <= set(self.entered), "a path that has gone"
         assert receivers or not self.entered, "an answer that reaches nobody"
 
     @precondition(lambda self: self.entered)
     @rule(which=st.integers(0, 9), client_id=IDS)
     def become_known(self, which: int, client_id: bytes) -> None:
-        self.place.identify(self.entered[which % len(self.entered)], client_id)
+        self.slot.identify(self.entered[which % len(self.entered)], client_id)
 
     @precondition(lambda self: self.entered)
     @rule(which=st.integers(0, 9))
     def go(self, which: int) -> None:
         left = self.entered.pop(which % len(self.entered))
-        assert self.place.remove(left) == (not self.entered)
+        assert self.slot.remove(left) == (not self.entered)
 
     @invariant()
     def each_path_is_in_the_place(self) -> None:
         if self.entered:
-            assert sorted(map(id, self.place.paths())) == sorted(map(id, self.entered))
+            assert sorted(map(id, self.slot.paths())) == sorted(map(id, self.entered))
 
 
 TestSharedPlace = SharedPlace.TestCase
 TestSharedPlace.settings = settings(max_examples=300, stateful_step_count=30, derandomize=True, deadline=None)
 
 
-def shared_by(settled_id: bytes) -> tuple[Place, Path, Path]:
+def shared_by(settled_id: bytes) -> tuple[PortSlot, Path, Path]:
     """A place with one path of a known id that was heard, and one of an unknown id."""
     settled, unsettled = path(), path()
-    place = Place(settled)
-    place.add(unsettled, b"", settled_id)
-    assert place.find_receivers(long_header(settled_id)) == [settled]
-    return place, settled, unsettled
+    slot = PortSlot(settled)
+    slot.add(unsettled, b"", settled_id)
+    assert slot.find_receivers(long_header(settled_id)) == [settled]
+    return slot, settled, unsettled
 
 
 @pytest.mark.parametrize(
@@ -126,22 +126,22 @@
 )
 def test_a_datagram_without_a_readable_id_keeps_the_unsettled_path_in_its_place(datagram: bytes) -> None:
     """Guards against answers that reach nobody, or the wrong client, after one such datagram."""
-    place, settled, unsettled = shared_by(b"\x01" * 4)
-    assert place.find_receivers(datagram) == [unsettled]
-    assert place.unidentified is unsettled and place.by_client_id == {b"\x01" * 4: settled}
-    assert place.find_receivers(short_header(b"\x08" * 8)) == [unsettled], "its other answers reach it still"
+    slot, settled, unsettled = shared_by(b"\x01" * 4)
+    assert slot.find_receivers(datagram) == [unsettled]
+    assert slot.unidentified is unsettled and slot.by_client_id == {b"\x01" * 4: settled}
+    assert slot.find_receivers(short_header(b"\x08" * 8)) == [unsettled], "its other answers reach it still"
 
 
 def test_a_whole_id_in_a_long_header_settles_the_unsettled_path() -> None:
-    place, _, unsettled = shared_by(b"\x01" * 4)
-    assert place.find_receivers(long_header(b"\x09" * 8)) == [unsettled]
-    assert place.unidentified is None and place.find_receivers(short_header(b"\x09" * 8)) == [unsettled]
+    slot, _, unsettled = shared_by(b"\x01" * 4)
+    assert slot.find_receivers(long_header(b"\x09" * 8)) == [unsettled]
+    assert slot.unidentified is None and slot.find_receivers(short_header(b"\x09" * 8)) == [unsettled]
 
 
 def test_the_longest_matching_id_identifies_the_path_of_a_short_header() -> None:
     """Guards against the order of a set: one client's id may be the beginning of another's."""
     shorter, longer = path(), path()
-    place = Place(shorter)
-    place.add(longer, b"\x01" * 6, b"\x01" * 4)
-    assert place.find_receivers(short_header(b"\x01" * 6)) == [longer]
-    assert place.find_receivers(short_header(b"\x01" * 4 + b"\x02" * 4)) == [shorter]
+    slot = PortSlot(shorter)
+    slot.add(longer, b"\x01" * 6, b"\x01" * 4)
+    assert slot.find_receivers(short_header(b"\x01" * 6)) == [longer]
+    assert slot.find_receivers(short_header(b"\x01" * 4 + b"\x02" * 4)) == [shorter]
