--- a/tests/test_quic_ids.py
+++ b/tests/test_quic_ids.py
@@ -1,4 +1,4 @@
-"""Connection ids: the draft's published vectors, every form both ways, and the bounded decoder."""
+"""Connection ids: the draft's published vectors, encoding and decoding in all formats, and the decoder's cache."""
 
 from __future__ import annotations
 
@@ -21,36 +21,38 @@
 ]
 
 
-@pytest.mark.parametrize(("number", "server_id", "nonce", "made"), VECTORS)
-def test_published_vectors_both_ways(number: int, server_id: str, nonce: str, made: str) -> None:
+@pytest.mark.parametrize(("number", "server_id", "nonce", "encoded"), VECTORS)
+def test_published_vectors_encode_and_decode(number: int, server_id: str, nonce: str, encoded: str) -> None:
     form = IdForm(number, len(server_id) // 2, len(nonce) // 2, True, KEY)
-    assert form.make(bytes.fromhex(server_id), bytes.fromhex(nonce)).hex() == made
-    assert form.decode(bytes.fromhex(made)) == (number, bytes.fromhex(server_id), bytes.fromhex(nonce))
+    assert form.make(bytes.fromhex(server_id), bytes.fromhex(nonce)).hex() == encoded
+    assert form.decode(bytes.fromhex(encoded)) == (number, bytes.fromhex(server_id), bytes.fromhex(nonce))
 
 
 @given(st.integers(1, 15), st.integers(4, 18), st.booleans(), st.data())
-def test_every_length_of_every_form_comes_back(server: int, nonce: int, hidden: bool, data: st.DataObject) -> None:
-    if server + nonce > 19:
+def test_ids_of_every_length_decode_to_what_was_encoded(
+    server_length: int, nonce: int, encrypted: bool, data: st.DataObject
+) -> None:
+    if server_length + nonce > 19:
         with pytest.raises(ValueError, match="19 together"):
-            IdForm(3, server, nonce)
+            IdForm(3, server_length, nonce)
         return
-    form = IdForm(3, server, nonce, True, KEY if hidden else None)
-    server_id = data.draw(st.binary(min_size=server, max_size=server))
-    salt = data.draw(st.binary(min_size=nonce, max_size=nonce))
-    made = form.make(server_id, salt)
-    assert form.decode(made) == (3, server_id, salt) and len(made) == form.length
-    if hidden and server + nonce > 6:
-        assert made[1:] != server_id + salt, "nothing was hidden"
-        assert IdForm(3, server, nonce, True, KEY[::-1]).decode(made) != (3, server_id, salt)
+    form = IdForm(3, server_length, nonce, True, KEY if encrypted else None)
+    server_id = data.draw(st.binary(min_size=server_length, max_size=server_length))
+    nonce_octets = data.draw(st.binary(min_size=nonce, max_size=nonce))
+    encoded = form.make(server_id, nonce_octets)
+    assert form.decode(encoded) == (3, server_id, nonce_octets) and len(encoded) == form.length
+    if encrypted and server_length + nonce > 6:
+        assert encoded[1:] != server_id + nonce_octets, "the id is not encrypted"
+        assert IdForm(3, server_length, nonce, True, KEY[::-1]).decode(encoded) != (3, server_id, nonce_octets)
 
 
-def test_a_form_never_shows_its_key() -> None:
+def test_repr_of_a_form_omits_its_key() -> None:
     assert KEY.hex() not in repr(IdForm(0, 3, 4, True, KEY)) and repr(KEY) not in repr(IdForm(0, 3, 4, True, KEY))
     with pytest.raises(ValueError, match="key: must be 16 octets"):
         IdForm(0, 3, 4, True, KEY[:15])
 
 
-def test_a_book_distinguishes_configurations_and_stays_within_its_bound() -> None:
+def test_a_decoder_distinguishes_configurations_and_bounds_its_cache() -> None:
     old, new = IdForm(0, 2, 9), IdForm(5, 3, 4, True, KEY)
     decoder = IdDecoder([old, new], cache_size=64)
     first, second = old.make(b"\0\1"), new.make(b"\0\0\2")
@@ -60,7 +62,9 @@
         decoder.short_header_id(b"\x40" + second + b"payload") == second
         and decoder.short_header_id(b"\x40" + first + b"p") == first
     )
-    assert decoder.short_header_id(b"\x40\xe0" + b"x" * 30) is None, "the number that names no push box"
+    assert decoder.short_header_id(b"\x40\xe0" + b"x" * 30) is None, (
+        "the configuration number of ids that encode no backend"
+    )
     assert decoder.short_header_id(b"\x40") is None and decoder.server_id_of(b"") is None
     for _ in range(1_000):
         decoder.server_id_of(os.urandom(8))
--- a/tests/test_quic_model.py
+++ b/tests/test_quic_model.py
@@ -1,7 +1,7 @@
-"""The QUIC front's tables against random packets: whatever comes, they fit each other and stay in their bounds.
+"""The QUIC front's tables under random packets: they stay consistent with each other and within their bounds.
 
-The front, its hub and its sockets are the real ones, on loopback, where a datagram is there once it is sent; reactor,
-clock and decision module are the test's.
+The front, its hub and its sockets are real, on loopback, where a datagram can be read as soon as it is sent. The test
+provides the reactor and the clock.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class Reactor:
-    """Hands nothing out by itself."""
+    """A reactor that calls nothing by itself."""
 
     def addReader(self, reader: Any) -> None:
         self.hub = reader
@@ -58,30 +58,30 @@
         pass
 
 
-def port() -> socket.socket:
+def udp_socket() -> socket.socket:
     made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     made.bind(("127.0.0.1", 0))
     made.setblocking(False)
     return made
 
 
-def drained(one: socket.socket) -> list[tuple[bytes, Any]]:
-    """All that waits at a socket."""
-    got = []
+def read_all(sock: socket.socket) -> list[tuple[bytes, Any]]:
+    """Return all datagrams that wait at a socket."""
+    datagrams = []
     while True:
         try:
-            got.append(one.recvfrom(9_000))
+            datagrams.append(sock.recvfrom(9_000))
         except BlockingIOError:
-            return got
+            return datagrams
 
 
 class Tables(RuleBasedStateMachine):
-    """Clients, backends, time and the list do what they like."""
+    """Random steps of clients, backends, time and the endpoint list."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 1_000_000_000
-        self.backends = [port() for _ in range(2)]
+        self.backends = [udp_socket() for _ in range(2)]
         document = {
             "listen": {"visit-checkin": "127.0.0.1:0"},
             "config_id": 0,
@@ -105,7 +105,7 @@
         reactor: Any = Reactor()
         self.front = QuicFront(CONFIG, quic_config.parse(document, CONFIG), self.core, reactor)
         self.hub = reactor.hub
-        self.clients = [port() for _ in range(4)]
+        self.clients = [udp_socket() for _ in range(4)]
         self.known: list[bytes] = [FORM.make(b"\0\0")]  # ids that clients have seen
         self.first: list[tuple[bytes, bytes]] = []  # first and client ids of Initials
         self.at_backends: list[tuple[int, bytes, Any]] = []
@@ -118,15 +118,15 @@
         )
 
     def settle(self) -> None:
-        """Let everything that is under way arrive."""
+        """Deliver all datagrams in flight."""
         for _ in range(3):
             self.hub._serve(0)
             self.core.run_once()
         for n, backend in enumerate(self.backends):
-            self.at_backends += [(n, data, where) for data, where in drained(backend)]
+            self.at_backends += [(n, data, where) for data, where in read_all(backend)]
         del self.at_backends[:-20]
         for client in self.clients:
-            for data, _ in drained(client):
+            for data, _ in read_all(client):
                 for packet in split(data, 8)[:1]:
                     if packet.kind is Kind.INITIAL and packet.from_id not in self.known:
                         self.known.append(packet.from_id)
@@ -200,7 +200,7 @@
         waiting = [v for v in front.connections if v.is_pending]
         assert sum(front.admission.pending.values()) == len(waiting) <= MOST_WAITING
         for connection_id, path in front.routes.items():
-            assert connection_id in front.route_ids[path], "a route along a path that is gone"
+            assert connection_id in front.route_ids[path], "a route along a closed path"
         for path, ids in front.route_ids.items():
             assert path.port is not None and path in path.port.slots[path.backend_address].paths()
             assert len(ids) <= 8 and all(front.routes.get(x) is path for x in ids)
@@ -208,36 +208,38 @@
                 assert front.unowned[path.client, path.backend] is path
             else:
                 assert path.owner.paths[path.client] is path and path.owner in front.connections
-        places = [p for one in front.pool.ports for slot in one.slots.values() for p in slot.paths()]
-        assert sorted(map(id, places)) == sorted(map(id, front.route_ids)), "a place without a path"
+        places = [p for sock in front.pool.ports for slot in sock.slots.values() for p in slot.paths()]
+        assert sorted(map(id, places)) == sorted(map(id, front.route_ids)), (
+            "a slot has a path that the tables lack, or the reverse"
+        )
         for connection_id, owner in front.owners.items():
             assert connection_id in owner.ids and owner in front.connections
         for owner in front.connections:
             assert len(owner.ids) <= 16
             assert owner.connection is not None and owner.connection.state is not ConnectionState.CLOSED, (
-                "a visit outlived its end"
+                "the front keeps a connection that is closed"
             )
-        standing = [v for v in self.core.connections.values() if v.state is ConnectionState.ESTABLISHED]
-        assert len(standing) == sum(v.is_established for v in front.connections)
+        established = [v for v in self.core.connections.values() if v.state is ConnectionState.ESTABLISHED]
+        assert len(established) == sum(v.is_established for v in front.connections)
         assert not self.core.counters.counts["exceptions"] and not self.core.counters.counts["overdue"]
 
     def teardown(self) -> None:
         self.front.close()
-        for one in (*self.clients, *self.backends):
-            one.close()
+        for sock in (*self.clients, *self.backends):
+            sock.close()
 
 
 TestTables = Tables.TestCase
 TestTables.settings = settings(max_examples=60, stateful_step_count=40, derandomize=True, deadline=None)
 
 
-def test_a_relay_that_stops_answers_what_comes_and_adopts_no_connection() -> None:
+def test_a_stopping_relay_rejects_initials_and_adopts_no_connection() -> None:
     service = Tables()
     front, client = service.front, service.clients[0]
     connection_id = FORM.make(b"\0\0")
     for _ in range(
         3
-    ):  # a connection from before this relay's start: both sides speak along a path without a connection
+    ):  # a connection from before this relay's start: both sides send along a path without a connection
         service.send(0, b"\x40" + connection_id + b"talk to me, somebody who can read this")
         where = service.at_backends[-1][2]
         service.backends[0].sendto(b"\x40" + os.urandom(8) + b"talk", where)
@@ -246,8 +248,8 @@
     assert path.owner is None and path.received >= 2
     assert service.core.lifecycle.transition(LifecycleEvent.STOP)
     service.wait(3_000)
-    assert path.owner is None and not service.core.counters.counts["visits_brought"], "a visit taken over at the end"
-    drained(client)
+    assert path.owner is None and not service.core.counters.counts["visits_brought"], "adopted while stopping"
+    read_all(client)
     service.at_backends.clear()
     first = os.urandom(8)
     client.sendto(seal_initial(1, first, first, b"its own.", HELLO, True), front.listeners[0].address)
@@ -255,9 +257,9 @@
         service.hub._serve(0)
         service.now += 4_000
         service.core.run_once()
-    assert len(drained(client)) == 1, "answered at once"
-    assert not drained(service.backends[0]) + drained(service.backends[1]) and not front.connections, (
-        "sent on to nobody"
+    assert len(read_all(client)) == 1, "the Initial was not answered exactly once"
+    assert not read_all(service.backends[0]) + read_all(service.backends[1]) and not front.connections, (
+        "an Initial was forwarded while stopping"
     )
     assert not service.core.counters.counts["exceptions"]
     service.teardown()
--- a/tests/test_quic_parts.py
+++ b/tests/test_quic_parts.py
@@ -1,4 +1,4 @@
-"""The QUIC front's parts: ids, packets, and its file. No sockets."""
+"""Ids, packets and the settings file of the QUIC front, without sockets."""
 
 from __future__ import annotations
 
@@ -59,27 +59,29 @@
     assert IdForm((form.number + 1) % 7, form.server_id_length, form.nonce_length).read(made) is None
 
 
-def test_the_draft_s_example_of_the_plaintext_form() -> None:
-    # First octet: configuration 0 and, told, the 8 octets that follow; server id 31441a; the rest is nonce.
+def test_the_draft_s_plaintext_example_decodes() -> None:
+    # First octet: configuration 0 and a length of 8 octets; then the server id 31441a; the rest is the nonce.
     form = IdForm(0, 3, 5)
     assert form.read(bytes.fromhex("0831441a9c69c27512")) == bytes.fromhex("31441a")
-    assert form.read(bytes.fromhex("0731441a9c69c27512")) is None, "another length is told"
-    assert form.read(bytes.fromhex("e831441a9c69c27512")) is None, "the number that names no box"
+    assert form.read(bytes.fromhex("0731441a9c69c27512")) is None, "the first octet encodes another length"
+    assert form.read(bytes.fromhex("e831441a9c69c27512")) is None, (
+        "the configuration number of ids that encode no backend"
+    )
 
 
 @given(st.binary(max_size=1500), st.sampled_from([b"", b"\xc0\x00\x00\x00\x01", b"\xd0\x6b\x33\x43\xcf", b"\x40"]))
-def test_no_datagram_breaks_the_reader(noise: bytes, head: bytes) -> None:
+def test_random_datagrams_raise_nothing(noise: bytes, head: bytes) -> None:
     datagram = head + noise
     invariants(datagram)
     for packet in split(datagram, 8):
         assert packet.data and len(packet.data) <= len(datagram)
         opened = open_initial(packet, packet.to_id, from_client=True)
-        assert opened is None, "noise that opens with the Initial keys"
+        assert opened is None, "random octets decrypt with the Initial keys"
         assert not is_valid_retry(packet, b"first-id")
 
 
 @pytest.mark.parametrize("version", VERSIONS)
-def test_a_close_of_ours_opens_for_the_client_only_under_its_own_first_id(version: int) -> None:
+def test_a_close_decrypts_only_with_the_client_s_first_id(version: int) -> None:
     datagram = close_initial(version, b"first-id", b"client", "BUSY 250")
     (packet,) = split(datagram, 8)
     assert packet.to_id == b"client" and len(packet.data) == len(datagram)
@@ -89,7 +91,7 @@
     assert open_initial(packet, b"first-id", from_client=True) is None
 
 
-def test_a_real_client_s_initial_opens_and_a_bent_one_does_not() -> None:
+def test_a_client_s_initial_decrypts_and_a_corrupted_one_does_not() -> None:
     client = QuicConnection(configuration=QuicConfiguration(is_client=True))
     client.connect(("127.0.0.1", 1), 0.0)
     for datagram, _ in client.datagrams_to_send(0.0):
@@ -98,8 +100,8 @@
         opened = open_initial(packet, first_id, from_client=True)
         assert opened is not None and opened.close_code is None
         end = len(packet.data) - 1
-        bent = split(datagram[:end] + bytes([datagram[end] ^ 1]) + datagram[end + 1 :], 8)[0]
-        assert open_initial(bent, first_id, from_client=True) is None
+        corrupted = split(datagram[:end] + bytes([datagram[end] ^ 1]) + datagram[end + 1 :], 8)[0]
+        assert open_initial(corrupted, first_id, from_client=True) is None
 
 
 def test_a_retry_is_sound_only_for_the_initial_that_it_answers() -> None:
@@ -118,7 +120,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "message"),
     [
         ({"config_id": 7}, "config_id"),
         ({"nonce_length": 3}, "nonce_length"),
@@ -143,9 +145,9 @@
         ({"classes": {"alpn": {"roster": "nobody"}}}, "classes.alpn.roster: no class is named 'nobody'"),
     ],
 )
-def test_a_file_without_sense_is_refused_by_field(change: dict[str, Any], said: str) -> None:
+def test_invalid_settings_are_rejected_naming_the_field(change: dict[str, Any], message: str) -> None:
     quic_config.parse(FILE, CONFIG)
-    with pytest.raises(ConfigError, match=said):
+    with pytest.raises(ConfigError, match=message):
         quic_config.parse({**FILE, **change}, CONFIG)
 
 
--- a/tests/test_quic_places.py
+++ b/tests/test_quic_places.py
@@ -1,6 +1,6 @@
-"""Places shared by paths at an upstream port, against drawn steps: no path is ever in no place.
+"""Slots of an upstream port that several paths share, under random steps: no path ever drops out of its slot.
 
-All ids and datagrams are drawn, so that hypothesis can shrink and replay what it finds.
+All ids and datagrams are drawn by hypothesis, so that it can shrink and replay a failure.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 
 
 def path() -> Path:
-    no_matter: Any = None
-    return Path(("127.0.0.1", 1), "backend-1", ("127.0.0.1", 2), no_matter, no_matter, 0)
+    unused: Any = None
+    return Path(("127.0.0.1", 1), "backend-1", ("127.0.0.1", 2), unused, unused, 0)
 
 
 def long_header(client_id: bytes, rest: bytes = b"\x00rest") -> bytes:
@@ -35,7 +35,7 @@
 
 
 class SharedPlace(RuleBasedStateMachine):
-    """Paths with known and unknown ids come, speak, are answered, become known and go."""
+    """Paths with known and unknown ids are added, send, are answered, become known and are removed."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -80,8 +80,8 @@
 
     def check_receivers(self, datagram: bytes) -> None:
         receivers = self.slot.find_receivers(datagram)
-        assert set(receivers) <= set(self.entered), "a path that has gone"
-        assert receivers or not self.entered, "an answer that reaches nobody"
+        assert set(receivers) <= set(self.entered), "a receiver was removed from the slot"
+        assert receivers or not self.entered, "an answer has no receiver"
 
     @precondition(lambda self: self.entered)
     @rule(which=st.integers(0, 9), client_id=IDS)
@@ -104,42 +104,42 @@
 TestSharedPlace.settings = settings(max_examples=300, stateful_step_count=30, derandomize=True, deadline=None)
 
 
-def shared_by(settled_id: bytes) -> tuple[PortSlot, Path, Path]:
-    """A place with one path of a known id that was heard, and one of an unknown id."""
-    settled, unsettled = path(), path()
-    slot = PortSlot(settled)
-    slot.add(unsettled, b"", settled_id)
-    assert slot.find_receivers(long_header(settled_id)) == [settled]
-    return slot, settled, unsettled
+def slot_shared_with(known_id: bytes) -> tuple[PortSlot, Path, Path]:
+    """Return a slot with two paths: the id of one is known and has appeared in an answer, the other's is unknown."""
+    identified, unidentified = path(), path()
+    slot = PortSlot(identified)
+    slot.add(unidentified, b"", known_id)
+    assert slot.find_receivers(long_header(known_id)) == [identified]
+    return slot, identified, unidentified
 
 
 @pytest.mark.parametrize(
     "datagram",
     [
-        short_header(b"\x09" * 8),  # how long its id is, nobody knows
+        short_header(b"\x09" * 8),  # an id of unknown length
         long_header(b""),
         long_header(b"\x09" * 8)[:9],  # cut off within the id
-        long_header(b"\x01" * 8)[:10],  # ... where it looks like a shorter id that is known
+        long_header(b"\x01" * 8)[:10],  # cut off where it looks like a shorter, known id
         long_header(b"\x09" * 8)[:6],
         bytes([LONG_HEADER_BIT]),
     ],
 )
 def test_a_datagram_without_a_readable_id_keeps_the_unsettled_path_in_its_place(datagram: bytes) -> None:
-    """Guards against answers that reach nobody, or the wrong client, after one such datagram."""
-    slot, settled, unsettled = shared_by(b"\x01" * 4)
-    assert slot.find_receivers(datagram) == [unsettled]
-    assert slot.unidentified is unsettled and slot.by_client_id == {b"\x01" * 4: settled}
-    assert slot.find_receivers(short_header(b"\x08" * 8)) == [unsettled], "its other answers reach it still"
+    """Guards against later answers that reach no client, or the wrong one, after such a datagram."""
+    slot, identified, unidentified = slot_shared_with(b"\x01" * 4)
+    assert slot.find_receivers(datagram) == [unidentified]
+    assert slot.unidentified is unidentified and slot.by_client_id == {b"\x01" * 4: identified}
+    assert slot.find_receivers(short_header(b"\x08" * 8)) == [unidentified], "later answers still reach the path"
 
 
 def test_a_whole_id_in_a_long_header_settles_the_unsettled_path() -> None:
-    slot, _, unsettled = shared_by(b"\x01" * 4)
-    assert slot.find_receivers(long_header(b"\x09" * 8)) == [unsettled]
-    assert slot.unidentified is None and slot.find_receivers(short_header(b"\x09" * 8)) == [unsettled]
+    slot, _, unidentified = slot_shared_with(b"\x01" * 4)
+    assert slot.find_receivers(long_header(b"\x09" * 8)) == [unidentified]
+    assert slot.unidentified is None and slot.find_receivers(short_header(b"\x09" * 8)) == [unidentified]
 
 
 def test_the_longest_matching_id_identifies_the_path_of_a_short_header() -> None:
-    """Guards against the order of a set: one client's id may be the beginning of another's."""
+    """Guards against a match that depends on the order of a set: one client's id may be a prefix of another's."""
     shorter, longer = path(), path()
     slot = PortSlot(shorter)
     slot.add(longer, b"\x01" * 6, b"\x01" * 4)
--- a/tests/test_quic_recovery.py
+++ b/tests/test_quic_recovery.py
@@ -1,4 +1,5 @@
-"""The QUIC front when parts break or change: kill and restart, key rotation, moved backends, drains under a storm."""
+"""The QUIC front under failures and changes: kill and restart, key rotation, backends at new addresses, drains under
+load, and floods of malformed datagrams."""
 
 from __future__ import annotations
 
@@ -28,7 +29,7 @@
 
 
 class EchoBackend(RawBackend):
-    """Answers a short packet with its own name, to the client id that the packet tells."""
+    """Answers a short packet with the backend's name, to the client id that the packet contains."""
 
     forms: tuple[IdForm, ...] = (OLD,)
 
@@ -42,7 +43,7 @@
         self.wire.sendto(b"\x40" + data[at : at + 12] + self.name.encode(), addr)
 
 
-class Phone(Client):
+class EchoClient(Client):
     """A client whose messages are answered by an echo backend."""
 
     backend: EchoBackend
@@ -51,26 +52,24 @@
 
     def __init__(self, place: Place) -> None:
         super().__init__(place)
-        self.exclusive = (
-            asyncio.Lock()
-        )  # guards against two who read one queue: each would throw the other's answer away
+        self.exclusive = asyncio.Lock()  # two readers of one queue would discard each other's answers
 
     async def ask(self, timeout_s: float = 5.0) -> bool:
-        """One message, after those that are out; whether its own backend answered."""
+        """Send one message, after those in flight; return whether the client's own backend answered."""
         async with self.exclusive:
             return await self._ask(timeout_s)
 
     async def _ask(self, timeout_s: float) -> bool:
         self.count += 1
-        mark = self.client_id + self.count.to_bytes(4)
-        self.send_short(self.connection_id, mark)
+        message_id = self.client_id + self.count.to_bytes(4)
+        self.send_short(self.connection_id, message_id)
         deadline = time.monotonic() + timeout_s
-        while (left := deadline - time.monotonic()) > 0:
+        while (remaining_s := deadline - time.monotonic()) > 0:
             try:
-                answer = await asyncio.wait_for(self.received.get(), left)
+                answer = await asyncio.wait_for(self.received.get(), remaining_s)
             except TimeoutError:
                 return False
-            if answer[1:13] == mark:
+            if answer[1:13] == message_id:
                 assert answer[13:] == self.backend.name.encode(), "another backend answered"
                 return True
         return False
@@ -78,7 +77,7 @@
 
 @asynccontextmanager
 async def echo_service(folder: Path, **more: Any) -> AsyncIterator[tuple[Place, dict[str, Any], Discovery]]:
-    """Three echo backends, and what the front's file says of them. The relay is the test's to start."""
+    """Start three echo backends; yield them, a settings file for them, and discovery. The test starts the relay."""
     place, discovery = Place(("", 0)), Discovery()
     place.backends += [EchoBackend(n, place.inbox, place.over) for n in range(3)]
     for backend in place.backends:
@@ -100,18 +99,18 @@
         backend.wire.close()
 
 
-async def phone(place: Place) -> Phone:
-    """A client whose connection stands."""
-    one = Phone(place)
-    await one.open()
-    one.send(one.initial())
-    packet = split(await asyncio.wait_for(one.received.get(), 5))[0]
+async def established_client(place: Place) -> EchoClient:
+    """Return a client with an established connection."""
+    client = EchoClient(place)
+    await client.open()
+    client.send(client.initial())
+    packet = split(await asyncio.wait_for(client.received.get(), 5))[0]
     assert packet.kind is Kind.INITIAL
-    one.connection_id = packet.from_id
-    server = OLD.read(one.connection_id)
-    one.backend = next(b for b in place.backends if b.server_ids[1] == server)  # type: ignore[assignment]
-    assert await one.ask()
-    return one
+    client.connection_id = packet.from_id
+    server = OLD.read(client.connection_id)
+    client.backend = next(b for b in place.backends if b.server_ids[1] == server)  # type: ignore[assignment]
+    assert await client.ask()
+    return client
 
 
 def test_a_killed_relay_routes_by_id_from_the_first_packet_and_counts_its_connections_again(tmp_path: Path) -> None:
@@ -120,23 +119,23 @@
             async with program(tmp_path, discovery, settings(), file) as relay:
                 await soon(discovery.asked.wait())
                 place.front = ("127.0.0.1", relay.ports[1])
-                phones = [await phone(place) for _ in range(CONNECTIONS)]
+                clients = [await established_client(place) for _ in range(CONNECTIONS)]
                 relay.process.kill()
                 await relay.process.wait()
             file["listen"] = {"visit-checkin": f"127.0.0.1:{place.front[1]}"}
             discovery.asked.clear()
             async with program(tmp_path, discovery, settings(), file) as relay:
                 await relay.line("endpoint list from")
-                answered = await asyncio.gather(*(p.ask() for p in phones))
-                assert all(answered), "the first packet after the restart"
-                assert all(await asyncio.gather(*(p.ask() for p in phones)))
+                answered = await asyncio.gather(*(p.ask() for p in clients))
+                assert all(answered), "a first packet after the restart was not answered"
+                assert all(await asyncio.gather(*(p.ask() for p in clients)))
                 deadline = time.monotonic() + 8
-                while (counts := await relay.counters())["visits_now"] < CONNECTIONS:
-                    assert time.monotonic() < deadline, counts
-                    assert all(await asyncio.gather(*(p.ask() for p in phones)))
-                assert counts["visits_now"] == counts["visits_brought"] == counts["stood"] == CONNECTIONS
-                # They are connections now: a drain moves them, and a fresh client is placed beside them.
-                assert await (await phone(place)).ask()
+                while (counters := await relay.counters())["visits_now"] < CONNECTIONS:
+                    assert time.monotonic() < deadline, counters
+                    assert all(await asyncio.gather(*(p.ask() for p in clients)))
+                assert counters["visits_now"] == counters["visits_brought"] == counters["stood"] == CONNECTIONS
+                # The adopted paths are connections now, which a drain migrates; a new client is still accepted.
+                assert await (await established_client(place)).ask()
 
     asyncio.run(play())
 
@@ -150,39 +149,41 @@
             async with program(tmp_path, discovery, settings(), file) as relay:
                 await soon(discovery.asked.wait())
                 place.front = ("127.0.0.1", relay.ports[1])
-                phones = [await phone(place) for _ in range(40)]
+                clients = [await established_client(place) for _ in range(40)]
                 asked = lost = 0
                 stop = False
 
-                async def talk(one: Phone) -> None:
+                async def talk(client: EchoClient) -> None:
                     nonlocal asked, lost
                     while not stop:
                         asked += 1
-                        lost += not await one.ask()
+                        lost += not await client.ask()
 
-                async def take(*forms: IdForm) -> None:
+                async def reload_with(*forms: IdForm) -> None:
                     file["ids"] = ids_of(*forms)
                     (tmp_path / "quic.json").write_text(json.dumps(file))
                     relay.process.send_signal(signal.SIGHUP)
                     await relay.line("configuration taken")
 
-                talking = [asyncio.ensure_future(talk(p)) for p in phones]
-                await take(OLD, NEW)
-                for one in phones:  # each gets a fresh id of the new configuration from its backend
-                    one.connection_id = NEW.make(one.backend.server_ids[1])
+                talking = [asyncio.ensure_future(talk(p)) for p in clients]
+                await reload_with(OLD, NEW)
+                for client in clients:  # each gets a new id of the new configuration from its backend
+                    client.connection_id = NEW.make(client.backend.server_ids[1])
                     await asyncio.sleep(0)
-                # What was out under the old ids is answered before their key goes.
-                assert all(await asyncio.gather(*(p.ask() for p in phones)))
-                await take(NEW)
+                # Messages in flight under old ids are answered before the old key is removed.
+                assert all(await asyncio.gather(*(p.ask() for p in clients)))
+                await reload_with(NEW)
                 for _ in range(3):
-                    assert all(await asyncio.gather(*(p.ask() for p in phones)))
+                    assert all(await asyncio.gather(*(p.ask() for p in clients)))
                 stop = True
                 await asyncio.gather(*talking)
-                counts = await relay.counters()
-                assert lost == 0 and asked > 200 and counts["conf_loaded_total"] == 2 and counts["visits_now"] == 40
-                # Ids of the key that was taken away lead nowhere.
-                phones[0].connection_id = OLD.make(phones[0].backend.server_ids[1])
-                assert not await phones[0].ask(0.3)
+                counters = await relay.counters()
+                assert (
+                    lost == 0 and asked > 200 and counters["conf_loaded_total"] == 2 and counters["visits_now"] == 40
+                )
+                # Ids under the removed key are not routed.
+                clients[0].connection_id = OLD.make(clients[0].backend.server_ids[1])
+                assert not await clients[0].ask(0.3)
 
     asyncio.run(play())
 
@@ -193,20 +194,20 @@
             async with program(tmp_path, discovery, settings(), file) as relay:
                 await soon(discovery.asked.wait())
                 place.front = ("127.0.0.1", relay.ports[1])
-                phones = [await phone(place) for _ in range(12)]
-                moved = phones[0].backend
+                clients = [await established_client(place) for _ in range(12)]
+                moved = clients[0].backend
                 moved.wire.close()
                 await moved.open()
                 file["boxes"][moved.name]["address"] = f"127.0.0.1:{moved.port}"
                 (tmp_path / "quic.json").write_text(json.dumps(file))
                 relay.process.send_signal(signal.SIGHUP)
                 await relay.line("configuration taken")
-                assert all(await asyncio.gather(*(p.ask() for p in phones)))
+                assert all(await asyncio.gather(*(p.ask() for p in clients)))
 
     asyncio.run(play())
 
 
-def test_a_connection_goes_on_at_another_relay_that_shares_nothing(tmp_path: Path) -> None:
+def test_a_connection_continues_at_another_relay_without_shared_state(tmp_path: Path) -> None:
     async def play() -> None:
         async with echo_service(tmp_path) as (place, file, discovery):
             async with program(tmp_path, discovery, settings(), file) as first:
@@ -216,19 +217,21 @@
                 async with program(other, discovery, settings(), file) as second:
                     await second.line("endpoint list from")
                     place.front = ("127.0.0.1", first.ports[1])
-                    phones = [await phone(place) for _ in range(30)]
-                    for n in range(6):  # the network sends their packets now here, now there
+                    clients = [await established_client(place) for _ in range(30)]
+                    for n in range(6):  # the network alternates between the relays
                         place.front = ("127.0.0.1", (first, second)[n % 2].ports[1])
-                        assert all(await asyncio.gather(*(p.ask() for p in phones)))
+                        assert all(await asyncio.gather(*(p.ask() for p in clients)))
 
     asyncio.run(play())
 
 
-def test_a_drain_in_a_storm_of_initials_gets_nothing_new_after_500_ms(tmp_path: Path) -> None:
+def test_a_draining_backend_gets_nothing_new_after_500_ms_of_a_storm(tmp_path: Path) -> None:
     async def play() -> None:
-        async with open_place("retry") as place:  # proven ones, so that the storm is of requests, not of noise
+        async with open_place("retry") as place:  # validated by Retry, so that all Initials are requests
             drained = place.backends[0]
-            assert drained in [(await place.standing_by_retry())[1] for _ in range(20)], "it is used before"
+            assert drained in [(await place.standing_by_retry())[1] for _ in range(20)], (
+                "the backend got no connection before the drain"
+            )
             published_s = place.discovery.publish(drained.name, "DRAINING")
             late: list[float] = []
             storm = 0
@@ -241,9 +244,9 @@
                 client.send(client.initial())
                 packet = await client.retry()
                 client.send(client.initial(to_id=packet.from_id, token=packet.token))
-                found, data, _ = await place.reached()
+                receiver, data, _ = await place.reached()
                 storm += 1
-                if found is drained and time.monotonic() > published_s + 0.5 and data[0] >= 0x80:
+                if receiver is drained and time.monotonic() > published_s + 0.5 and data[0] >= 0x80:
                     late.append(time.monotonic() - published_s)
             assert late == [] and storm > 50
 
@@ -289,15 +292,15 @@
                 while (arrived := await place.reached())[1][:1] != b"\x41":
                     pass
                 arrived[0].wire.sendto(b"\x40" + usual[0].client_id + b"heard", arrived[2])
-                assert (await usual[0].receive())[9:] == b"heard", "the usual client notices"
+                assert (await usual[0].receive())[9:] == b"heard", "the established client was not served"
                 while not client.received.empty():
                     client.received.get_nowait()
                 if not settled and passed > seconds / 3:
                     settled = resident_kb(pid)
             grown = resident_kb(pid) - settled
-            counts = await place.relay.counters()
-            assert grown < 6_000, f"{grown} KB more after {sent} datagrams"
-            assert sent > 2_000 and counts["quic_dropped_malformed"] > 100 and "exceptions" not in counts
+            counters = await place.relay.counters()
+            assert grown < 6_000, f"resident memory grew by {grown} KB after {sent} datagrams"
+            assert sent > 2_000 and counters["quic_dropped_malformed"] > 100 and "exceptions" not in counters
             fresh = await place.client()
             fresh.send(fresh.initial())
             assert open_initial(await fresh.packet(), fresh.first_id, from_client=False)
