--- a/gradefront/quic/maintenance.py
+++ b/gradefront/quic/maintenance.py
@@ -135,10 +135,10 @@
         """Return, by backend, when the first of this relay's current connections there was created; adopted ones do
         not count."""
         since: dict[str, int] = {}
-        for v in self.connections:
-            if v.adopted_path is None and v.upstream:
-                backend = v.upstream.attempt.backend
-                since[backend] = min(v.created_us, since.get(backend, v.created_us))
+        for owner in self.connections:
+            if owner.adopted_path is None and owner.upstream:
+                backend = owner.upstream.attempt.backend
+                since[backend] = min(owner.created_us, since.get(backend, owner.created_us))
         return since
 
     def _adopt_unowned_path(self, path: Path) -> None:
--- a/gradefront/quic/paths.py
+++ b/gradefront/quic/paths.py
@@ -1,10 +1,10 @@
 """Upstream ports, through which client datagrams reach backends, and the routing of the backends' answers.
 
-A packet with a short header does not show which connection it belongs to unless the length of its id is known.
-Therefore a port carries only one path for each backend, and the sender and the port together identify the path of an
-answer. The same port carries other paths to other backends. Only when the limit on ports is reached do paths share a
-slot (one backend at one port): they are distinguished by the client ids that the backend sends to, with at most one
-path in the slot whose client id is not yet known.
+QUIC hides which connection a backend's packet with a short header belongs to. Therefore a port carries only one path
+for each backend, and the sender and the port together identify the path of an answer. The same port carries other
+paths to other backends. Only when the limit on ports is reached do paths share a slot (one backend at one port): they
+are distinguished by the client ids that the backend sends to, with at most one path in the slot whose client id is
+not yet known.
 """
 
 from __future__ import annotations
--- a/gradefront/quic/tables.py
+++ b/gradefront/quic/tables.py
@@ -50,9 +50,8 @@
         self.final_answers: OrderedDict[bytes, tuple[bytes, int]] = OrderedDict()
         self.moved_ids: OrderedDict[bytes, tuple[bytes, int]] = OrderedDict()
         self.used_tokens: OrderedDict[bytes, None] = OrderedDict()
-        self.lengths = [
-            0
-        ] * 8  # of ids, by configuration number; shared with the listeners, therefore updated in place
+        #: Lengths of ids by configuration number; shared with the listeners and therefore updated in place.
+        self.lengths = [0] * 8
         self.started_us = self.now()
         self.negotiations = Bucket(NEGOTIATIONS_PER_S, NEGOTIATIONS_PER_S, self.started_us)
         self.retries = Bucket(RETRIES_PER_S, RETRIES_PER_S / 4, self.started_us)
