--- a/gradefront/quic/initials.py
+++ b/gradefront/quic/initials.py
@@ -1,6 +1,7 @@
-"""Initial packets: opened and made with the keys that anyone on the path can derive (RFC 9001 5.2). No I/O.
+"""Initial packets: decryption and encryption with keys that any observer on the path can derive (RFC 9001 5.2).
 
-Keys are derived with plain HMACs and one AEAD call a packet: under a flood this is what an Initial costs.
+No I/O. Keys are derived with plain HMACs, and each packet takes one AEAD call: under a flood this is the cost of an
+Initial.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 from cryptography.hazmat.primitives.ciphers import Cipher, algorithms, modes
 from cryptography.hazmat.primitives.ciphers.aead import AESGCM
 
-from .headers import TOKEN, V1, V2, Kind, Packet, first_octet, read_varint, varint
+from .headers import TAG_LENGTH, V1, V2, Kind, Packet, first_octet, read_varint, varint
 
 CONNECTION_REFUSED = 0x02  # RFC 9000 20.1
 INVALID_TOKEN = 0x0B
-SAMPLE = 16  # octets for header protection (RFC 9001 5.4.2)
-COUNT_OF_RANGES = 2  # the field's place in an ACK frame (RFC 9000 19.3)
-KEYS_KEPT = 512  # derived keys remembered: those of connections that wait
+SAMPLE_LENGTH = 16  # octets sampled for header protection (RFC 9001 5.4.2)
+RANGE_COUNT_FIELD = 2  # index of the ACK Range Count field in an ACK frame (RFC 9000 19.3)
+MAX_CACHED_KEYS = 512  # derived keys kept in the cache, for pending connections
 
 SALTS = {
     V1: bytes.fromhex("38762cf7f55934b34d179ae6a4c80cadccbb7f0a"),  # RFC 9001 5.2
@@ -39,115 +40,119 @@
 }
 
 PADDING, PING, ACK, ACK_ECN, CRYPTO = 0x00, 0x01, 0x02, 0x03, 0x06
-CLOSES = (0x1C, 0x1D)
+CONNECTION_CLOSE_TYPES = (0x1C, 0x1D)
 
 
-class Keys(NamedTuple):
-    """What protects one side's Initials."""
+class InitialKeys(NamedTuple):
+    """The keys that protect one side's Initials."""
 
     key: bytes
     iv: bytes
     header: bytes
 
 
-class Opened(NamedTuple):
-    """What an Initial holds, as far as an edge cares."""
+class InitialPayload(NamedTuple):
+    """The fields of an Initial's payload that the front needs."""
 
     close_code: int | None = None
-    crypto: tuple[tuple[int, bytes], ...] = ()  # offset and octets of each piece of the TLS handshake
+    crypto: tuple[tuple[int, bytes], ...] = ()  # offset and data of each CRYPTO frame
     acks: bool = False
 
 
-def _expand(secret: bytes, label: bytes, length: int) -> bytes:
-    """HKDF-Expand-Label (RFC 8446 7.1) of at most one block, with no context."""
+def _hkdf_expand_label(secret: bytes, label: bytes, length: int) -> bytes:
+    """HKDF-Expand-Label (RFC 8446 7.1) with an empty context, for at most one hash block of output."""
     name = b"tls13 " + label
     info = length.to_bytes(2) + bytes([len(name)]) + name + b"\x00"
     return hmac.digest(secret, info + b"\x01", "sha256")[:length]
 
 
-@lru_cache(maxsize=KEYS_KEPT)
-def keys_of(version: int, first_id: bytes, client: bool) -> Keys:
-    """The keys of the client's or the server's Initials, from the id that the client wrote to first."""
+@lru_cache(maxsize=MAX_CACHED_KEYS)
+def derive_initial_keys(version: int, first_id: bytes, client: bool) -> InitialKeys:
+    """Derive the keys of the client's or the server's Initials from the client's first destination id."""
     common = hmac.digest(SALTS[version], first_id, "sha256")
-    secret = _expand(common, b"client in" if client else b"server in", 32)
+    secret = _hkdf_expand_label(common, b"client in" if client else b"server in", 32)
     key, iv, header = LABELS[version]
-    return Keys(_expand(secret, key, 16), _expand(secret, iv, 12), _expand(secret, header, 16))
+    return InitialKeys(
+        _hkdf_expand_label(secret, key, 16),
+        _hkdf_expand_label(secret, iv, 12),
+        _hkdf_expand_label(secret, header, 16),
+    )
 
 
-def _mask(keys: Keys, sample: bytes) -> bytes:
+def _mask(keys: InitialKeys, sample: bytes) -> bytes:
     return Cipher(algorithms.AES(keys.header), modes.ECB()).encryptor().update(sample)  # noqa: S305 - RFC 9001 5.4.3
 
 
-def open_initial(packet: Packet, first_id: bytes, from_client: bool) -> Opened | None:
-    """Open an Initial with the keys of the client's first id; None where it isn't sound."""
+def open_initial(packet: Packet, first_id: bytes, from_client: bool) -> InitialPayload | None:
+    """Decrypt an Initial with the keys derived from the client's first id; None if it is invalid."""
     if packet.kind is not Kind.INITIAL or packet.version not in SALTS:
         return None
-    data, at = packet.data, packet.payload_at
-    sample = data[at + 4 : at + 4 + SAMPLE]
-    if len(sample) < SAMPLE:
+    data, pos = packet.data, packet.payload_offset
+    sample = data[pos + 4 : pos + 4 + SAMPLE_LENGTH]
+    if len(sample) < SAMPLE_LENGTH:
         return None
-    keys = keys_of(packet.version, first_id, from_client)
+    keys = derive_initial_keys(packet.version, first_id, from_client)
     mask = _mask(keys, sample)
     first = data[0] ^ mask[0] & 0x0F
     size = (first & 3) + 1
-    number = int.from_bytes(data[at : at + size]) ^ int.from_bytes(mask[1 : 1 + size])
-    head = bytes([first]) + data[1:at] + number.to_bytes(size)
+    number = int.from_bytes(data[pos : pos + size]) ^ int.from_bytes(mask[1 : 1 + size])
+    header = bytes([first]) + data[1:pos] + number.to_bytes(size)
     nonce = (int.from_bytes(keys.iv) ^ number).to_bytes(12)
     try:
-        payload = AESGCM(keys.key).decrypt(nonce, data[at + size :], head)
+        payload = AESGCM(keys.key).decrypt(nonce, data[pos + size :], header)
     except (InvalidTag, ValueError):
         return None
     return read_frames(payload)
 
 
-def read_frames(payload: bytes) -> Opened | None:
-    """The frames that an Initial may hold (RFC 9000 12.4); None where there is another, or none at all."""
+def read_frames(payload: bytes) -> InitialPayload | None:
+    """Parse the frames that an Initial may contain (RFC 9000 12.4); None if there is any other frame, or no frame."""
     crypto: list[tuple[int, bytes]] = []
-    at, acks, end = 0, False, len(payload)
-    while at < end:
-        kind = payload[at]
-        at += 1
-        if kind == PADDING:  # mostly the greater part of a datagram: skipped in one go
-            at = end - len(payload[at:].lstrip(b"\x00"))
+    pos, acks, end = 0, False, len(payload)
+    while pos < end:
+        kind = payload[pos]
+        pos += 1
+        if kind == PADDING:  # often most of a datagram, therefore skipped at once
+            pos = end - len(payload[pos:].lstrip(b"\x00"))
         elif kind == PING:
             continue
         elif kind in (ACK, ACK_ECN):
             acks = True
-            found = _skip_ack(payload, at, kind == ACK_ECN)
+            found = _skip_ack(payload, pos, kind == ACK_ECN)
             if found is None:
                 return None
-            at = found
+            pos = found
         elif kind == CRYPTO:
-            offset = read_varint(payload, at)
+            offset = read_varint(payload, pos)
             length = read_varint(payload, offset[1]) if offset else None
             if offset is None or length is None or length[1] + length[0] > end:
                 return None
-            at = length[1] + length[0]
-            crypto.append((offset[0], payload[length[1] : at]))
-        elif kind in CLOSES:
-            code = read_varint(payload, at)
-            return Opened(code[0], tuple(crypto), acks) if code else None
+            pos = length[1] + length[0]
+            crypto.append((offset[0], payload[length[1] : pos]))
+        elif kind in CONNECTION_CLOSE_TYPES:
+            code = read_varint(payload, pos)
+            return InitialPayload(code[0], tuple(crypto), acks) if code else None
         else:
             return None
-    return Opened(None, tuple(crypto), acks) if payload else None
+    return InitialPayload(None, tuple(crypto), acks) if payload else None
 
 
-def _skip_ack(payload: bytes, at: int, with_ecn: bool) -> int | None:
-    """Where an ACK frame ends (RFC 9000 19.3)."""
+def _skip_ack(payload: bytes, pos: int, with_ecn: bool) -> int | None:
+    """Return the offset after an ACK frame (RFC 9000 19.3); None if it is truncated."""
     ranges = 0
     for field in range(4):  # largest, delay, count of ranges, first range
-        found = read_varint(payload, at)
+        found = read_varint(payload, pos)
         if found is None:
             return None
-        at = found[1]
-        if field == COUNT_OF_RANGES:
+        pos = found[1]
+        if field == RANGE_COUNT_FIELD:
             ranges = found[0]
     for _ in range(min(2 * ranges, len(payload)) + (3 if with_ecn else 0)):
-        found = read_varint(payload, at)
+        found = read_varint(payload, pos)
         if found is None:
             return None
-        at = found[1]
-    return at
+        pos = found[1]
+    return pos
 
 
 def seal_initial(  # noqa: PLR0913 - the fields of the packet
@@ -160,11 +165,11 @@
     token: bytes = b"",
     number: int = 0,
 ) -> bytes:
-    """An Initial packet, protected."""
-    keys = keys_of(version, first_id, from_client)
-    payload = payload.ljust(4, b"\x00")  # RFC 9001 5.4.2: enough octets to sample
+    """Build an encrypted Initial packet."""
+    keys = derive_initial_keys(version, first_id, from_client)
+    payload = payload.ljust(4, b"\x00")  # RFC 9001 5.4.2: enough octets for the header protection sample
     size = 2
-    head = b"".join(
+    header = b"".join(
         (
             bytes([first_octet(version, Kind.INITIAL, size - 1)]),
             version.to_bytes(4),
@@ -174,27 +179,28 @@
             from_id,
             varint(len(token)),
             token,
-            (0x4000 | size + len(payload) + TOKEN).to_bytes(2),
+            (0x4000 | size + len(payload) + TAG_LENGTH).to_bytes(2),
             number.to_bytes(size),
         )
     )
-    sealed = AESGCM(keys.key).encrypt((int.from_bytes(keys.iv) ^ number).to_bytes(12), payload, head)
+    sealed = AESGCM(keys.key).encrypt((int.from_bytes(keys.iv) ^ number).to_bytes(12), payload, header)
     mask = _mask(keys, sealed[4 - size : 20 - size])
-    hidden = int.from_bytes(head[-size:]) ^ int.from_bytes(mask[1 : 1 + size])
-    return bytes([head[0] ^ mask[0] & 0x0F]) + head[1:-size] + hidden.to_bytes(size) + sealed
+    hidden = int.from_bytes(header[-size:]) ^ int.from_bytes(mask[1 : 1 + size])
+    return bytes([header[0] ^ mask[0] & 0x0F]) + header[1:-size] + hidden.to_bytes(size) + sealed
 
 
 def close_initial(
     version: int, first_id: bytes, client_id: bytes, reason: str, code: int = CONNECTION_REFUSED
 ) -> bytes:
-    """A server's Initial that closes. It is a tenth of the least Initial that it answers (RFC 9000 8.1)."""
+    """Build a server's Initial with a CONNECTION_CLOSE. Its size is a tenth of the smallest Initial that it answers,
+    well within the anti-amplification limit (RFC 9000 8.1)."""
     text = reason.encode()
-    frame = bytes([CLOSES[0]]) + varint(code) + b"\x00" + varint(len(text)) + text
+    frame = bytes([CONNECTION_CLOSE_TYPES[0]]) + varint(code) + b"\x00" + varint(len(text)) + text
     return seal_initial(version, first_id, client_id, os.urandom(8), frame)
 
 
-def busy(pause_us: int) -> str:
-    """The reason of a close that refuses: when to come again, in milliseconds, where that is advised."""
+def busy_reason(pause_us: int) -> str:
+    """Return the reason phrase of a rejection, with the advised pause in milliseconds unless it is 0."""
     return f"BUSY {-(-pause_us // 1000)}" if pause_us else "BUSY"
 
 
@@ -204,7 +210,7 @@
 
 
 def make_retry(version: int, first_id: bytes, client_id: bytes, new_id: bytes, token: bytes) -> bytes:
-    """A Retry packet (RFC 9000 17.2.5): come again with this token, to this id."""
+    """Build a Retry packet (RFC 9000 17.2.5), which asks the client for an Initial with `token`, to `new_id`."""
     body = b"".join(
         (
             bytes([first_octet(version, Kind.RETRY, os.urandom(1)[0] & 0x0F)]),
@@ -219,9 +225,10 @@
     return body + _retry_tag(version, first_id, body)
 
 
-def sound_retry(packet: Packet, first_id: bytes) -> bool:
-    """Whether a Retry was made by someone who saw the client's Initial (RFC 9001 5.8)."""
+def is_valid_retry(packet: Packet, first_id: bytes) -> bool:
+    """Return whether a Retry's integrity tag matches the first id of the client's Initial, which shows that the
+    sender of the Retry saw that Initial (RFC 9001 5.8)."""
     if packet.kind is not Kind.RETRY or packet.version not in RETRY_KEYS:
         return False
-    tag = _retry_tag(packet.version, first_id, packet.data[:-TOKEN])
-    return hmac.compare_digest(tag, packet.data[-TOKEN:])
+    tag = _retry_tag(packet.version, first_id, packet.data[:-TAG_LENGTH])
+    return hmac.compare_digest(tag, packet.data[-TAG_LENGTH:])
--- a/gradefront/quic/settings.py
+++ b/gradefront/quic/settings.py
@@ -1,4 +1,4 @@
-"""The types of `quic.json`. A field that isn't here is an error: a slip of the pen must not switch a limit off."""
+"""The types of `quic.json`. Unknown fields are errors, so that a misspelt name cannot silently disable a limit."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 Seconds = Annotated[float, Meta(gt=0, le=86_400)]
 
 
-class Part(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What all parts of the file share."""
+class Section(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+    """Base of all sections of the file."""
 
 
-class Ids(Part, frozen=True):
-    """One configuration of ids (draft-ietf-quic-load-balancers)."""
+class Ids(Section, frozen=True):
+    """One configuration of connection ids (draft-ietf-quic-load-balancers)."""
 
     config_id: int
     server_id_length: int
@@ -27,8 +27,8 @@
     key_file: str = ""
 
 
-class BackendEntry(Part, frozen=True):
-    """A backend."""
+class BackendEntry(Section, frozen=True):
+    """A backend's entry under `boxes`."""
 
     address: str
     reset_key: str
@@ -36,8 +36,8 @@
     server_ids: tuple[str, ...] = ()
 
 
-class RetryKey(Part, frozen=True):
-    """One key of the sequence that relays and backends share."""
+class RetryKey(Section, frozen=True):
+    """One of the Retry token keys that relays and backends share."""
 
     sequence: Annotated[int, Meta(ge=0, le=127)]
     iv: str
@@ -45,7 +45,7 @@
     key_file: str = ""
 
 
-class Retry(Part, frozen=True):
+class Retry(Section, frozen=True):
     """Address validation by Retry."""
 
     mode: Literal["never", "always", "auto"] = "never"
@@ -54,8 +54,8 @@
     life_s: Seconds = 10.0
 
 
-class ListenerLimits(Part, frozen=True):
-    """What the listener bears; rates are a second."""
+class ListenerLimits(Section, frozen=True):
+    """Limits of the listeners; rates are per second."""
 
     pressure: Rate = 200.0
     address_rate: Rate = 100.0
@@ -71,18 +71,19 @@
     deny: tuple[str, ...] = ()
 
 
-class Classes(Part, frozen=True):
-    """Which class a connection is of, where its ClientHello tells more than its port."""
+class Classes(Section, frozen=True):
+    """Request classes by ALPN protocol and server name, which take precedence over the listening port."""
 
     alpn: dict[str, str] = {}
     sni: dict[str, str] = {}
 
 
-class QuicFile(Part, frozen=True):
+class QuicFile(Section, frozen=True):
     """The whole file."""
 
     listen: dict[str, str]
-    backends: dict[str, Any] = msgspec.field(name="boxes")  # of BackendEntry; each is checked with its name
+    #: BackendEntry values, checked one by one so that errors name the backend.
+    backends: dict[str, Any] = msgspec.field(name="boxes")
     on: bool = False
     config_id: int | None = None
     server_id_length: int | None = None
--- a/tests/test_fuzz_targets.py
+++ b/tests/test_fuzz_targets.py
@@ -7,7 +7,7 @@
 import pytest
 
 from fuzz import quic as fuzz
-from gradefront.quic.tokens import Standing
+from gradefront.quic.tokens import TokenVerdict
 
 
 def test_mutated_seeds_break_no_parser() -> None:
@@ -16,8 +16,8 @@
 
 def test_the_token_target_fails_on_a_token_that_wrongly_proves_an_address() -> None:
     assert (
-        fuzz.MINT.read(fuzz.MINT._seal(2, fuzz.BODY[1:]), fuzz.CLIENT, b"retry-id", fuzz.NOW_US).standing
-        is Standing.PROVEN
+        fuzz.MINT.read(fuzz.MINT._seal(2, fuzz.BODY[1:]), fuzz.CLIENT, b"retry-id", fuzz.NOW_US).verdict
+        is TokenVerdict.PROVEN
     ), "the seed must pass all checks of the token reader"
     valid_token = fuzz.MINT.make(fuzz.CLIENT, b"first-id", b"retry-id", fuzz.NOW_US)
     with pytest.raises(AssertionError):  # the target takes each valid token for a successful forgery
--- a/tests/test_quic_places.py
+++ b/tests/test_quic_places.py
@@ -1,6 +1,6 @@
-"""Places shared by paths at an upstream port, against drawn steps: no path is ever in no place.
+"""Slots of an upstream port that several paths share, under random steps: no path ever drops out of its slot.
 
-All ids and datagrams are drawn, so that hypothesis can shrink and replay what it finds.
+All ids and datagrams are drawn by hypothesis, so that it can shrink and replay a failure.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from gradefront.quic.headers import FIXED, LONG
+from gradefront.quic.headers import FIXED_BIT, LONG_HEADER_BIT
 from gradefront.quic.paths import Path
-from gradefront.quic.places import Place
+from gradefront.quic.places import PortSlot
 
 VERSION = b"\x00\x00\x00\x01"
 IDS = st.sampled_from([b"", b"\x01" * 4, b"\x01" * 6, b"\x02" * 4, b"\x02" * 8, b"\x03" * 20])
@@ -22,40 +22,40 @@
 
 
 def path() -> Path:
-    no_matter: Any = None
-    return Path(("127.0.0.1", 1), "backend-1", ("127.0.0.1", 2), no_matter, no_matter, 0)
+    unused: Any = None
+    return Path(("127.0.0.1", 1), "backend-1", ("127.0.0.1", 2), unused, unused, 0)
 
 
 def long_header(client_id: bytes, rest: bytes = b"\x00rest") -> bytes:
-    return bytes([LONG | FIXED]) + VERSION + bytes([len(client_id)]) + client_id + rest
+    return bytes([LONG_HEADER_BIT | FIXED_BIT]) + VERSION + bytes([len(client_id)]) + client_id + rest
 
 
 def short_header(client_id: bytes, rest: bytes = b"rest") -> bytes:
-    return bytes([FIXED]) + client_id + rest
+    return bytes([FIXED_BIT]) + client_id + rest
 
 
 class SharedPlace(RuleBasedStateMachine):
-    """Paths with known and unknown ids come, speak, are answered, become known and go."""
+    """Paths with known and unknown ids are added, send, are answered, become known and are removed."""
 
     def __init__(self) -> None:
         super().__init__()
         self.entered: list[Path] = []
-        self.place = Place(path())
+        self.slot = PortSlot(path())
 
     @precondition(lambda self: not self.entered)
     @rule(first_id=IDS, second_id=IDS)
     def two_paths_share(self, first_id: bytes, second_id: bytes) -> None:
         self.entered = [path()]
-        self.place = Place(self.entered[0])
+        self.slot = PortSlot(self.entered[0])
         self.come_with(second_id, first_id)
 
     def come_with(self, client_id: bytes, present_id: bytes) -> None:
-        if self.place.takes(client_id, present_id):
+        if self.slot.accepts(client_id, present_id):
             self.entered.append(path())
-            self.place.share(self.entered[-1], client_id, present_id)
+            self.slot.add(self.entered[-1], client_id, present_id)
 
     def is_shared(self) -> bool:
-        return bool(self.entered) and self.place.by_id is not None
+        return bool(self.entered) and self.slot.by_client_id is not None
 
     @precondition(is_shared)
     @rule(client_id=IDS)
@@ -79,69 +79,69 @@
         self.check_receivers(datagram)
 
     def check_receivers(self, datagram: bytes) -> None:
-        receivers = self.place.find(datagram)
-        assert set(receivers) <= set(self.entered), "a path that has gone"
-        assert receivers or not self.entered, "an answer that reaches nobody"
+        receivers = self.slot.find_receivers(datagram)
+        assert set(receivers) <= set(self.entered), "a receiver was removed from the slot"
+        assert receivers or not self.entered, "an answer has no receiver"
 
     @precondition(lambda self: self.entered)
     @rule(which=st.integers(0, 9), client_id=IDS)
     def become_known(self, which: int, client_id: bytes) -> None:
-        self.place.settle(self.entered[which % len(self.entered)], client_id)
+        self.slot.identify(self.entered[which % len(self.entered)], client_id)
 
     @precondition(lambda self: self.entered)
     @rule(which=st.integers(0, 9))
     def go(self, which: int) -> None:
         left = self.entered.pop(which % len(self.entered))
-        assert self.place.drop(left) == (not self.entered)
+        assert self.slot.remove(left) == (not self.entered)
 
     @invariant()
     def each_path_is_in_the_place(self) -> None:
         if self.entered:
-            assert sorted(map(id, self.place.paths())) == sorted(map(id, self.entered))
+            assert sorted(map(id, self.slot.paths())) == sorted(map(id, self.entered))
 
 
 TestSharedPlace = SharedPlace.TestCase
 TestSharedPlace.settings = settings(max_examples=300, stateful_step_count=30, derandomize=True, deadline=None)
 
 
-def shared_by(settled_id: bytes) -> tuple[Place, Path, Path]:
-    """A place with one path of a known id that was heard, and one of an unknown id."""
-    settled, unsettled = path(), path()
-    place = Place(settled)
-    place.share(unsettled, b"", settled_id)
-    assert place.find(long_header(settled_id)) == [settled]
-    return place, settled, unsettled
+def slot_shared_with(known_id: bytes) -> tuple[PortSlot, Path, Path]:
+    """Return a slot with two paths: the id of one is known and has appeared in an answer, the other's is unknown."""
+    identified, unidentified = path(), path()
+    slot = PortSlot(identified)
+    slot.add(unidentified, b"", known_id)
+    assert slot.find_receivers(long_header(known_id)) == [identified]
+    return slot, identified, unidentified
 
 
 @pytest.mark.parametrize(
     "datagram",
     [
-        short_header(b"\x09" * 8),  # how long its id is, nobody knows
+        short_header(b"\x09" * 8),  # an id of unknown length
         long_header(b""),
         long_header(b"\x09" * 8)[:9],  # cut off within the id
-        long_header(b"\x01" * 8)[:10],  # ... where it looks like a shorter id that is known
+        long_header(b"\x01" * 8)[:10],  # cut off where it looks like a shorter, known id
         long_header(b"\x09" * 8)[:6],
-        bytes([LONG]),
+        bytes([LONG_HEADER_BIT]),
     ],
 )
 def test_a_datagram_without_a_readable_id_keeps_the_unsettled_path_in_its_place(datagram: bytes) -> None:
-    """Guards against answers that reach nobody, or the wrong client, after one such datagram."""
-    place, settled, unsettled = shared_by(b"\x01" * 4)
-    assert place.find(datagram) == [unsettled]
-    assert place.unsettled is unsettled and place.by_id == {b"\x01" * 4: settled}
-    assert place.find(short_header(b"\x08" * 8)) == [unsettled], "its other answers reach it still"
+    """Guards against later answers that reach no client, or the wrong one, after such a datagram."""
+    slot, identified, unidentified = slot_shared_with(b"\x01" * 4)
+    assert slot.find_receivers(datagram) == [unidentified]
+    assert slot.unidentified is unidentified and slot.by_client_id == {b"\x01" * 4: identified}
+    assert slot.find_receivers(short_header(b"\x08" * 8)) == [unidentified], "later answers still reach the path"
 
 
 def test_a_whole_id_in_a_long_header_settles_the_unsettled_path() -> None:
-    place, _, unsettled = shared_by(b"\x01" * 4)
-    assert place.find(long_header(b"\x09" * 8)) == [unsettled]
-    assert place.unsettled is None and place.find(short_header(b"\x09" * 8)) == [unsettled]
+    slot, _, unidentified = slot_shared_with(b"\x01" * 4)
+    assert slot.find_receivers(long_header(b"\x09" * 8)) == [unidentified]
+    assert slot.unidentified is None and slot.find_receivers(short_header(b"\x09" * 8)) == [unidentified]
 
 
 def test_the_longest_matching_id_identifies_the_path_of_a_short_header() -> None:
-    """Guards against the order of a set: one client's id may be the beginning of another's."""
+    """Guards against a match that depends on the order of a set: one client's id may be a prefix of another's."""
     shorter, longer = path(), path()
-    place = Place(shorter)
-    place.share(longer, b"\x01" * 6, b"\x01" * 4)
-    assert place.find(short_header(b"\x01" * 6)) == [longer]
-    assert place.find(short_header(b"\x01" * 4 + b"\x02" * 4)) == [shorter]
+    slot = PortSlot(shorter)
+    slot.add(longer, b"\x01" * 6, b"\x01" * 4)
+    assert slot.find_receivers(short_header(b"\x01" * 6)) == [longer]
+    assert slot.find_receivers(short_header(b"\x01" * 4 + b"\x02" * 4)) == [shorter]
