--- a/gradefront/admin/server.py
+++ b/gradefront/admin/server.py
@@ -19,8 +19,8 @@
 
 MAX_COMMAND_BYTES = 256
 COMMAND_TIMEOUT_US = 3_000_000  # from the connect to the complete command
-EVICTION_THRESHOLD = 12  # with more connections than this, the oldest is closed
-MIN_EVICTION_AGE_US = 250_000  # ... unless it is less than this older than the newest: its command may be in flight
+EVICTION_THRESHOLD = 12  # with more connections than this, each new one causes the oldest to be closed
+MIN_EVICTION_AGE_US = 250_000  # ... if it has been open longer than this; until then its command may be in transit
 MAX_CALLERS = 24  # further connections are closed at once
 
 CommandHandler = Callable[[], list[str]]
@@ -102,7 +102,7 @@
         if len(self.callers) > EVICTION_THRESHOLD and caller.arrived_us - oldest.arrived_us > MIN_EVICTION_AGE_US:
             self.core.counters.add("door_ended_for_room")
             del self.callers[oldest]
-            if oldest.answered:
+            if oldest.answered:  # it is closing, and only waits for the caller to close
                 self.closing.free_descriptor()
             oldest.answer(["fail others wait"])
 
--- a/gradefront/fleet/members.py
+++ b/gradefront/fleet/members.py
@@ -1,5 +1,6 @@
 """The member table: member states, precedence among records of one member, and tombstones.
 
+A tombstone is the record of a dead or departed member, kept so that older gossip does not bring the member back.
 A record has one writer, the member itself; other relays may only add a suspicion or a death to it. Records are
 ordered by incarnation, then by boot id, then by state, so the same records received in any order give the same table.
 """
--- a/gradefront/fleet/swim.py
+++ b/gradefront/fleet/swim.py
@@ -6,9 +6,9 @@
 
 Two points go beyond the published protocols. A relay that hears from fewer than half of the members that it should
 hear from assumes that it is isolated itself: its suspicions time out later, so that a single relay that is cut off
-declares no other member dead at once. And two processes that hold the same name detect each other: a record carries
-the boot id of the process from which its sender took over the name, so a running process that reads its own boot id
-there knows that the other process runs too.
+does not immediately declare the other members dead. And two processes that hold the same name detect each other: a
+record carries the boot id of the process from which its sender took over the name, so a running process that reads
+its own boot id there knows that the other process runs too.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 DIRECT_TIMEOUT_PERIODS = 0.75  # from the ping until helpers get a ping-req
 HELPER_TIMEOUT_PERIODS = 0.4  # from a helper's ping until its nack, which must arrive before the probe times out
 PROBE_TIMEOUT_PERIODS = 2.0  # from the ping until the target is suspected
-SUSPICION_TIMEOUT_PERIODS = 7.0  # until a suspected member is declared dead; must outlast its pause of one second
+SUSPICION_TIMEOUT_PERIODS = 7.0  # until a suspected member is declared dead; must outlast a one-second pause
 ISOLATION_FACTOR = 3.0  # multiplies the suspicion timeout while this relay seems to be isolated
 PING_REQ_HELPERS = 3
 MAX_LOCAL_HEALTH = 8  # each point of local health extends this relay's probe timeouts by their basic length
--- a/gradefront/net/base.py
+++ b/gradefront/net/base.py
@@ -87,7 +87,7 @@
             self.closer.on_connection_lost(self)
 
     def read_available(self) -> bool:
-        """Read the data that the kernel holds; return whether the peer has closed its side.
+        """Read the data that the kernel holds; return whether the peer has closed its side or this side is closing.
 
         This detects a close that the reactor has not noticed yet.
         """
--- a/gradefront/net/client_protocol.py
+++ b/gradefront/net/client_protocol.py
@@ -26,7 +26,7 @@
 
 log = logging.getLogger("gradefront.client")
 
-PRE_REQUEST_TIMEOUT_US = 2_200_000  # since accept; the protocol owes a client without a request an answer within 3 s
+PRE_REQUEST_TIMEOUT_US = 2_200_000  # since accept; the platform requires an answer within 3 s, even without a request
 MAX_PINGS = 32  # `PING` lines answered on one connection before its request
 MIN_PRE_REQUEST_AGE_US = (
     250_000  # younger connections are not closed to free a descriptor: their request may be in transit
@@ -221,13 +221,17 @@
 class ClientProtocolFactory(ServerFactory):
     """Accepts client connections and keeps their file descriptors within the budget.
 
-    `connector` opens backend connections for these clients; `upstreams` holds backend connections that are closing.
+    `connector` opens backend connections for these clients; `closing_upstreams` holds those that are closing.
     """
 
     noisy = False
 
     def __init__(
-        self, config: Config, core: RelayCore, connector: BackendConnector, upstreams: ConnectionCloser | None = None
+        self,
+        config: Config,
+        core: RelayCore,
+        connector: BackendConnector,
+        closing_upstreams: ConnectionCloser | None = None,
     ) -> None:
         self.config = config
         self.core = core
@@ -236,7 +240,7 @@
         self.pre_request: dict[ClientProtocol, None] = {}  # connections without a request, oldest first
         self.seen_ids = SeenIds()
         self.closing = ConnectionCloser(core, config.sockets // DESCRIPTOR_SHARE)
-        self.upstreams = upstreams or ConnectionCloser(core, config.sockets // DESCRIPTOR_SHARE)
+        self.closing_upstreams = closing_upstreams or ConnectionCloser(core, config.sockets // DESCRIPTOR_SHARE)
 
     @property
     def budget(self) -> DescriptorBudget:
@@ -255,7 +259,7 @@
         if (
             error.errno != errno.EMFILE
             or self.closing.free_descriptor()
-            or self.upstreams.free_descriptor()
+            or self.closing_upstreams.free_descriptor()
             or not self.pre_request
         ):
             return
@@ -271,7 +275,7 @@
 
         A backend connection stays open a little longer than its client's.
         """
-        return self.open_connections + len(self.core.connections) + len(self.upstreams)
+        return self.open_connections + len(self.core.connections) + len(self.closing_upstreams)
 
     def on_connected(self, client: ClientProtocol) -> None:
         """Register a connection. If descriptors run short, close the connections that need theirs least."""
@@ -279,14 +283,14 @@
         self.pre_request[client] = None
         budget = self.budget
         while self.descriptors_held() > budget.before_request and (
-            self.closing.free_descriptor() or self.upstreams.free_descriptor()
+            self.closing.free_descriptor() or self.closing_upstreams.free_descriptor()
         ):
             pass  # these connections have already sent their final answer
         if self.descriptors_held() > budget.before_request:
             oldest = next(iter(self.pre_request))
             if client.arrived_us - oldest.arrived_us > MIN_PRE_REQUEST_AGE_US:
                 oldest.free_descriptor()
-        # The protocol page permits to close such a connection unread; here a request that has arrived is answered.
+        # The platform's protocol permits closing such a connection unread; here a request that arrived is answered.
         if self.descriptors_held() > budget.for_connections:
             client.reject_for_descriptors()
 
--- a/gradefront/net/closing.py
+++ b/gradefront/net/closing.py
@@ -20,7 +20,7 @@
 from gradefront.core.timer_wheel import Timer
 
 LINGER_TIMEOUT_US = 2_000_000  # after all data is sent: time for a slow peer to read it and to close its side
-UNSENT_TIMEOUT_US = 7_000_000  # after so long without taking a byte, a peer counts as lost by the protocol page
+UNSENT_TIMEOUT_US = 7_000_000  # the platform's protocol regards a peer as lost if it takes no byte for so long
 MAX_DISCARDED_BYTES = 1 << 18  # a peer that sends more during the close is reset or no longer read
 DESCRIPTOR_SHARE = 16  # closing connections of one kind may hold 1/16 of the descriptors
 
--- a/gradefront/net/connect_check.py
+++ b/gradefront/net/connect_check.py
@@ -1,4 +1,4 @@
-"""Connect checks: whether a backend's machine still accepts TCP connections."""
+"""Connect checks: whether a backend's machine still responds to a TCP connect, even with a refusal."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
         self._finish(True)
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: ARG002 - Twisted's signature
-        """Report success, because a refusal shows that the machine is up.
+        """Report success: any failure is taken for a refusal, which shows that the machine is up.
 
         If only the backend process died, its machine resets the established connections, so they end by themselves.
         """
         self._finish(True)
 
     def on_timeout(self) -> None:
-        """Report failure, because the connection did not open in time, and cancel it."""
+        """Report failure, because the machine did not respond in time, and cancel the connection."""
         self._finish(False)
         self.connector.disconnect()
 
-    def _finish(self, opened: bool) -> None:
+    def _finish(self, responded: bool) -> None:
         if self.timeout:
             self.timeout.cancel()
             self.timeout = None
-            self.core.liveness.on_connect_checked(self.backend, opened)
+            self.core.liveness.on_connect_checked(self.backend, responded)
--- a/gradefront/net/descriptor_budget.py
+++ b/gradefront/net/descriptor_budget.py
@@ -26,5 +26,5 @@
 
     @property
     def for_connections(self) -> int:
-        """Limit above which new connections are rejected at once. Keeps the last descriptors for established ones."""
+        """Limit above which new connections are rejected at once. Keeps the rest for established ones."""
         return self.total - RESERVED_DESCRIPTORS // 2
--- a/gradefront/net/endpoint_list.py
+++ b/gradefront/net/endpoint_list.py
@@ -71,11 +71,11 @@
 
     def _parse_members(self, members: list[Any], is_complete: bool) -> _ParsedMembers:
         """Parse the members. Invalid ones are described in `errors`."""
-        reading = self._list_reading()
+        context = self._read_context()
         listed, errors = list[ListedBackend](), list[str]()
         for member in members:
             try:
-                listed.append(self._parse_member(member, reading))
+                listed.append(self._parse_member(member, context))
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
                 errors.append(repr(error))
                 last_valid = self.backends.get(str(member.get("id"))) if isinstance(member, dict) else None
@@ -98,15 +98,15 @@
                 backends[backend.endpoint.backend] = backend
         return backends
 
-    def _list_reading(self) -> ListReadContext:
-        """Return how far start times in a document that is applied now can be trusted."""
+    def _read_context(self) -> ListReadContext:
+        """Return what decides how far the start times in a document that is applied now can be trusted."""
         now_us = self.core.clock()
         since_us = now_us - self.last_heartbeat_us if self.last_heartbeat_us is not None else 0
         max_start_age_us = max(self.core.settings.warm_up_us, since_us + DISCOVERY_DELAY_US)
         # A change against a list that this relay already had, even one saved before its start, is recent.
         return ListReadContext(now_us, self.stepped(), bool(self.backends), max_start_age_us)
 
-    def _parse_member(self, member: Any, reading: ListReadContext) -> ListedBackend:
+    def _parse_member(self, member: Any, context: ListReadContext) -> ListedBackend:
         """Parse one member. Raises KeyError, TypeError, ValueError, AttributeError or OverflowError."""
         state = STATES.get(member["phase"], BackendState.UNKNOWN)
         address = ("", 0) if state is BackendState.GONE else _parse_address(member["host_port"])
@@ -116,7 +116,7 @@
         backend = str(member["id"])
         previous = self.backends.get(backend)
         up_since_us = int(member.get("up_since_ms") or 0) * 1000
-        start = estimate_start(up_since_us, previous.start if previous else None, reading)
+        start = estimate_start(up_since_us, previous.start if previous else None, context)
         endpoint = Endpoint(
             backend,
             state,
--- a/gradefront/net/endpoint_watch.py
+++ b/gradefront/net/endpoint_watch.py
@@ -19,9 +19,9 @@
 class EndpointWatch:
     """Watches the endpoint list for the core (`ports.EndpointWatcher`). `address` is discovery's host and port.
 
-    If lists are polled, the decision module decides when to call, because each call loads a service that all relays
-    share. If lists are pushed, an agent on this machine provides them at no such cost, and its list is in force
-    whether or not this relay has received it. So then this class itself keeps a watch open all the time.
+    If lists are polled, the decision module decides when to call, because each call is work for a service that all
+    relays share. If lists are pushed, an agent on this machine provides them at no such cost, and its list is in
+    force whether or not this relay has received it. So then this class itself keeps a watch open all the time.
     """
 
     def __init__(
@@ -42,8 +42,10 @@
 
     @property
     def retry_us(self) -> int:
-        """Minimum time between the starts of two calls to the agent, also its response timeout: a third of the drain
-        grace period in the settings."""
+        """Minimum time between the starts of two calls to the agent, and the response timeout of each.
+
+        A third of the drain grace period in the settings, which counts as at least MIN_DRAIN_GRACE_US.
+        """
         return max(self.core.settings.drain_grace_us, MIN_DRAIN_GRACE_US) // 3
 
     def on_first_document(self) -> None:
--- a/gradefront/net/health_checks.py
+++ b/gradefront/net/health_checks.py
@@ -96,7 +96,7 @@
         self._finish(AttemptResult.OK if ok else AttemptResult.ERROR, parse_load_report(line) if ok else None)
 
     def on_connection_lost(self, line_protocol: HealthCheckProtocol) -> None:
-        """Repeat the pending check on a new connection if this one was reused, else report a reset."""
+        """Repeat a pending check on a new connection if it was sent on a reused one, else report it as reset."""
         if self.line_protocol is line_protocol:
             self.line_protocol = None
             if self.pending_since_us and self.reused:
--- a/gradefront/net/lines.py
+++ b/gradefront/net/lines.py
@@ -15,8 +15,8 @@
 MAX_LINE = 4096  # bytes, without the CRLF
 MAX_TIMEOUT_MS = 4_294_967  # in microseconds it fits into 32 bits
 
-# Syntax of the lines that clients send. Anything else is rejected: if it were forwarded, it would void what the
-# backends do.
+# Syntax of the lines that clients send. Anything else is rejected: if it were forwarded, it would invalidate the
+# backends' work.
 REQUEST_LINE = re.compile(rb"OPEN ([0-9a-f]{16}) ([0-9a-f]{16}) ([!-~]+)")
 CONNECTION_ID = slice(5, 21)  # position in a request line
 FIELD_NAME = re.compile(r"[A-Za-z][A-Za-z0-9_]{0,31}")
--- a/gradefront/net/transport.py
+++ b/gradefront/net/transport.py
@@ -1,7 +1,8 @@
 """TCP connections and listeners based on Twisted's transports that tolerate transient errors of system calls.
 
-Twisted closes a connection on any failed `recv`, and if descriptors are exhausted, it accepts and closes the queued
-connections unread. Here a call that can succeed a moment later is repeated, and no connection is closed for it.
+Twisted closes a connection on any error of `recv` other than EWOULDBLOCK, and if descriptors are exhausted, it
+accepts and closes the queued connections unread. Here a call that can succeed a moment later is repeated, and no
+connection is closed for it.
 """
 
 from __future__ import annotations
@@ -212,7 +213,7 @@
                 transport.abortConnection()
 
     def _pause(self, error: OSError) -> None:
-        """Stop accepting for ACCEPT_PAUSE_S, so that the event loop does not spin on a failing accept."""
+        """Notify the factory, and stop accepting for ACCEPT_PAUSE_S: the event loop must not spin on failures."""
         accept_failed = getattr(self.factory, "accept_failed", None)
         if accept_failed:
             accept_failed(error)
--- a/gradefront/routing/admission.py
+++ b/gradefront/routing/admission.py
@@ -19,7 +19,8 @@
 PRESSURE_WINDOW_US = 250_000  # span over which new requests are counted
 CALM_PERIOD_US = 2_000_000  # pressure ends when the request rate has been low for this long
 MIN_REPEAT_GAP_US = 50_000  # a sooner repetition is part of the same burst, not a client's timed retransmission
-FIRST_REQUEST_MEMORY_US = 2_000_000  # an unknown sender's first request is remembered for one to two of these spans
+# An unknown sender's first request is remembered for one to two of these spans, or less at MAX_FIRST_REQUESTS.
+FIRST_REQUEST_MEMORY_US = 2_000_000
 MAX_FIRST_REQUESTS = 32_768  # entries in each of two generations; about 120 octets each
 MAX_PROVEN_ADDRESSES = 8_192  # entries; about 200 octets each
 RESPONSE_CREDIT = 2  # one client that responds outweighs this many requests from its address without a response
@@ -109,7 +110,7 @@
         ):
             return Verdict.REQUIRE_PROOF, 0
         if pressure and not proven and not within_rate:
-            # An unknown sender, or a known address over its rate: it floods itself, or others spoof it.
+            # An unknown sender, or a known address over its rate, because its owner floods or others spoof it.
             if not self._is_repetition(now_us, host, request):
                 return Verdict.AWAIT_REPEAT, 0
             if not self.unknown.take(now_us):
--- a/gradefront/service.py
+++ b/gradefront/service.py
@@ -60,8 +60,8 @@
             config, core, reactor, system_clock.stepped
         )
         inherited = inherited_listener(config.socket_fd) if config.socket_fd is not None else None
-        # The configured endpoint list may contain draining backends that another process of this relay, or the agent
-        # that pushes the list, already knows about.
+        # The configured endpoint list may be out of date: it may name backends that are draining by now, as another
+        # process of this relay, or the agent that pushes the list, already knows.
         awaits_fresh_list = inherited is not None or self.endpoint_watch.pushed
         if awaits_fresh_list:
             core.lifecycle.await_endpoint_list()
@@ -75,9 +75,9 @@
         self.admin_server = startup.start_admin_server(config, core, reactor)
         if not inherited:
             self.client_listener.listen()
-        if (
-            awaits_fresh_list
-        ):  # otherwise first polls are spread: a whole fleet may start and poll one service at once
+        # Otherwise the first poll is delayed by a random time, because a whole fleet that starts at once would poll
+        # discovery at once.
+        if awaits_fresh_list:
             self.endpoint_watch.watch()
         self._reloader = ConfigReloader(
             config, self.client_factory, self.endpoint_list, self.endpoint_watch, self.quic
@@ -187,7 +187,10 @@
 
 
 def serve() -> int:
-    """Serve until a signal ends the process with status 0. Return 2 if the configuration is invalid."""
+    """Serve until a signal ends the process with status 0.
+
+    Return 2 if the configuration is invalid or the relay cannot listen on its addresses.
+    """
     reactor = cast(Reactor, cast(Any, RelayReactor)())
     cast(Any, installReactor)(reactor)
     relay: Relay
--- a/gradefront/shutdown.py
+++ b/gradefront/shutdown.py
@@ -21,13 +21,13 @@
 log = logging.getLogger("gradefront")
 
 EMPTY_CHECK_US = 100_000  # interval at which a replaced process checks whether it still has connections
-CLOSED_CHECK_US = 8_000  # interval of the checks whether peers have closed or have read their answers
-# Time after the last answers of each step of the shutdown:
+CLOSED_CHECK_US = 8_000  # interval of the checks whether peers have closed, or all answers are sent
+# Steps of the shutdown, by their time after the last answers:
 DROP_HANDSHAKES_US = 50_000  # new TCP handshakes are dropped
 REJECT_PRE_REQUEST_US = 100_000  # pre-request connections are rejected, and the listener is closed
-MIN_HANDSHAKE_US = 50_000  # least time between these two: a round trip for handshakes in progress
-STOP_US = 250_000  # the process stops, even if peers have not closed; 0.2 s before SIGKILL
-FORCED_STOP_US = 350_000  # the process stops, even if a client has not read its answer; 0.1 s before SIGKILL
+MIN_HANDSHAKE_US = 50_000  # least time between these two steps: a round trip for handshakes in progress
+STOP_US = 250_000  # the process stops if all answers are sent, even if peers have not closed; 0.2 s before SIGKILL
+FORCED_STOP_US = 350_000  # the process stops, even if a client does not take its answer; 0.1 s before SIGKILL
 
 
 class Shutdown:
@@ -58,7 +58,7 @@
             return
         self.timeline.begin(self.core.clock() - waited_us)
         if not self.listener.is_replaced():
-            # No successor: this process accepts clients and keeps its connections until the end of the shutdown.
+            # No successor: this process accepts clients to the end, and does not hand its connections over.
             self.core.lifecycle.leave(self._close_connections, waited_us=waited_us)
             return
         self.listener.stop()  # the successor accepts the clients in the listen queue
@@ -121,13 +121,13 @@
     def _stop_when_closed(self) -> None:
         """Stop once all peers have closed, so that no close resets data that they have not read yet."""
         port = self.listener.port
-        if self.client_factory.open_connections or self.client_factory.upstreams or (port and port.connected):
+        if self.client_factory.open_connections or self.client_factory.closing_upstreams or (port and port.connected):
             self.core.call_later(CLOSED_CHECK_US, self._stop_when_closed)
         else:
             self._stop()
 
     def _stop_when_sent(self) -> None:
-        """Stop once all clients have read their answers, without waiting for peers to close."""
+        """Stop once the kernel has accepted all answers to clients, without waiting for peers to close."""
         if self.client_factory.closing.unsent_count:
             self.core.call_later(CLOSED_CHECK_US, self._stop_when_sent)
         else:
@@ -139,11 +139,11 @@
             port = self.listener.port
             self.timeline.record(
                 f"stopped with {self.client_factory.open_connections} clients,"
-                f" {len(self.client_factory.upstreams)} connections to backends,"
+                f" {len(self.client_factory.closing_upstreams)} connections to backends,"
                 f" listener {'open' if port and port.connected else 'closed'}"
             )
             self.client_factory.closing.close_all()
-            self.client_factory.upstreams.close_all()
+            self.client_factory.closing_upstreams.close_all()
             self.endpoint_watch.close()
             self._close_admin_interface()
             self.reactor.stop()
--- a/gradefront/startup.py
+++ b/gradefront/startup.py
@@ -72,9 +72,9 @@
     config: Config, core: RelayCore, endpoint_list: EndpointList, reactor: Reactor
 ) -> ClientProtocolFactory:
     """Build the protocol factory for clients, with the connector that opens connections to backends."""
-    upstreams = ConnectionCloser(core, config.sockets // DESCRIPTOR_SHARE)
-    connector = LineBackendConnector(reactor, endpoint_list.address, upstreams)
-    return ClientProtocolFactory(config, core, connector, upstreams)
+    closing_upstreams = ConnectionCloser(core, config.sockets // DESCRIPTOR_SHARE)
+    connector = LineBackendConnector(reactor, endpoint_list.address, closing_upstreams)
+    return ClientProtocolFactory(config, core, connector, closing_upstreams)
 
 
 def build_quic_front(config: Config, quic: QuicConfig, core: RelayCore, reactor: Reactor) -> QuicFront:
--- a/gradefront/state/form.py
+++ b/gradefront/state/form.py
@@ -17,8 +17,8 @@
 from gradefront.net.lines import MAX_LINE
 
 VERSION = 1
-MAX_SNAPSHOT_BYTES = 24_576  # several times the size of two partial lines and the other fields
-MAX_TIME_DIFFERENCE_US = 60_000_000  # most distance of a time from now; silent connections are ended long before
+MAX_SNAPSHOT_BYTES = 24_576  # over twice the size of two partial lines of the greatest length, in base64
+MAX_TIME_DIFFERENCE_US = 60_000_000  # greatest distance of a time from now; silence is detected long before
 
 #: Field of `ConnectionSnapshot` for each stored name.
 STORED_NAMES = {
--- a/gradefront/state/handover_receiver.py
+++ b/gradefront/state/handover_receiver.py
@@ -100,7 +100,7 @@
         self.receiver.on_sender_done(self)
 
     def connectionLost(self, reason: object) -> None:  # noqa: ARG002 - Twisted's signature
-        """The reactor found the socket broken."""
+        """Handle a broken socket, as detected by the reactor."""
         self.receiver.on_sender_done(self)
 
 
@@ -185,7 +185,7 @@
         self.reactor.addReader(sender)
 
     def connectionLost(self, reason: object) -> None:  # noqa: ARG002 - Twisted's signature
-        """The reactor found the socket broken."""
+        """Handle a broken socket, as detected by the reactor."""
         self.close()
 
     def on_sender_done(self, sender: _SenderConnection) -> None:
@@ -199,8 +199,8 @@
     def adopt(self, data: bytes, fds: list[int], truncated: bool) -> None:
         """Adopt one connection.
 
-        If its snapshot is invalid, its sockets are closed. If this process has other rules for its request class, the
-        client is migrated.
+        If its snapshot is invalid, its sockets are closed. If this process has other rules for its request class, or
+        accepts no more work, the client is migrated.
         """
         core = self.core
         try:
@@ -221,7 +221,7 @@
         client.id = snapshot.id.encode()
         connection, attempt = self._establish(snapshot, request_class, client)
         client.connection = connection
-        upstream = LineBackendConnection(attempt, RequestLine(b"", b"", False), self.client_factory.upstreams)
+        upstream = LineBackendConnection(attempt, RequestLine(b"", b"", False), self.client_factory.closing_upstreams)
         upstream.line_protocol = AdoptedBackend(upstream)
         attempt.upstream, attempt.connection_load = upstream, snapshot.load
         for fd, protocol in zip(fds, (client, upstream.line_protocol), strict=True):
--- a/tests/loop.py
+++ b/tests/loop.py
@@ -53,7 +53,7 @@
 
 
 class Peer:
-    """The remote end of a connection; `got` is all that it received."""
+    """The remote end of a connection; `received` is all the data that was read from it so far."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
