--- a/lab/fault_proxy.py
+++ b/lab/fault_proxy.py
@@ -1,6 +1,7 @@
-"""A TCP proxy with faults: connections that are late, are reset before or during a request, or dribble.
+"""A TCP proxy that injects faults: delayed connections, resets before or after a request, fragmented answers.
 
-It stands between relays and one backend. A connection's faults are drawn from a seed as it is accepted.
+It sits between relays and one backend. The faults of a connection are drawn from a seeded generator when the
+connection is accepted.
 """
 
 from __future__ import annotations
@@ -11,35 +12,35 @@
 from dataclasses import dataclass
 from random import Random
 
-PIECE_BYTES = 7  # of a line that dribbles
-PIECE_INTERVAL_S = 0.004
+FRAGMENT_BYTES = 7  # length of one fragment of an answer
+FRAGMENT_INTERVAL_S = 0.004  # between two fragments
 READ_BYTES = 65536
 
 
 @dataclass(frozen=True)
 class Faults:
-    """Probabilities from 0 to 1, and times in seconds."""
+    """The faults of a proxy: probabilities per connection from 0 to 1, and times in seconds."""
 
-    late: float = 0.0  # nothing is forwarded for up to `late_s`
-    late_s: float = 0.12
-    reset_before: float = 0.0  # reset as soon as it is accepted
-    reset_under: float = 0.0  # reset once the request has been forwarded
-    dribble: float = 0.0  # the backend's first answer comes in pieces
+    delayed: float = 0.0  # nothing is forwarded for up to `max_delay_s`
+    max_delay_s: float = 0.12
+    reset_on_accept: float = 0.0  # the connection is reset as soon as it is accepted
+    reset_after_request: float = 0.0  # the connection is reset once the request has been forwarded
+    fragmented: float = 0.0  # the backend's first answer is sent in fragments
 
 
 class FaultProxy:
-    """The proxy of the backend at `port`."""
+    """A proxy in front of the backend at loopback port `port`."""
 
     def __init__(self, port: int, faults: Faults, seed: int) -> None:
-        self.target = port
+        self.backend_port = port
         self.faults = faults
         self.random = Random(seed)
         self.counts: Counter[str] = Counter()
-        self.links: set[asyncio.StreamWriter] = set()
+        self.client_writers: set[asyncio.StreamWriter] = set()
         self.closed = False
 
     async def open(self) -> int:
-        """Listens. Returns the port."""
+        """Starts listening on a port of the system's choice. Returns the port."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return int(self.server.sockets[0].getsockname()[1])
 
@@ -47,57 +48,59 @@
         """Stops listening and resets all connections."""
         self.closed = True
         self.server.close()
-        for writer in list(self.links):
+        for writer in list(self.client_writers):
             writer.transport.abort()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.links.add(writer)
+        self.client_writers.add(writer)
         try:
-            with suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):  # also at the loop's end
-                await self._link(reader, writer)
+            # CancelledError occurs when the event loop closes.
+            with suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
+                await self._proxy_connection(reader, writer)
         finally:
-            self.links.discard(writer)
+            self.client_writers.discard(writer)
             writer.close()
 
-    async def _link(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _proxy_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         faults, draw = self.faults, self.random.random
-        late, before, under, dribble = (
-            draw() < chance for chance in (faults.late, faults.reset_before, faults.reset_under, faults.dribble)
+        delayed, reset_at_once, reset_later, fragmented = (
+            draw() < probability
+            for probability in (faults.delayed, faults.reset_on_accept, faults.reset_after_request, faults.fragmented)
         )
-        if late:
-            self.counts["late"] += 1
-            await asyncio.sleep(self.random.uniform(0, faults.late_s))
-        if before:
-            self.counts["reset before"] += 1
+        if delayed:
+            self.counts["delayed"] += 1
+            await asyncio.sleep(self.random.uniform(0, faults.max_delay_s))
+        if reset_at_once:
+            self.counts["reset on accept"] += 1
             writer.transport.abort()
             return
-        there_reader, there = await asyncio.open_connection("127.0.0.1", self.target)
+        backend_reader, backend_writer = await asyncio.open_connection("127.0.0.1", self.backend_port)
         try:
-            first = await reader.readuntil(b"\n")
-            there.write(first)
-            if under and first.startswith(b"OPEN"):
-                self.counts["reset under"] += 1
-                await there.drain()
+            first_line = await reader.readuntil(b"\n")
+            backend_writer.write(first_line)
+            if reset_later and first_line.startswith(b"OPEN"):
+                self.counts["reset after request"] += 1
+                await backend_writer.drain()
                 writer.transport.abort()
                 return
-            if dribble:
-                self.counts["dribbled"] += 1
-                await _dribble(await there_reader.readuntil(b"\n"), writer)
-            await _until_either_ends(_forward(reader, there), _forward(there_reader, writer))
+            if fragmented:
+                self.counts["fragmented"] += 1
+                await _forward_in_fragments(await backend_reader.readuntil(b"\n"), writer)
+            await _until_either_ends(_forward(reader, backend_writer), _forward(backend_reader, writer))
         finally:
-            there.close()
+            backend_writer.close()
 
 
-async def _dribble(line: bytes, writer: asyncio.StreamWriter) -> None:
-    """Forwards a line in pieces."""
-    for at in range(0, len(line), PIECE_BYTES):
-        writer.write(line[at : at + PIECE_BYTES])
+async def _forward_in_fragments(line: bytes, writer: asyncio.StreamWriter) -> None:
+    """Forwards a line in small fragments with pauses between them."""
+    for offset in range(0, len(line), FRAGMENT_BYTES):
+        writer.write(line[offset : offset + FRAGMENT_BYTES])
         await writer.drain()
-        await asyncio.sleep(PIECE_INTERVAL_S)
+        await asyncio.sleep(FRAGMENT_INTERVAL_S)
 
 
 async def _forward(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Forwards all, to the end."""
+    """Forwards data until the reader reaches the end of its stream."""
     while data := await reader.read(READ_BYTES):
         writer.write(data)
         await writer.drain()
--- a/lab/soak.py
+++ b/lab/soak.py
@@ -87,7 +87,9 @@
         lag_s=random.choice((0.0, 0.5, 1.2)),
         spread=random.choice((0.0, 0.3)),
         faults=Faults(
-            late=random.uniform(0, 0.3), reset_under=random.uniform(0, 0.1), dribble=random.uniform(0, 0.3)
+            delayed=random.uniform(0, 0.3),
+            reset_after_request=random.uniform(0, 0.1),
+            fragmented=random.uniform(0, 0.3),
         ),
     )
     return scene if seed < FIRST_HARSH_SEED else _harsh(scene, random)
