--- a/lab/__init__.py
+++ b/lab/__init__.py
@@ -1,2 +1,2 @@
-"""What gradefront serves, in small: backends, devices, endpoint list, links. Never imported by
-gradefront."""
+"""Test environment for relays: stand-in backends, clients, discovery service and network links. Gradefront never
+imports it."""
--- a/lab/fault_proxy.py
+++ b/lab/fault_proxy.py
@@ -40,12 +40,12 @@
         self.closed = False
 
     async def open(self) -> int:
-        """Starts listening on a port of the system's choice. Returns the port."""
+        """Start listening on a port of the system's choice. Return the port."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return int(self.server.sockets[0].getsockname()[1])
 
     def close(self) -> None:
-        """Stops listening and resets all connections."""
+        """Stop listening and reset all connections."""
         self.closed = True
         self.server.close()
         for writer in list(self.client_writers):
@@ -92,7 +92,7 @@
 
 
 async def _forward_in_fragments(line: bytes, writer: asyncio.StreamWriter) -> None:
-    """Forwards a line in small fragments with pauses between them."""
+    """Forward a line in small fragments with pauses between them."""
     for offset in range(0, len(line), FRAGMENT_BYTES):
         writer.write(line[offset : offset + FRAGMENT_BYTES])
         await writer.drain()
@@ -100,14 +100,14 @@
 
 
 async def _forward(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Forwards data until the reader reaches the end of its stream."""
+    """Forward data until the reader reaches the end of its stream."""
     while data := await reader.read(READ_BYTES):
         writer.write(data)
         await writer.drain()
 
 
 async def _until_either_ends(*directions: object) -> None:
-    """Runs both directions until one of them ends."""
+    """Run both directions until one of them ends."""
     tasks = [asyncio.ensure_future(direction) for direction in directions]  # type: ignore[call-overload]
     try:
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
--- a/lab/flood.py
+++ b/lab/flood.py
@@ -54,9 +54,9 @@
 
 
 def flood(front: tuple[str, int], rate: float, seconds: float, count: int, seed: int = 1) -> dict[str, float]:
-    """Sends `rate` datagrams a second from `count` sockets.
+    """Send `rate` datagrams a second from `count` sockets.
 
-    Returns the number of attempted sends, the number that the kernel rejected, and the achieved rate.
+    Return the number of attempted sends, the number that the kernel rejected, and the achieved rate.
     """
     rng = random.Random(seed)
     forge, sockets = Forge(), sources(count, rng)
--- a/lab/link.py
+++ b/lab/link.py
@@ -76,14 +76,14 @@
         self.counts: Counter[str] = Counter()
 
     async def open(self) -> None:
-        """Starts listening on a loopback port of the system's choice."""
+        """Start listening on a loopback port of the system's choice."""
         loop = asyncio.get_running_loop()
         self.wire, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=("127.0.0.1", 0))
         self.address: Address = self.wire.get_extra_info("sockname")
         self.pending_datagrams: dict[Address, list[bytes]] = {}
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Passes a datagram from a client to its port, and opens that port at the client's first datagram."""
+        """Pass a datagram from a client to its port, and open that port at the client's first datagram."""
         if addr in self.device_ports:
             self.device_ports[addr].send(data)
             return
@@ -100,7 +100,7 @@
             port.send(data)
 
     def close(self) -> None:
-        """Closes all sockets."""
+        """Close all sockets."""
         self.wire.close()
         for port in self.device_ports.values():
             port.wire.close()
@@ -118,7 +118,7 @@
         self.to_device = Direction(link.to_device, f"{link.seed} back {number}")
 
     def connection_made(self, transport: Any) -> None:
-        """Stores the transport."""
+        """Store the transport."""
         self.wire = transport
 
     def _send_after(self, delay_s: float, send: Any, *arguments: Any) -> None:
@@ -130,15 +130,15 @@
             send(*arguments)
 
     def send(self, data: bytes) -> None:
-        """Passes a datagram from the client to the relay."""
+        """Pass a datagram from the client to the relay."""
         for delay_s, copy in self.to_front.arrivals(data, self.link.counts):
             self._send_after(delay_s, self.wire.sendto, copy)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:  # noqa: ARG002 - asyncio's signature
-        """Passes a datagram from the relay to the client."""
+        """Pass a datagram from the relay to the client."""
         for delay_s, copy in self.to_device.arrivals(data, self.link.counts):
             self._send_after(delay_s, self.link.wire.sendto, copy, self.device)
 
     def error_received(self, exc: Exception) -> None:  # noqa: ARG002 - asyncio's signature
-        """Counts an ICMP error, when nothing listens at the relay's address. The client receives no answer."""
+        """Count an ICMP error, when nothing listens at the relay's address. The client receives no answer."""
         self.link.counts["refused"] += 1
--- a/lab/slow_start_oracle.py
+++ b/lab/slow_start_oracle.py
@@ -1,7 +1,7 @@
-"""Test backends in slow start: they warm up, and fall when they are sent too much, by the platform's arithmetic.
+"""Test backends in slow start: they warm up and fall when overloaded, by the platform's formula.
 
-The oracle knows each request that reached a backend, from which relay, and whether that relay had been notified of
-the backend's start.
+The oracle records each request that reached a backend, the relay that sent the request, and whether that relay had
+been notified of the backend's start.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 from .stand_ins import StandInBackend
 
-SHORT_CONNECTION_S = 0.15
-MANY_REQUESTS = 30.0  # from here on chance is allowed two deviations, below three
-NOTIFIED_SHARE = 2 / 3  # a fall breaks the rule if relays that had been notified sent more than this share
+SHORT_CONNECTION_S = 0.15  # duration of a connection that its backend ends early
+LARGE_MEAN_REQUESTS = 30.0  # from this mean on the limit allows two standard deviations, below it three
+NOTIFIED_SHARE = 2 / 3  # a fall breaks the rule if notified relays sent more than this share of its requests
 
 
 @dataclass(frozen=True)
 class SlowStartRules:
-    """The settings' rules for backends that have just started. Capacities are shares of the full one."""
+    """The settings' rules for backends in slow start. Capacities are shares of the full capacity."""
 
     start_capacity: float = 0.12
     warm_s: float = 20.0
@@ -31,7 +31,7 @@
     window_s: float = 1.0
 
     def settings(self) -> dict[str, Any]:
-        """The rules in the form of the platform's settings."""
+        """Return the rules under the names and in the units of the platform's settings."""
         return {
             "startCapacity": self.start_capacity,
             "coldUs": int(self.warm_s * 1e6),
@@ -41,7 +41,7 @@
 
 
 class Arrival(NamedTuple):
-    """One request that reached a backend; `notified` whether its relay knew of the backend's start."""
+    """One request that reached a backend. `notified`: its relay had been notified of the backend's start."""
 
     at_s: float
     sender: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Fall:
-    """A backend fell: the arrivals within the window, and how many requests were allowed."""
+    """The fall of an overloaded backend: the requests within the window, and the number that was allowed."""
 
     backend: str
     age_s: float
@@ -59,7 +59,7 @@
 
     @property
     def breaks_rule(self) -> bool:
-        """Whether more than two thirds came from relays that had been notified of the start."""
+        """Whether more than two thirds of the requests came from relays that had been notified of the start."""
         return sum(arrival.notified for arrival in self.arrivals) > NOTIFIED_SHARE * len(self.arrivals)
 
     def __str__(self) -> str:
@@ -71,35 +71,42 @@
 
 
 def allowed(mean: float) -> float:
-    """Requests that a backend bears in a window in which it may be sent `mean`, with the allowance for chance."""
-    deviations = 2 if mean >= MANY_REQUESTS else 3
+    """Return the number of requests in a window up to which a backend does not fall.
+
+    `mean` is the mean number of requests that relays may send in the window; the limit adds a tolerance for random
+    variation.
+    """
+    deviations = 2 if mean >= LARGE_MEAN_REQUESTS else 3
     return mean + deviations * math.sqrt(mean) + deviations
 
 
 @dataclass
 class WarmUp:
-    """The oracle of one backend's slow start."""
+    """The oracle for one backend's slow start: it records requests and detects a fall."""
 
     backend: str
     rules: SlowStartRules
     started_s: float
-    full_connections: float  # mean connections that fill it when it is warm
+    full_connections: float  # mean number of connections that use the full capacity of the warm backend
     recent: deque[Arrival] = field(default_factory=deque)
-    max_used_share: float = 0.0  # of the allowed requests, the most that came in any window
+    max_used_share: float = 0.0  # highest ratio, over all windows, of received to allowed requests
     fall: Fall | None = None
 
     def capacity(self, at_s: float) -> float:
-        """The share of its full capacity that it has at a time in seconds."""
+        """Return the backend's capacity at a time in seconds, as a share of its full capacity."""
         age = (at_s - self.started_s) / self.rules.warm_s if self.rules.warm_s else 1.0
         return min(1.0, self.rules.start_capacity + (1 - self.rules.start_capacity) * max(0.0, age))
 
     def mean_allowed(self, at_s: float) -> float:
-        """Mean requests that it may be sent in the window: over its warm-up no more than fill it."""
+        """Return the mean number of requests that relays may send in a window that ends at a time in seconds.
+
+        With a multiple of 1, the requests of a whole warm-up at full capacity add up to `full_connections`.
+        """
         rules = self.rules
         return rules.multiple * self.capacity(at_s) * self.full_connections * rules.window_s / rules.warm_s
 
     def arrive(self, arrival: Arrival) -> None:
-        """Records a request that reaches it, and a fall where that is one too many."""
+        """Record a request that reached the backend, and its fall if the request exceeds the limit."""
         self.recent.append(arrival)
         while self.recent[0].at_s <= arrival.at_s - self.rules.window_s:
             self.recent.popleft()
@@ -112,10 +119,10 @@
 
 
 class WarmingBackend(StandInBackend):
-    """A backend on sockets that warms up, reports its load, and falls.
+    """A backend on sockets that warms up, reports its load, and falls when overloaded.
 
-    `clock` gives seconds; `sender` says by a request's id which relay sent it and whether that had been notified of
-    the backend's start; `reply` is the answer to a request.
+    `clock` returns seconds; `sender` maps a request's id to the relay that sent the request and to whether that relay
+    had been notified of the backend's start; `reply` is the answer to a request.
     """
 
     def __init__(
@@ -130,10 +137,10 @@
         self.clock = clock
         self.sender = sender
         self.reply = reply
-        self.lag_s = 0.0  # age of the load that a report gives, and time between new ones
-        self.last_report = 0.0, 0.0  # when it was made, and the load
-        self.short_share = 0.0  # of its connections, that it ends soon
-        self.served = count()
+        self.lag_s = 0.0  # interval at which the reported load is renewed, thus its maximum age
+        self.last_report = 0.0, 0.0  # its time in seconds, and the load
+        self.short_share = 0.0  # share of its connections that the backend ends after SHORT_CONNECTION_S
+        self.answered_requests = count()
 
     def _reply(self, line: str) -> str | None:
         now = self.clock()
@@ -141,15 +148,15 @@
         if self.warm_up.fall:
             self.kill()
             return None
-        if next(self.served) % 100 < 100 * self.short_share:
+        if next(self.answered_requests) % 100 < 100 * self.short_share:
             asyncio.get_running_loop().call_later(SHORT_CONNECTION_S, self.writers[-1].write, b"BYE\r\n")
             asyncio.get_running_loop().call_later(SHORT_CONNECTION_S, self.writers[-1].close)
         return self.reply
 
     def load(self) -> float:
-        """Load as a share of what it can serve, as last reported."""
+        """Return the load as a share of the current capacity, as of the last renewal of the report."""
         now = self.clock()
-        load = self.standing / (self.warm_up.full_connections * self.warm_up.capacity(now))
+        load = self.active_connections / (self.warm_up.full_connections * self.warm_up.capacity(now))
         reported_s, reported = self.last_report
         if now - reported_s >= self.lag_s:
             self.last_report = now, load
--- a/lab/stand_ins.py
+++ b/lab/stand_ins.py
@@ -1,6 +1,7 @@
 """Stand-ins for discovery, backends and clients, and the relay program as a child process.
 
-Ports are on loopback. The settings and the wire are the platform's, so their names stay as its pages give them.
+All ports are on loopback. The names in settings and on the wire are defined by the platform and must stay as they
+are.
 """
 
 from __future__ import annotations
@@ -19,14 +20,17 @@
 from typing import Any
 
 CHECKOUT = Path(__file__).resolve().parent.parent
-BUSY_S = 0.5  # what other work on the machine may add to a measured time
-HANG_TIMEOUT_S = 40.0  # no verdict rests on it
-KEEP_ALIVE_S = 1.0  # between two empty lines of a watch; a relay waits 3 s for one
-LINE_LIMIT_BYTES = 1 << 20
+BUSY_S = 0.5  # allowance in measured times for delays by other load on the machine
+HANG_TIMEOUT_S = 40.0  # only ends a test that hangs; no test's result depends on this value
+KEEP_ALIVE_S = 1.0  # between two empty lines on a watch; a relay waits 3 s for the next one
+LINE_LIMIT_BYTES = 1 << 20  # longest line that a stand-in backend reads
 
 
 def settings(objective_ms: int = 300, deadline_ms: int = 1500, **permissions: object) -> dict[str, Any]:
-    """Settings in the platform's form, with a latency objective and a deadline in milliseconds."""
+    """Return settings in the platform's format, with a latency objective and a deadline in milliseconds.
+
+    `permissions` adds or replaces entries of the section of that name.
+    """
     grade = {
         "aimUs": objective_ms * 1000,
         "deadlineUs": deadline_ms * 1000,
@@ -57,40 +61,40 @@
 
 
 async def soon(awaitable: Any) -> Any:
-    """Awaits something. Raises TimeoutError after HANG_TIMEOUT_S."""
+    """Await an awaitable and return its result. Raises TimeoutError after HANG_TIMEOUT_S."""
     return await asyncio.wait_for(awaitable, HANG_TIMEOUT_S)
 
 
 class Discovery:
-    """The endpoint list's service: answers watches, and publishes changes on the test's call."""
+    """A stand-in discovery service: it answers watches of the endpoint list and publishes changes on demand."""
 
     def __init__(self) -> None:
         self.members: dict[str, dict[str, Any]] = {}
         self.revision = 1
         self.watches: list[asyncio.StreamWriter] = []
-        self.asked = asyncio.Event()
-        self.silent = False  # sends no keep-alive lines, as one that is cut off
-        self.held = False  # accepts calls but answers none until released
-        self.called = asyncio.Event()
+        self.asked = asyncio.Event()  # set once a watch has been answered
+        self.silent = False  # sends no keep-alive lines, as if its network connection were cut
+        self.held = False  # accepts requests but does not answer until `release` is called
+        self.called = asyncio.Event()  # set once a request has been received
         self.released = asyncio.Event()
 
     def release(self) -> None:
-        """Answers the held calls, and later ones at once."""
+        """Answer the held requests, and answer later requests immediately."""
         self.held = False
         self.released.set()
 
     async def open(self) -> None:
-        """Listens, on a port of the system's choice."""
+        """Start listening on a port of the system's choice."""
         self.server = await asyncio.start_server(self._watch, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
     @property
     def serves(self) -> bool:
-        """Whether it listens."""
+        """Whether the service is listening."""
         return hasattr(self, "server") and self.server.is_serving()
 
     def add(self, backend: str, port: int) -> None:
-        """Adds a backend to the list; nobody is notified."""
+        """Add a backend to the endpoint list without notifying the watches."""
         self.members[backend] = {
             "id": backend,
             "host_port": f"127.0.0.1:{port}",
@@ -103,7 +107,7 @@
         }
 
     def list(self) -> dict[str, Any]:
-        """The complete list, in the platform's form."""
+        """Return the complete endpoint list in the platform's format."""
         return {"revision": self.revision, "complete": True, "members": list(self.members.values())}
 
     async def _watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -119,7 +123,7 @@
             self.asked.set()
 
     def _keep_alive(self, writer: asyncio.StreamWriter) -> None:
-        """Writes an empty line now and then: a watch without one counts as cut off."""
+        """Write an empty line periodically: relays treat a watch without such lines as cut off."""
         if not writer.is_closing() and not self.silent:
             writer.write(b"1\r\n\n\r\n")
             asyncio.get_running_loop().call_later(KEEP_ALIVE_S, self._keep_alive, writer)
@@ -127,11 +131,11 @@
     @staticmethod
     def _chunk(writer: asyncio.StreamWriter, message: dict[str, Any]) -> None:
         line = json.dumps(message).encode() + b"\n"
-        for part in (line[:7], line[7:]):  # chunks need not be whole lines
+        for part in (line[:7], line[7:]):  # a chunk may end within a line
             writer.write(b"%x\r\n%s\r\n" % (len(part), part))
 
     def publish(self, backend: str, phase: str) -> float:
-        """Sends a change of phase to all watches. Returns the monotonic time in seconds."""
+        """Send a backend's new phase to all watches. Return the monotonic time of sending, in seconds."""
         self.members[backend]["phase"] = phase
         self.revision += 1
         change = {"revision": self.revision, "complete": False, "members": [dict(self.members[backend])]}
@@ -141,29 +145,29 @@
 
 
 class StandInBackend:
-    """A backend on the platform's line protocol.
+    """A backend that speaks the platform's line protocol.
 
-    `answer` makes the reply to a first line: None is silence, "close" closes without one.
+    `answer` returns the reply to a first line. None sends no reply; "close" closes the connection without a reply.
     """
 
     def __init__(self, answer: Callable[[str], str | None]) -> None:
         self.answer = answer
         self.first_lines: list[str] = []
         self.writers: list[asyncio.StreamWriter] = []
-        self.ended = asyncio.Event()
-        self.standing = 0  # connections that it serves now
+        self.ended = asyncio.Event()  # set once a connection has ended
+        self.active_connections = 0  # established connections
 
     def load(self) -> float:
-        """The load that it reports to a health check."""
+        """Return the load that the backend reports to a health check."""
         return 0.25
 
     async def open(self) -> int:
-        """Listens. Returns the port."""
+        """Start listening on a port of the system's choice. Return the port."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=LINE_LIMIT_BYTES)
         return int(self.server.sockets[0].getsockname()[1])
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        serves = 0
+        established = 0
         with suppress(ConnectionError, asyncio.IncompleteReadError):
             while line := (await reader.readline()).decode().removesuffix("\r\n"):
                 if line == "STATS":
@@ -178,27 +182,27 @@
                         writer.write(reply.encode() + b"\r\n")
                     if reply is not None and not reply.startswith("UP"):
                         break
-                    serves = int(reply is not None)
-                    self.standing += serves
+                    established = int(reply is not None)
+                    self.active_connections += established
                 else:
                     writer.write(b"re:" + line.encode() + b"\r\n")
             await writer.drain()
-        self.standing -= serves
+        self.active_connections -= established
         writer.close()
         self.ended.set()
 
     def kill(self) -> None:
-        """Vanishes as a machine without power: stops listening, resets all connections."""
+        """Simulate a crash of the backend: stop listening and reset all connections."""
         self.server.close()
         for writer in self.writers:
             writer.transport.abort()
 
 
 class LineDevice:
-    """A client on the platform's line protocol."""
+    """A client that speaks the platform's line protocol."""
 
     OPEN = "OPEN {id:016x} 7f3a9c21e0b4d655 c=visit-checkin,d={d},g=5c0f6e1a2b3d4c59{more}"
-    IDS = count(0x9B1F03AA5C7E2D41)  # each connection has a new one
+    IDS = count(0x9B1F03AA5C7E2D41)  # request ids; each connection uses a new one
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -207,23 +211,23 @@
 
     @classmethod
     async def connect(cls, port: int) -> LineDevice:
-        """A client that is connected to a relay's port."""
+        """Return a client that is connected to the given port of a relay."""
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     def write_line(self, line: str) -> None:
-        """Sends one line."""
+        """Send one line."""
         self.writer.write(line.encode() + b"\r\n")
 
     def open(self, d: int = 1500, more: str = "") -> None:
-        """Sends the first line: the deadline `d` in milliseconds, `more` as further fields."""
+        """Send the request line with the deadline `d` in milliseconds and `more` as additional fields."""
         self.write_line(self.OPEN.format(id=self.id, d=d, more=more))
 
     async def line(self) -> str:
-        """The next line, or "" at the end."""
+        """Return the next line, or "" at the end of the stream."""
         return str((await soon(self.reader.readline())).decode().removesuffix("\r\n"))
 
     async def rest(self) -> bytes:
-        """All bytes up to the end of the connection, be that orderly or a reset."""
+        """Return all bytes up to the end of the connection, whether it is closed or reset."""
         received = b""
         with suppress(ConnectionResetError):
             while part := await soon(self.reader.read(1)):
@@ -231,24 +235,24 @@
         return received
 
     async def ask(self, line: str) -> str:
-        """Sends a line. Returns the next one."""
+        """Send a line. Return the next line that is received."""
         self.write_line(line)
         return await self.line()
 
 
 class Program:
-    """A running relay process, and its log as far as it was read."""
+    """A running relay process, and the part of its log that has been read."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
         self.log: list[str] = []
         self.ports: list[int] = []
-        self.admin_port = 0  # 0 without an admin interface
+        self.admin_port = 0  # 0 if the admin interface is off
 
-    async def call(self, call: str) -> list[str]:
-        """Makes a call at the admin interface. Returns the lines of the answer."""
+    async def call(self, command: str) -> list[str]:
+        """Send a command to the admin interface. Return the lines of the answer."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.admin_port)
-        writer.write(call.encode() + b"\r\n")
+        writer.write(command.encode() + b"\r\n")
         try:
             answer: bytes = await soon(reader.read())
             return answer.decode().splitlines()
@@ -256,29 +260,29 @@
             writer.close()
 
     async def metrics(self) -> dict[str, float]:
-        """The metrics by name, parsed as Prometheus' text form."""
+        """Return the metrics by name, parsed from the Prometheus text format."""
         first, *lines, last = await self.call("INFO")
         assert (first, last) == ("ok", "eof")
         return {name: float(value) for name, value in (line.rsplit(" ", 1) for line in lines)}
 
     async def line(self, pattern: str) -> re.Match[str]:
-        """Reads the log up to a line that matches a pattern. Fails if the process ends before it."""
+        """Read the log up to a line that matches `pattern`. Raises AssertionError if the log ends before it."""
         assert self.process.stderr
         while True:
             raw = await soon(self.process.stderr.readline())
-            assert raw, "the program ended:\n" + "\n".join(self.log)
+            assert raw, "the relay process ended before the expected log line:\n" + "\n".join(self.log)
             self.log.append(raw.decode().rstrip())
-            if found := re.search(pattern, self.log[-1]):
-                return found
+            if match := re.search(pattern, self.log[-1]):
+                return match
 
     async def counters(self) -> dict[str, int]:
-        """The counters, which the program logs at SIGUSR1."""
+        """Return the counters, which the process logs on SIGUSR1."""
         self.process.send_signal(signal.SIGUSR1)
         counters: dict[str, int] = json.loads((await self.line(r"counters (\{.*\})")).group(1))
         return counters
 
     async def stop(self) -> int:
-        """Ends the program by SIGTERM. Returns its exit status."""
+        """End the process with SIGTERM and read the rest of its log. Return its exit status."""
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
         assert self.process.stderr
@@ -289,7 +293,7 @@
 def _write_files(
     folder: Path, config: dict[str, Any], quic: dict[str, Any] | None, fleet: dict[str, Any] | None
 ) -> dict[str, str]:
-    """Writes the program's files. Returns the environment that names them."""
+    """Write the relay's configuration files. Return the environment variables that hold their paths."""
     files = {
         "LB_CONFIG": ("config.json", config),
         "GRADEFRONT_QUIC": ("quic.json", quic or {"on": False}),
@@ -301,7 +305,7 @@
 
 
 @asynccontextmanager
-async def program(  # noqa: PLR0913 - each caller names the few that it needs
+async def program(  # noqa: PLR0913 - each caller passes only the few that it needs
     folder: Path,
     discovery: Discovery,
     platform_settings: dict[str, Any],
@@ -316,13 +320,14 @@
     module: str = "gradefront",
     environment: dict[str, str] | None = None,
 ) -> AsyncIterator[Program]:
-    """Starts the program, with its files in `folder` and ports of the system's choice; kills it at the end.
+    """Start a relay process on ports of the system's choice; on exit kill it, and close `discovery`.
 
-    With a `listener` it inherits that one. `shared` is the folder that it has in common with other processes of its
-    relay, `known` its cached endpoint list, `quic` and `fleet` are the contents of those files, `tree` is the
-    checkout and `module` the module that runs, `environment` adds variables.
+    `folder` receives its configuration files. `listener`: a listening socket that the process inherits. `shared`: the
+    folder that it shares with other processes of the same relay. `known`: its cached endpoint list. `quic` and
+    `fleet`: the contents of these configuration files. `tree`: the checkout that contains `module`, the module to
+    run. `environment`: additional variables.
     """
-    if not discovery.serves:  # another process may be watching it already
+    if not discovery.serves:  # another process may already be watching this service
         await discovery.open()
     config = {
         "name": name,
