--- a/lab/fleet/__init__.py
+++ b/lab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Relays that fail together: the fleet's real protocol code on a made-up clock and network."""
+"""Fleet simulation: the real membership protocol code on a simulated clock and network."""
--- a/lab/fleet/world.py
+++ b/lab/fleet/world.py
@@ -1,7 +1,8 @@
-"""A simulated world: relays that run the real membership code, faulty links, one seed.
+"""A simulated fleet: relays that run the real membership code over faulty links, reproducible from a seed.
 
-A schedule is data: (second, method, argument). The oracles compare what each relay believes with the truth, which
-only the world knows. Times are microseconds of the world's clock unless they end in `_s`.
+A schedule is a list of (second, method, argument). The oracles compare the member states in each relay's view with
+the actual state of the processes, which only the simulation knows. Times are in microseconds of the simulated clock
+unless the name ends in `_s`.
 """
 
 from __future__ import annotations
@@ -19,14 +20,14 @@
 from gradefront.fleet.swim import TICKS_PER_PERIOD, Swim
 from gradefront.fleet.wire import DatagramRejectedError, Message, Sealer
 
-S = 1_000_000  # microseconds
+S = 1_000_000  # microseconds in a second
 LEAVE_US = 100_000  # from the announcement of a leave to the end of the process
-FLIPPED_BITS = 0x55  # in a corrupted octet
+FLIPPED_BITS = 0x55  # XORed into a corrupted octet
 
 
 @dataclass(frozen=True)
 class Link:
-    """What every link does, unless it is cut. Probabilities from 0 to 1."""
+    """The delays and faults of every link that is not cut. Probabilities are from 0 to 1."""
 
     delay_us: int = 500
     jitter_us: int = 500
@@ -37,18 +38,20 @@
 
 @dataclass
 class Relay:
-    """One process of a relay."""
+    """A relay process."""
 
     name: str
     swim: Swim
     sealer: Sealer
     up: bool = True
     paused: bool = False
-    waiting: list[bytes] = field(default_factory=list)  # datagrams in its socket's buffer while it is paused
+    waiting: list[bytes] = field(
+        default_factory=list
+    )  # datagrams in the socket's receive buffer while the process is paused
 
 
 class World:
-    """Relays, links, and a clock that jumps from event to event."""
+    """Discrete-event simulation of relays and the links between them."""
 
     def __init__(
         self, relays: int, seed: int, link: Link | None = None, period_us: int = 200_000, key: bytes = b"k" * 32
@@ -61,11 +64,11 @@
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.order = count()
         self.relays: dict[str, Relay] = {}
-        self.twins: list[Relay] = []  # second processes of a name
-        self.cut: set[tuple[str, str]] = set()  # directed
-        self.history: list[tuple[int, str, str, State, State]] = []  # when, observer, member, before, after
-        self.truth: dict[str, bool] = {}  # whether the process of that name runs
-        self.sent: Counter[str] = Counter()  # bytes by relay
+        self.twins: list[Relay] = []  # second processes that run under the name of a first one
+        self.cut: set[tuple[str, str]] = set()  # (sender, receiver) pairs
+        self.history: list[tuple[int, str, str, State, State]] = []  # time, observer, member, old state, new state
+        self.truth: dict[str, bool] = {}  # by name: whether the relay's process runs
+        self.sent: Counter[str] = Counter()  # bytes sent by each relay
         self.names = [f"n{n}" for n in range(relays)]
         for name in self.names:
             self.start(name)
@@ -73,18 +76,18 @@
     # ---- time
 
     def at(self, when_us: int, call: Callable[[], None]) -> None:
-        """Schedules a call."""
+        """Schedule a call at a simulated time in microseconds."""
         heapq.heappush(self.events, (when_us, next(self.order), call))
 
     def run(self, until_us: int) -> None:
-        """Runs all that is scheduled up to a time."""
+        """Run the scheduled calls up to a simulated time in microseconds."""
         while self.events and self.events[0][0] <= until_us:
             self.now, _, call = heapq.heappop(self.events)
             call()
         self.now = until_us
 
     def play(self, schedule: Iterable[tuple[float, str, Any]], until_s: float) -> None:
-        """Calls the methods of a schedule of (second from now, method, argument), and runs for `until_s` seconds."""
+        """Schedule the methods of (second from now, method, argument) tuples, and run for `until_s` seconds."""
         for after_s, method, argument in schedule:
             call = partial(getattr(self, method), argument)
             self.at(self.now + int(after_s * S), call)
@@ -93,7 +96,7 @@
     # ---- faults
 
     def start(self, name: str, twin: bool = False) -> Relay:
-        """Starts a new process of that name, which remembers nothing; a `twin` runs beside the first one."""
+        """Start a process under a name, without state of earlier ones. A `twin` runs beside the first process."""
         own = Record(name, f"{name}:1", State.ALIVE, 1, self.random.getrandbits(62) | 1)
         peers = {n: f"{n}:1" for n in self.names if n != name}
         relay = Relay(
@@ -110,17 +113,17 @@
         return relay
 
     def kill(self, names: str | list[str]) -> None:
-        """Ends processes without an announcement."""
+        """Kill processes: they announce nothing to the fleet."""
         for name in [names] if isinstance(names, str) else names:
             self.relays[name].up = False
             self.truth[name] = False
 
     def pause(self, name: str) -> None:
-        """As SIGSTOP does."""
+        """Pause a process, as SIGSTOP does."""
         self.relays[name].paused = True
 
     def resume(self, name: str) -> None:
-        """As SIGCONT does: datagrams that arrived meanwhile are read at once."""
+        """Resume a process, as SIGCONT does: datagrams that arrived during the pause are read at once."""
         relay = self.relays[name]
         relay.paused = False
         waiting, relay.waiting = relay.waiting, []
@@ -128,21 +131,21 @@
             self._arrive(relay, datagram)
 
     def leave(self, name: str) -> None:
-        """Announces a planned leave, and ends the process soon after."""
+        """Announce a planned leave, and end the process LEAVE_US later."""
         relay = self.relays[name]
         self._send(relay, relay.swim.leave(self.now))
         self.at(self.now + LEAVE_US, lambda: self.kill(name))
 
     def split(self, one_side: list[str], one_way: bool = False) -> None:
-        """Cuts all links from one side to the other, and those back unless `one_way`."""
-        for here in one_side:
-            for there in set(self.names) - set(one_side):
-                self.cut.add((here, there))
+        """Cut the links from `one_side` to the other relays and, unless `one_way`, those in reverse direction."""
+        for name in one_side:
+            for other in set(self.names) - set(one_side):
+                self.cut.add((name, other))
                 if not one_way:
-                    self.cut.add((there, here))
+                    self.cut.add((other, name))
 
     def heal(self, _: object = None) -> None:
-        """Restores all links."""
+        """Restore all links."""
         self.cut.clear()
 
     # ---- the network
@@ -164,14 +167,14 @@
             if (relay.name, message.to) in self.cut or rng.random() < link.loss:
                 continue
             if rng.random() < link.corrupt:
-                place = rng.randrange(len(datagram))
-                datagram = datagram[:place] + bytes([datagram[place] ^ FLIPPED_BITS]) + datagram[place + 1 :]
+                index = rng.randrange(len(datagram))
+                datagram = datagram[:index] + bytes([datagram[index] ^ FLIPPED_BITS]) + datagram[index + 1 :]
             for _ in range(2 if rng.random() < link.duplicate else 1):
-                when = self.now + link.delay_us + int(link.jitter_us * rng.random())
-                self.at(when, lambda to=message.to, d=datagram: self._deliver(to, d))  # type: ignore[misc]
+                arrival_us = self.now + link.delay_us + int(link.jitter_us * rng.random())
+                self.at(arrival_us, lambda to=message.to, d=datagram: self._deliver(to, d))  # type: ignore[misc]
 
     def _deliver(self, to: str, datagram: bytes) -> None:
-        # A twin shares the address with the first process: both receive.
+        # A twin has the same address as the first process: both receive the datagram.
         for relay in [r for r in (*self.twins, self.relays.get(to)) if r and r.name == to and r.up]:
             if relay.paused:
                 relay.waiting.append(datagram)
@@ -189,28 +192,32 @@
     # ---- oracles
 
     def running(self) -> list[Relay]:
-        """The relays that run."""
+        """Return the relays whose processes run."""
         return [r for r in self.relays.values() if r.up]
 
     def wrong(self) -> list[str]:
-        """A line for each belief of a running relay that is not true."""
-        found = []
+        """Return a line for each member whose state in a running relay's view contradicts the actual state."""
+        mismatches = []
         for relay in self.running():
-            believed = {n: m.record.state for n, m in relay.swim.table.members.items()}
+            states = {n: m.record.state for n, m in relay.swim.table.members.items()}
             for name, runs in self.truth.items():
-                state = believed.get(name, State.JOINING)
-                is_true = state is State.ALIVE if runs else state in (*GONE, State.JOINING)
-                if name != relay.name and not is_true:
-                    found.append(f"{relay.name} holds {name} for {believed.get(name)}")
-        return found
+                state = states.get(name, State.JOINING)
+                is_correct = state is State.ALIVE if runs else state in (*GONE, State.JOINING)
+                if name != relay.name and not is_correct:
+                    mismatches.append(f"in the view of {relay.name}, {name} is {states.get(name)}")
+        return mismatches
 
     def until_right(self, limit_s: float, step_us: int = 50_000) -> float:
-        """Runs until every running relay's view is true. Returns the seconds it took, or `limit_s`."""
+        """Run until each running relay's view is correct, for about `limit_s` at most. Return the elapsed seconds."""
         began_us = self.now
         while self.wrong() and self.now < began_us + limit_s * S:
             self.run(self.now + step_us)
         return (self.now - began_us) / S
 
     def falsely_dead(self) -> list[tuple[int, str, str]]:
-        """Announced deaths, as (when, observer, member), of processes that ran."""
-        return [(when, who, whom) for when, who, whom, _, state in self.history if state in GONE and self.truth[whom]]
+        """Return state changes to dead or left, as (time, observer, member), of members whose processes run."""
+        return [
+            (time_us, observer, member)
+            for time_us, observer, member, _, state in self.history
+            if state in GONE and self.truth[member]
+        ]
