--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab's stand-ins keep the protocols that they stand in for."""
+"""Tests of the lab's stand-ins: they must follow the protocols of the services that they replace."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from lab import stand_ins
 
 
-def test_a_watch_on_the_stand_in_for_discovery_shows_signs_of_life() -> None:
-    """Guards against a relay that takes a slow test's watch for one that is cut off, and polls."""
+def test_the_stand_in_discovery_service_sends_keep_alive_lines_on_a_watch() -> None:
+    """Guards against a relay that treats the watch of a slow test as cut off, and polls instead."""
 
-    async def play() -> None:
+    async def watch() -> None:
         discovery = stand_ins.Discovery()
         await discovery.open()
         reader, writer = await asyncio.open_connection("127.0.0.1", discovery.port)
@@ -20,5 +20,5 @@
         writer.close()
         discovery.server.close()
 
-    assert stand_ins.KEEP_ALIVE_S < 2.0, "what the protocol page tells relays to expect"
-    asyncio.run(play())
+    assert stand_ins.KEEP_ALIVE_S < 2.0, "the protocol documentation tells relays to expect a line this often"
+    asyncio.run(watch())
