--- a/lab/demo.py
+++ b/lab/demo.py
@@ -1,4 +1,8 @@
-"""`gradefront demo`: a relay, backends and devices on loopback, narrated. Status 0 if every device was served."""
+"""`gradefront demo`: run a relay, backends and clients on loopback and report the events.
+
+The exit status is 0 if every client was served, the draining backend got no new requests, and the relay stopped with
+status 0.
+"""
 
 from __future__ import annotations
 
@@ -14,104 +18,109 @@
 from .stand_ins import Discovery, LineDevice, Program, StandInBackend, program, settings, soon
 
 BACKENDS = 3
-DEVICES_PER_KIND = 4  # before and after each fault
+DEVICES_PER_KIND = 4  # number of clients of each kind that connect in each phase
 
 
-class Story:
-    """The narration, with the time since the start."""
+class ProgressLog:
+    """Progress reports on standard output, and the number of failures."""
 
     def __init__(self) -> None:
-        self.began_s = time.monotonic()
-        self.unserved = 0
+        self.start_s = time.monotonic()
+        self.failures = 0
 
-    def narrate(self, text: str) -> None:
-        """Prints one line."""
-        print(f"{time.monotonic() - self.began_s:6.2f} s  {text}", flush=True)
+    def report(self, text: str) -> None:
+        """Print one line, with the time since the start."""
+        print(f"{time.monotonic() - self.start_s:6.2f} s  {text}", flush=True)
 
 
-class Stage:
-    """Backends that speak lines and QUIC, the list of them, and a relay."""
+class DemoEnvironment:
+    """A relay, backends that speak the line protocol and QUIC, the discovery service, and clients."""
 
-    def __init__(self, story: Story) -> None:
-        self.story = story
+    def __init__(self, progress: ProgressLog) -> None:
+        self.progress = progress
         self.discovery = Discovery()
-        self.lines = [StandInBackend(lambda _, n=n: f"UP box-{n}") for n in range(BACKENDS)]  # type: ignore[misc]
-        self.quics = [QuicBackend(f"box-{n}", bytes([7, n])) for n in range(BACKENDS)]
+        self.line_backends = [StandInBackend(lambda _, n=n: f"UP box-{n}") for n in range(BACKENDS)]  # type: ignore[misc]
+        self.quic_backends = [QuicBackend(f"box-{n}", bytes([7, n])) for n in range(BACKENDS)]
         self.relay: Program
         self.devices: list[Device] = []
         self.line_devices: list[LineDevice] = []
 
-    async def add_devices(self, why: str) -> None:
-        """Connects devices of each kind, each of which asks something; narrates who served them."""
+    async def add_devices(self, phase: str) -> None:
+        """Connect clients of each kind, send a request on each, and report which backends served them."""
         served: dict[str, int] = {}
         for n in range(DEVICES_PER_KIND):
-            line = await LineDevice.connect(self.relay.ports[0])
-            self.line_devices.append(line)
-            line.open()
-            answer = await line.line()
+            line_device = await LineDevice.connect(self.relay.ports[0])
+            self.line_devices.append(line_device)
+            line_device.open()
+            answer = await line_device.line()
             if answer.startswith("UP "):
                 served[answer[3:]] = served.get(answer[3:], 0) + 1
             else:
-                self.story.unserved += 1
-                self.story.narrate(f"a device on lines was told '{answer}'")
+                self.progress.failures += 1
+                self.progress.report(f"a line-protocol client got '{answer}' instead of a backend")
             device = Device(("127.0.0.1", self.relay.ports[1]))
             self.devices.append(device)
             await device.start()
             reply = (await device.ask(f"visit {n}")).decode()
             served[reply.split()[0]] = served.get(reply.split()[0], 0) + 1
-            await device.hop(fresh=True)  # the phone leaves its network: new address, new id, same connection
+            # Simulate a phone that changes networks: new address and connection id, same connection.
+            await device.hop(fresh=True)
             assert (await device.ask(f"visit {n}, from another address")).decode().split()[0] == reply.split()[0]
         summary = ", ".join(f"{backend} {count}" for backend, count in sorted(served.items()))
-        self.story.narrate(
-            f"{DEVICES_PER_KIND} devices on lines and {DEVICES_PER_KIND} on QUIC came {why}: {summary}"
+        self.progress.report(
+            f"{DEVICES_PER_KIND} line-protocol and {DEVICES_PER_KIND} QUIC clients connected {phase}: {summary}"
         )
 
 
-async def play(folder: Path, story: Story) -> dict[str, int]:
-    """Plays all of it. Returns the relay's counters at its end."""
-    stage = Stage(story)
-    for lines, quic in zip(stage.lines, stage.quics, strict=True):
+async def run_demo(folder: Path, progress: ProgressLog) -> dict[str, int]:
+    """Run all phases of the demo. Return the relay's counters before it stops."""
+    environment = DemoEnvironment(progress)
+    for line_backend, quic in zip(environment.line_backends, environment.quic_backends, strict=True):
         await quic.open()
-        stage.discovery.add(quic.name, await lines.open())
-    async with program(folder, stage.discovery, settings(), quic_file(stage.quics)) as stage.relay:
-        await soon(stage.discovery.asked.wait())
-        story.narrate(
-            f"a relay serves lines on port {stage.relay.ports[0]} and QUIC on port {stage.relay.ports[1]}; "
-            f"{BACKENDS} push boxes are listed"
+        environment.discovery.add(quic.name, await line_backend.open())
+    async with program(
+        folder, environment.discovery, settings(), quic_file(environment.quic_backends)
+    ) as environment.relay:
+        await soon(environment.discovery.asked.wait())
+        progress.report(
+            f"a relay serves the line protocol on port {environment.relay.ports[0]} and QUIC on port "
+            f"{environment.relay.ports[1]}; the endpoint list has {BACKENDS} backends"
+        )
+        await environment.add_devices("before any fault")
+        before = len(environment.quic_backends[0].connections), len(environment.line_backends[0].first_lines)
+        environment.discovery.publish("box-0", "DRAINING")
+        progress.report(
+            "box-0 is draining: it gets no new requests; its established connections continue until they migrate"
         )
-        await stage.add_devices("in calm")
-        before = len(stage.quics[0].connections), len(stage.lines[0].first_lines)
-        stage.discovery.publish("box-0", "DRAINING")
-        story.narrate("box-0 drains: it gets nothing new, what stands there goes on until it is moved")
-        await stage.relay.line("backend box-0 is draining")
-        await stage.add_devices("while box-0 drains")
-        after = len(stage.quics[0].connections), len(stage.lines[0].first_lines)
-        story.narrate(f"box-0 got {after[0] + after[1] - before[0] - before[1]} new visits since")
-        stage.lines[1].kill()
-        stage.quics[1].wire.close()
-        story.narrate("box-1 is killed without a word")
-        await stage.add_devices("after that")
-        counts = await stage.relay.counters()
-        for device in stage.devices:
+        await environment.relay.line("backend box-0 is draining")
+        await environment.add_devices("while box-0 was draining")
+        after = len(environment.quic_backends[0].connections), len(environment.line_backends[0].first_lines)
+        progress.report(f"box-0 got {after[0] + after[1] - before[0] - before[1]} new requests while draining")
+        environment.line_backends[1].kill()
+        environment.quic_backends[1].wire.close()
+        progress.report("box-1 was killed without notice")
+        await environment.add_devices("after box-1 was killed")
+        counts = await environment.relay.counters()
+        for device in environment.devices:
             device.close()
-        for line in stage.line_devices:
-            line.writer.close()
-        status = await stage.relay.stop()
-        story.narrate(f"the relay left when told, with status {status}")
+        for line_device in environment.line_devices:
+            line_device.writer.close()
+        status = await environment.relay.stop()
+        progress.report(f"the relay stopped after SIGTERM, with status {status}")
         if status or after != before:
-            story.unserved += 1
-        for backend in stage.quics:
+            progress.failures += 1
+        for backend in environment.quic_backends:
             backend.wire.close()
     return counts
 
 
 def main() -> int:
-    """Runs the demo. Returns the exit status."""
-    story = Story()
+    """Run the demo. Return the exit status."""
+    progress = ProgressLog()
     with tempfile.TemporaryDirectory() as folder:
-        counts = asyncio.run(play(Path(folder), story))
-    story.narrate("counters: " + json.dumps(counts))
-    return 1 if story.unserved else 0
+        counts = asyncio.run(run_demo(Path(folder), progress))
+    progress.report("counters: " + json.dumps(counts))
+    return 1 if progress.failures else 0
 
 
 if __name__ == "__main__":
