--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -245,7 +245,7 @@
             await relay.line("serving")
             for watch in discovery.watches:
                 watch.transport.abort()
-            await relay.line("lost")
+            await relay.line("endpoint watch to the agent failed")
             await relay.line("endpoint list from")
             for _ in range(6):
                 device = await service.device()
