--- a/balancer/actions.py
+++ b/balancer/actions.py
@@ -31,7 +31,7 @@
     def __str__(self) -> str:
         return (
             f"started at {self.started_us / 1e6:.2f}, {self.age_us / 1e6:.2f} s old"
-            f", capacity {self.capacity:.2f}, filled by {self.connection_capacity:.1f}"
+            f", capacity {self.capacity:.2f}, filled by {self.connection_capacity:.1f} connections once warm"
             f", held {self.held_connections:.1f} of {self.allowed_connections:.2f}"
             f", mean sends {self.mean_sends:.2f}"
             f"{', new node' if self.is_new_node else ''}"
--- a/balancer/admission.py
+++ b/balancer/admission.py
@@ -12,17 +12,19 @@
 
 ATTEMPT_MEMORY_US = 1_500_000  # decay time (to 1/e) of the counts of attempts
 ATTEMPTS_PER_SUCCESS = 2.0  # above this ratio of wanted attempts to successes, some attempts are throttled
-# Failures that one placement without capacity counts as. While all backends are full, health checks on behalf
-# of every waiting client are useless.
+# Failures that one placement without capacity counts as, so that these are throttled too: while all backends
+# are full, health checks on behalf of every waiting client are useless.
 NO_CAPACITY_WEIGHT = 0.2
-RECONNECT_WEIGHT = 0.25  # demand that one reconnecting client counts as in `HerdingGuard` on a new node
+# Factor on the demand in `HerdingGuard`, for a client that reconnects to a new node.
+RECONNECT_WEIGHT = 0.25
 
 
 class AdmissionThrottle:
     """Holds back attempts at random, with a probability that grows with the share of failures.
 
-    Protects the services that all backends depend on from overload. `failures` is a decaying count of the
-    attempts that were throttled or that failed for a reason other than the request itself.
+    Protects the services that all backends depend on from overload. `failures` is a decaying count of
+    throttled attempts, timeouts, errors that are unlikely to be caused by the request and, with a lower
+    weight, placements without capacity.
     """
 
     def __init__(self, context: Context) -> None:
@@ -41,7 +43,7 @@
         self.established.add(self._context.now_us, 1)
 
     def on_failure(self) -> None:
-        """Count an attempt that was throttled or has failed."""
+        """Count an attempt that was throttled, timed out or got an error."""
         self.failures.add(self._context.now_us, 1)
 
     def on_no_capacity(self) -> None:
@@ -82,7 +84,10 @@
         return self._context.random.random() * unreported > spare
 
     def _unreported_load(self, demand: float, candidates_per_eligible: float) -> float:
-        """Return the load that all nodes may add to a mean backend before its load reports show it."""
+        """Return the load that all nodes may add to a mean backend before its load reports show it.
+
+        0 where backends report no load.
+        """
         estimate, listed = self._load_estimate, len(self._endpoints.backends)
         unreported = (
             demand
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -93,7 +93,7 @@
         return self.context.actions
 
     def count_unavailable(self, now_us: int) -> int:
-        """Return the number of listed backends that are not ready or ejected."""
+        """Return the number of listed backends that are ejected or not ready."""
         return self.endpoints.count_unavailable(now_us)
 
     def _build_migration(self) -> Migration:
--- a/balancer/capacity.py
+++ b/balancer/capacity.py
@@ -1,8 +1,8 @@
 """Capacity of backends: the part available during warm-up, and a node's share of the connections at capacity.
 
 No node sees the connections of the others. Each knows its own connections at a backend and the load that the
-backend reports at the same time. The sum of these shares over all nodes is the number of connections that
-fill a mean backend of a kind.
+backend reports at the same time. Its connections divided by that load are the node's share. The sum of the
+shares of all nodes is the number of connections that fill a mean backend of a kind.
 """
 
 from __future__ import annotations
--- a/balancer/connections.py
+++ b/balancer/connections.py
@@ -14,7 +14,7 @@
 
 MEAN_WORK_MEMORY = 16  # number of connections over which the mean work is taken
 QUOTA_TOLERANCE = 1.25  # multiple of this node's share of a tenant's quota, above which priority drops
-QUOTA_GRACE = 2  # connections added to that share, as small counts fluctuate
+QUOTA_GRACE = 2  # connections added to both that share and the count, as small counts fluctuate
 
 
 @dataclass(slots=True)
--- a/balancer/endpoints.py
+++ b/balancer/endpoints.py
@@ -24,7 +24,7 @@
     load: float | None = None  # load over capacity, as last reported
     reported_at_us: int = 0
     load_sent_since_report: float = 0.0  # estimated load of the requests that this node has sent since
-    connect_failures: int = 0  # halved by each success
+    unresponsive_count: int = 0  # connect failures, timeouts and resets; halved by each success
     consecutive_errors: int = 0  # since a connection was last established
     ejected_until_us: int = 0
     connections: dict[int, None] = field(default_factory=dict)  # this node's, by request id
@@ -35,7 +35,7 @@
     in_flight: set[int] = field(default_factory=set)  # ids of requests with an attempt in flight here
     overloaded_until_us: int = 0  # suspected of overload until then, as it has reset a connection
     no_migration_until_us: int = 0
-    message_latency: float = 0.0  # as last reported, in latency objectives
+    message_latency: float = 0.0  # as last reported, in message latency objectives
     health_check_pending: bool = False
     migration_check_pending: bool = False  # the pending health check decides on migration
     drain_notified: bool = False  # it has begun to drain, and its connections are being migrated
@@ -92,7 +92,7 @@
         self._ring_is_stale = True
 
     def count_unavailable(self, now_us: int) -> int:
-        """Return the number of listed backends that are not ready or ejected."""
+        """Return the number of listed backends that are ejected or not ready."""
         return sum(
             b.entry.state is not BackendState.READY or now_us < b.ejected_until_us
             for b in self.backends.values()
--- a/balancer/events.py
+++ b/balancer/events.py
@@ -183,8 +183,9 @@
 class SettingsChanged:
     """New settings are in force.
 
-    Pending requests and established connections keep the rules that applied when they were received. Their
-    class numbers must mean the same in the new settings as in the old ones.
+    Pending requests and established connections keep the settings of their request class, and pending
+    requests their maximum number of attempts. Their class numbers must mean the same in the new settings as
+    in the old ones.
     """
 
     settings: Settings
--- a/balancer/load_estimate.py
+++ b/balancer/load_estimate.py
@@ -53,8 +53,8 @@
         # A warming backend takes few connections; its load doesn't show the capacity of a warm one.
         if available_capacity(settings, entry.started_us, now_us) < 1:
             return
-        # Connections newer than the reported load must not be set against it: during a burst of clients their
-        # quotient has no bound, and the rate of sends to backends in slow start follows it.
+        # Connections newer than the reported load must not be divided by it: during a burst of clients the
+        # quotient has no bound, and the rate of sends to backends in slow start is derived from it.
         held = backend.reported_connections.get(now_us)
         # The first connections of a node may not be in any report yet, so its share is unknown rather than 0.
         if self._context.has_run_for(REPORT_DELAY_US):
--- a/balancer/migration.py
+++ b/balancer/migration.py
@@ -23,7 +23,7 @@
 HOME_CHECK_INTERVAL_US = 20_000_000
 OVERLOAD = 0.85  # load above which connections are moved away
 TARGET_LOAD = 0.7  # load to which moving connections away brings a backend
-LATE_MESSAGE_LATENCY = 0.6  # message latency, in latency objectives, from which a backend is checked
+LATE_MESSAGE_LATENCY = 0.6  # in message latency objectives, the latency from which a backend is checked
 LOAD_PER_LATENCY_OBJECTIVE = 0.6  # load assumed from late messages: this, and as much again per objective
 MAX_LOAD_FROM_LATENCY = 2.0
 # Message latency, in objectives, that adds 1 to the load of 1 assumed for an unresponsive backend.
--- a/balancer/outlier_detection.py
+++ b/balancer/outlier_detection.py
@@ -10,7 +10,7 @@
 from .endpoints import Backend
 from .events import UNRESPONSIVE, AttemptResult
 
-INITIAL_EJECTION_US = 1_000_000  # after a first connect failure, doubled by each further one
+INITIAL_EJECTION_US = 1_000_000  # upper bound after a first failure, doubled by each further one
 MAX_EJECTION_US = 8_000_000  # bounds the time until a backend that has recovered is used again
 ERRORS_TO_EJECT = 2  # consecutive; a single error may be caused by the request
 MAX_DOUBLINGS = 10
@@ -33,17 +33,17 @@
 
     def on_unresponsive(self, backend: Backend) -> None:
         """Eject a backend that did not respond or has reset a connection."""
-        failures = backend.connect_failures
-        backend.connect_failures += 1
+        failures = backend.unresponsive_count
+        backend.unresponsive_count += 1
         self._eject(backend, failures)
 
     def on_health_check_passed(self, backend: Backend) -> None:
         """Halve a backend's failure count; not to zero, so that a flapping backend stays an outlier."""
-        backend.connect_failures //= 2
+        backend.unresponsive_count //= 2
 
     def on_established(self, backend: Backend) -> None:
         """Halve a backend's failure count, and reset its errors, as a connection has been established."""
-        backend.connect_failures //= 2
+        backend.unresponsive_count //= 2
         backend.consecutive_errors = 0
 
     def has_failed_repeatedly(self, backend: Backend) -> bool:
--- a/balancer/retry_policy.py
+++ b/balancer/retry_policy.py
@@ -12,7 +12,7 @@
 from .settings import Idempotency, KeyScope
 
 MAX_DOUBLINGS = 30
-TIMER_DELAY_RESOLUTIONS = 2  # maximum delay of a backoff and its attempt, in timer resolutions
+TIMER_DELAY_RESOLUTIONS = 2  # timer resolutions by which a backoff and its attempt may be late in total
 NOT_RETRYABLE = (AttemptResult.ERROR, AttemptResult.CANCELLED, AttemptResult.NOT_SENT)
 
 
--- a/balancer/selection.py
+++ b/balancer/selection.py
@@ -45,7 +45,7 @@
         self._slow_start = slow_start
 
     def is_usable(self, backend: Backend, pending: PendingRequest) -> bool:
-        """Return whether a backend is ready, not attempted yet, and, for a retry, safe to send it to."""
+        """Return whether a backend is ready, not attempted yet, and in the scope in which a retry is safe."""
         entry = backend.entry
         if entry.state is not BackendState.READY or entry.backend in pending.attempted:
             return False
--- a/balancer/send_slots.py
+++ b/balancer/send_slots.py
@@ -76,7 +76,7 @@
 
     @property
     def counted_span_us(self) -> int:
-        """The time span before the end of a window in which the slots start that may add a request to it."""
+        """How long before the end of a window a slot may start whose request still counts in that window."""
         return self.window_us + self.open_us + self.late_us
 
     @property
--- a/balancer/simulator_wire.py
+++ b/balancer/simulator_wire.py
@@ -1,7 +1,9 @@
 """Translation between the simulator's messages and the balancer's events and actions.
 
-It also parses settings, for the simulator and for `gradefront/config.py`. No other module uses the names of
-the wire protocol or the published names of settings. No decisions are made here.
+It also parses settings, for the simulator and for `gradefront/config.py`. The names of the wire protocol and
+the published names of settings are translated only here; `simulator_host.py` reads the fields that delimit
+batches and identify nodes, and `gradefront/config.py` names the settings that it checks. No decisions are
+made here.
 """
 
 from __future__ import annotations
--- a/gradefront/core/answers.py
+++ b/gradefront/core/answers.py
@@ -42,7 +42,7 @@
             return
         was_established, attempt = connection.state is ConnectionState.ESTABLISHED, connection.attempt
         self.release(connection)
-        if attempt:  # only when the core itself fails the connection: the module answers with no attempt in flight
+        if attempt:  # only when the core itself decides on the answer: the module answers with no attempt in flight
             self._cancel(attempt)
         if was_established:
             connection.client.migrate()
--- a/gradefront/core/attempt_outcome.py
+++ b/gradefront/core/attempt_outcome.py
@@ -21,7 +21,7 @@
     """The cause of an attempt's end. The values are part of counter names."""
 
     BROKEN = "broken"  # refused, reset or closed without a response; also vetoed: backend draining or not listed
-    UNREACHABLE = "unreachable"  # nothing listens at the backend's address: the request was never received
+    UNREACHABLE = "unreachable"  # nothing listens at its address, or none is known: it never received the request
     TIMED_OUT = "silent"  # the backend did not connect, respond or reply in time
     REJECTED = "full"  # the backend rejected the request without reading it
     ERROR = "error"  # the backend answered with an error
--- a/gradefront/core/attempts.py
+++ b/gradefront/core/attempts.py
@@ -30,7 +30,8 @@
 
 log = logging.getLogger("gradefront.attempts")
 
-# Timeout of one attempt for an adopted connection; short enough for further attempts within ADOPTED_TIMEOUT_US.
+# Timeout of one attempt for an adopted connection; short enough for further attempts within ADOPTED_TIMEOUT_US
+# (`requests.py`).
 ADOPTED_ATTEMPT_US = 9_000_000
 ADOPTED_MAX_ATTEMPTS = 4
 ADOPTED_BACKOFF_US = 500_000  # doubled after each attempt, the first one included
--- a/gradefront/core/connection.py
+++ b/gradefront/core/connection.py
@@ -129,7 +129,7 @@
     attempts: int = 0  # number of attempts made so far; also the number of the next attempt
     attempt: Attempt | None = None  # the attempt in flight, or the one that established the connection
     deadline_timer: Timer | None = None
-    first_sent_us: int = 0  # when writing of the first possibly executed attempt began; 0: no such attempt
+    first_sent_us: int = 0  # when writing began for the first attempt that may have run; 0: none
 
     @property
     def is_awaiting_answer(self) -> bool:
@@ -238,7 +238,7 @@
     def _is_slot_over(self) -> bool:
         """Return whether the send slot ended before the request was sent.
 
-        Otherwise a slow connect would deliver the request in a time span whose sends belong to other slots.
+        Without this check, a slow connect would deliver the request in a time span that belongs to other slots.
         """
         is_sent = self.phase >= AttemptPhase.SENT
         return self.send_by_us is not None and not is_sent and self.core.clock() >= self.send_by_us
--- a/gradefront/core/lifecycle.py
+++ b/gradefront/core/lifecycle.py
@@ -67,20 +67,20 @@
         self.on_ready: Callable[[], None] | None = None  # called when the relay first accepts clients
         self.drain_token: object = None  # identifies the drain in progress; callbacks of an earlier one do nothing
         self.drained_by_us = 0  # when the drain in progress will have notified the last client; 0: no drain
-        self.kill_us = MAX_DEADLINE_US + KILL_GRACE_US  # time from SIGTERM to SIGKILL
+        self.kill_us = MAX_DEADLINE_US + KILL_GRACE_US  # shortest time from SIGTERM to SIGKILL
         self.stop_due_us = 0  # when `stop` is due; set once the relay is leaving
         self.apply_classes(classes)
 
     def apply_classes(self, classes: tuple[RequestClass, ...]) -> None:
-        """Shorten the time to SIGKILL if the deadlines of these classes require it.
+        """Assume a shorter time from SIGTERM to SIGKILL if the deadlines of these classes imply one.
 
-        SIGKILL may be timed by earlier settings or these, so the shortest of these times applies.
+        SIGKILL may be timed by these settings or by any earlier ones, so the shortest of their times is assumed.
         """
         self.kill_us = min(self.kill_us, max(c.deadline_us for c in classes) + KILL_GRACE_US)
 
     @property
     def accepts_clients(self) -> bool:
-        """Whether new clients are accepted: the answer to `PING` and to the admin interface."""
+        """Whether new clients are accepted; decides the answers to `PING`, the admin interface's too."""
         return self.state is LifecycleState.SERVING
 
     @property
@@ -94,7 +94,7 @@
         if to is None:
             return False
         if to is not self.state:
-            log.info("%s, was %s", to.value, self.state.value)
+            log.info("relay is %s, was %s", to.value, self.state.value)
         self.state = to
         if self.accepts_clients and self.on_ready:
             on_ready, self.on_ready = self.on_ready, None
--- a/gradefront/core/request_log.py
+++ b/gradefront/core/request_log.py
@@ -65,7 +65,7 @@
             self.unlogged[reason] = self.unlogged.get(reason, 0) + 1
             return
         self.logged_us[reason] = now
-        reason_text = reason.value if reason else "failed by the relay without an answer of the decision module"
+        reason_text = reason.value if reason else "answered by the relay itself, without the decision module"
         waited_ms = (now - connection.arrived_us) // 1000
         log.info(
             "request %s %s after %d ms and %d attempts: %s (and %d more)",
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -92,7 +92,7 @@
 def test_backends_left_after_a_zone_failure_are_not_overloaded_by_all_nodes_at_once() -> None:
     """Guards against a herding guard that counts failed backends among those that share the requests of all nodes."""
     starts = 0
-    for seed in range(40):
+    for seed in range(40):  # each is one of 40 nodes
         b = node(8, seed, fleet_size=40, **HEALTH_CHECK_SETTINGS)
         for n in range(10):  # 50 connections a backend, over all nodes
             adopt(b, 1_000 + n, f"s{n % 8}")
@@ -173,7 +173,7 @@
     place(b, 1_000, 1, {"s0": 0.1, "s1": 0.1})
     b.handle(2_000, EndpointListUpdate((Endpoint("s1", started_us=2_000),)))
     actions = b.handle(3_000, Request(2, 2_000_000))
-    # The load of the only backend left is requested again, as it is a new process.
+    # The only backend left is used at once: with one backend, no health check is needed to choose.
     assert len(of_type(actions, StartAttempt)) == 1 and of_type(actions, StartAttempt)[0].backend == "s1"
 
 
@@ -271,8 +271,8 @@
 
 def test_backends_of_the_zone_are_preferred_where_crossing_zones_costs() -> None:
     near = [
-        sum(s in ("s1", "s3", "s5") for s in chosen_backends(*drawn))
-        for drawn in ((0.3, 0.1), (0.3, 0.0), (0.7, 0.1))
+        sum(s in ("s1", "s3", "s5") for s in chosen_backends(*load_and_price))
+        for load_and_price in ((0.3, 0.1), (0.3, 0.0), (0.7, 0.1))
     ]
     assert near[0] >= 50 and near[1] < 45 and near[2] >= 50
 
@@ -382,10 +382,10 @@
 def test_reconnects_to_a_new_node_are_not_blocked_as_herding() -> None:
     """Guards against counting the waiting reconnects after a restart as new demand in each placement round."""
 
-    def placed(back: bool) -> int:
+    def placed(reconnects: bool) -> int:
         b, starts = node(2, 1, fleet_size=2, **HEALTH_CHECK_SETTINGS), 0
         for n in range(60):
-            checks = b.handle(1_000 * n, Request(n, 2_000_000, is_reconnect=back))
+            checks = b.handle(1_000 * n, Request(n, 2_000_000, is_reconnect=reconnects))
             for check in of_type(checks, CheckHealth):
                 checks = checks + b.handle(
                     1_000 * n, HealthCheckResult(check.backend, AttemptResult.OK, load_report=LoadReport(0.2))
