--- a/gradefront/quic/connections.py
+++ b/gradefront/quic/connections.py
@@ -19,7 +19,7 @@
 
 #: Datagrams of a pending client, kept for the next attempt; a post-quantum ClientHello alone takes two.
 MAX_BUFFERED_DATAGRAMS = 12
-MAX_EARLY_DATAGRAMS = 4  # from a backend, that arrived before its first Initial
+MAX_EARLY_DATAGRAMS = 4  # kept of a backend's datagrams that overtake its first Initial
 MAX_IDS_PER_CONNECTION = 16
 
 
@@ -162,11 +162,11 @@
                 self.listener.reply(datagram, path.client)
 
     def reject(self, pause_us: int) -> None:
-        """Close as the final answer, with the advised pause in the reason phrase."""
+        """Close the client's connection as the final answer, with the advised pause in the reason phrase."""
         self._close(busy_reason(pause_us))
 
     def fail(self) -> None:
-        """Close as the final answer, with no advised pause."""
+        """Close the client's connection as the final answer, with no advised pause."""
         self._close("ERR")
 
     def _close(self, reason: str) -> None:
@@ -273,7 +273,8 @@
 
 
 def connection_for_path(front: Any, path: Path) -> QuicClientConnection:
-    """Create a connection for a path without one: it was opened before this relay's start, or at another relay."""
+    """Create a connection for a path without one. Its client connected before this relay's start or through
+    another relay."""
     owner = QuicClientConnection(
         front, path.listener, path.client, path.last_id, path.client_id if path.is_direct else b"", 0
     )
--- a/gradefront/quic/front.py
+++ b/gradefront/quic/front.py
@@ -74,7 +74,7 @@
 
     def _on_long_header(self, listener: Listener, datagram: bytes, client: Address) -> None:
         head = invariants(datagram)
-        if head is None or head.version == 0:  # RFC 9000 6.1: never an answer to Version Negotiation
+        if head is None or head.version == 0:  # RFC 9000 6.1: Version Negotiation is never answered
             self.count_drop("malformed")
             return
         if head.version not in KINDS:
@@ -113,7 +113,7 @@
         """Handle an Initial with an unknown id: it is a request, even if the id happens to encode a backend."""
         first = packets[0]
         connection_id = first.to_id
-        if connection_id in self.final_answers:  # the answer was lost, or sent meanwhile: repeat the same one
+        if connection_id in self.final_answers:  # the answer was lost or has crossed with this Initial: repeat it
             self.count_drop("answered")
             listener.reply(self.final_answers[connection_id][0], client)
             return
--- a/gradefront/quic/headers.py
+++ b/gradefront/quic/headers.py
@@ -17,12 +17,13 @@
 MIN_FIRST_ID_LENGTH = 8  # RFC 9000 7.2: a client's first destination id is at least this long
 MAX_ID_LENGTH = 20  # RFC 9000 17.2
 TAG_LENGTH = 16  # octets of a stateless reset token and of an AEAD tag
-#: In an Initial. The relay's tokens have 110 octets, and a backend's must fit in a datagram with a ClientHello.
+#: In an Initial. The relay's tokens have up to 86 octets; a backend's must fit in a datagram with a ClientHello.
 MAX_TOKEN_LENGTH = 512
 MAX_PACKETS = 8  # coalesced in one datagram; a flight has at most one packet for each of four encryption levels
 LONG_HEADER_BIT = 0x80
 FIXED_BIT = 0x40
-#: Octets of packet number and payload: enough for the header protection sample (RFC 9001 5.4.2).
+#: Octets of packet number and payload that header protection needs (RFC 9001 5.4.2). The Length field, which
+#: is compared with it, includes the tag, so `initials.open_initial` checks again that the sample is complete.
 MIN_PAYLOAD_LENGTH = 4
 
 
--- a/gradefront/quic/hello.py
+++ b/gradefront/quic/hello.py
@@ -29,8 +29,8 @@
 
     def __init__(self) -> None:
         self.text = bytearray()  # the contiguous data received so far
-        self.pending: dict[int, bytes] = {}
-        self.held = 0
+        self.pending: dict[int, bytes] = {}  # by offset: fragments that arrived before the data in front of them
+        self.held = 0  # octets in `pending`
 
     def take(self, offset: int, fragment: bytes) -> None:
         """Add one frame; repeated data has no effect. Raises InvalidHelloError if a bound is exceeded."""
--- a/gradefront/quic/initials.py
+++ b/gradefront/quic/initials.py
@@ -192,8 +192,8 @@
 def close_initial(
     version: int, first_id: bytes, client_id: bytes, reason: str, code: int = CONNECTION_REFUSED
 ) -> bytes:
-    """Build a server's Initial with a CONNECTION_CLOSE. Its size is a tenth of the smallest Initial that it answers,
-    well within the anti-amplification limit (RFC 9000 8.1)."""
+    """Build a server's Initial with a CONNECTION_CLOSE. Its size is less than a tenth of the smallest Initial that it
+    answers, well within the anti-amplification limit (RFC 9000 8.1)."""
     text = reason.encode()
     frame = bytes([CONNECTION_CLOSE_TYPES[0]]) + varint(code) + b"\x00" + varint(len(text)) + text
     return seal_initial(version, first_id, client_id, os.urandom(8), frame)
--- a/gradefront/quic/listener.py
+++ b/gradefront/quic/listener.py
@@ -38,7 +38,8 @@
         self.on_datagram = on_datagram
 
     def read(self) -> int:
-        """Read client datagrams: those whose id has a known path are sent along it, all others go to the front."""
+        """Read client datagrams. Those whose id and client address have a known path are sent along it; all
+        others go to the front."""
         routes, lengths, recvfrom = self.routes.get, self.lengths, self.recvfrom
         for count in range(MAX_BATCH):
             try:
--- a/gradefront/quic/maintenance.py
+++ b/gradefront/quic/maintenance.py
@@ -24,7 +24,8 @@
 #: Devices send every 2 s: one that is quiet for longer may have moved to another address.
 ADDRESS_CHANGE_IDLE_US = 5_000_000
 UNOWNED_PATH_US = 6_000_000  # a path that no connection takes over within this time gets a connection of its own
-#: After a start, paths are adopted at once: no connection that this relay established can have moved to them.
+#: A path opened within this time after the start is adopted at once if no connection that this relay has established
+#: can have moved to it (see _predates_start).
 RESTART_WINDOW_US = 10_000_000
 MIN_DATAGRAMS_EACH_WAY = 2  # show that a connection is in use
 SERVING_STATES = (BackendState.READY, BackendState.DRAINING)
@@ -126,7 +127,7 @@
 
     def _predates_start(self, path: Path) -> bool:
         """Return whether a path without a connection must belong to a connection from before this relay's start: it
-        is as old as any connection that this relay has established at the backend, so that none of them can have
+        is at least as old as any connection that this relay has placed at the backend, so that none of them can have
         moved to it from another address."""
         first = self.first_placed_us.get(path.backend)
         return path.created_us - self.started_us < RESTART_WINDOW_US and (first is None or first >= path.created_us)
--- a/gradefront/quic/paths.py
+++ b/gradefront/quic/paths.py
@@ -27,7 +27,8 @@
 log = logging.getLogger("gradefront.quic")
 
 MAX_DATAGRAM_LENGTH = 9_216  # jumbo frames; larger QUIC datagrams do not cross a network
-QUARANTINE_US = 3_000_000  # before a slot is used again: late answers to its last path may still arrive
+#: Before a slot is used again, unless no other is free: late answers to its last path may still arrive.
+QUARANTINE_US = 3_000_000
 FULL_RETRY_US = 100_000  # before a slot is searched for again at a backend that had none free
 PORT_BUFFER = 1 << 18
 MIN_ANSWERS = 2  # needed to infer a client's id
@@ -108,7 +109,7 @@
             self.client_id = candidate[:common_length] if self.answers_examined > 1 else candidate
         if self.answers_examined < MIN_ANSWERS:
             return False
-        if len(self.client_id) < MIN_LEARNED_ID_LENGTH:  # a client may use an empty id: its path is not shared
+        if len(self.client_id) < MIN_LEARNED_ID_LENGTH:  # a client may use an empty id: it then stays unknown
             self.client_id = b""
         return True
 
@@ -134,7 +135,7 @@
                 self.socket.setsockopt(socket.IPPROTO_IP, IP_RECVERR, 1)
 
     def read(self) -> int:
-        """Read one answer of a backend. This is the path of most datagrams, so it does only what is needed. Usually
+        """Read one answer of a backend. Most datagrams pass through here, so this does only what is needed. Usually
         one datagram waits; testing for a second would cost as much as reading the first. The hub calls again if there
         is one."""
         try:
@@ -188,24 +189,23 @@
         self,
         hub: Hub,
         host: str,
-        most: int,
-        share: int,
+        max_ports: int,
+        paths_per_slot: int,
         on_backend_datagram: Callable[[Path, bytes], None],
-        refused: Callable[[Path], None],
+        on_refused: Callable[[Path], None],
         count: Callable[[str], None],
     ) -> None:
         self.hub = hub
         self.host = host
-        self.max_ports = most
-        self.paths_per_slot = share
-        self.report_received = on_backend_datagram
-        self.on_refused = refused
+        self.max_ports = max_ports
+        self.paths_per_slot = paths_per_slot
+        self.on_path_datagram = on_backend_datagram
+        self.on_refused = on_refused
         self.count = count
         self.ports: list[Port] = []
         self.next_unused: dict[Address, int] = {}  # by backend: the first port not yet used for it
-        self.released: dict[
-            Address, deque[tuple[int, int]]
-        ] = {}  # by backend: released ports and the time of release
+        #: By backend: released ports and the time of release.
+        self.released: dict[Address, deque[tuple[int, int]]] = {}
         self.full_until_us: dict[Address, int] = {}  # by backend: no search for a free slot until then
 
     def count_unknown_sender(self) -> None:
@@ -222,7 +222,7 @@
         if len(paths) > 1:
             self.count("quic_copied_to_sharers")
         for path in paths:
-            self.report_received(path, datagram)
+            self.on_path_datagram(path, datagram)
 
     def assign_port(
         self, path: Path, client_id: bytes, avoid: set[Port], now_us: int, client_id_of: Callable[[Path], bytes]
--- a/gradefront/quic/sockets.py
+++ b/gradefront/quic/sockets.py
@@ -10,7 +10,7 @@
 
 from gradefront.config import Address
 
-BUSY_DATAGRAMS = 4  # datagrams read in one poll from which on the hub counts as busy
+BUSY_DATAGRAMS = 4  # the hub counts as busy if it reads at least this many datagrams in one poll
 #: Further polls while busy, before the reactor runs; times POLL_TIMEOUT_S they stay below a timer tick of 4 ms.
 EXTRA_POLLS = 3
 POLL_TIMEOUT_S = 0.001  # the shortest timeout that epoll supports
--- a/gradefront/quic/tables.py
+++ b/gradefront/quic/tables.py
@@ -140,17 +140,17 @@
             path = self.unowned[key]
             self._assign_owner(path, owner)
             return path
-        slot = self.quic.backends.get(backend)
-        if slot is None:
+        configured = self.quic.backends.get(backend)
+        if configured is None:
             return None
         if len(self.route_ids) >= self.quic.most_paths and not self._evict_path():
             return None
-        path = Path(client, backend, slot.address, listener, owner, self.now())
+        path = Path(client, backend, configured.address, listener, owner, self.now())
         path.is_direct = owner is not None and owner.is_established
         avoid: set[Port] = {p.port for p in owner.paths.values() if p.port} if owner else set()
         client_id = owner.client_id if owner and owner.client_id else b""
         if not self.pool.assign_port(path, client_id, avoid, self.now(), self._client_id):
-            return None  # the periodic check closes idle paths
+            return None  # until a path is closed, e.g. by the periodic check for idle ones
         self.route_ids[path] = deque()
         if owner:
             owner.paths[client] = path
@@ -223,7 +223,7 @@
         path.listener.reply(datagram, path.client)
 
     def _on_refused(self, path: Path) -> None:
-        """Handle an ICMP rejection: nothing listens at the backend's address."""
+        """Handle an ICMP port unreachable error: nothing listens at the backend's address."""
         owner = path.owner
         if owner and owner.upstream and not owner.upstream.attempt.is_over:
             owner.upstream.attempt.end(Cause.UNREACHABLE, ConnectionEnd.BROKEN)
--- a/gradefront/quic/tokens.py
+++ b/gradefront/quic/tokens.py
@@ -47,9 +47,9 @@
 class TokenVerdict(Enum):
     """The result of a token's validation."""
 
-    NONE = "none"  # no token, or one issued by a backend
+    NONE = "none"  # no token, one under no known key (as a backend issues), or an invalid NEW_TOKEN: no error
     PROVEN = "proven"  # the client received the token at this address
-    FORGED = "forged"  # has the id of a shared key but does not decrypt
+    FORGED = "forged"  # a Retry token that names one of the keys but does not decrypt to a valid body
     STOLEN = "stolen"  # issued to another address
     EXPIRED = "expired"
     MISPLACED = "misplaced"  # valid, but in an Initial to another id than the Retry's
--- a/lab/conform/__init__.py
+++ b/lab/conform/__init__.py
@@ -36,7 +36,7 @@
 
     case: Case
     passed: bool | None  # None: the case was not run
-    said: str = ""
+    said: str = ""  # why the case failed
     seconds: float = 0.0
 
 
--- a/lab/conform/quic.py
+++ b/lab/conform/quic.py
@@ -123,7 +123,7 @@
         assert head and head.version == 0 and head.to_id == marker, (
             "the front answered a datagram that must get no answer"
         )
-        for _ in range(4):
+        for _ in range(4):  # let the event loop read what reached the backends meanwhile
             await asyncio.sleep(0)
 
 
--- a/lab/crowd.py
+++ b/lab/crowd.py
@@ -47,7 +47,7 @@
     rules: SlowStartRules = field(default_factory=SlowStartRules)
     seed: int = 1
     faults: Faults = field(default_factory=Faults)
-    lag_s: float = 0.0  # maximum age of the load reports
+    lag_s: float = 0.0  # interval at which a backend renews the load that it reports; 0: reports are current
     spread: float = 0.0  # maximum relative deviation of a backend from `full_connections`
     line_interval_s: float = 0.4  # interval between two lines that a served client sends
     deadline_ms: int = DEADLINE_MS
--- a/lab/fleet/world.py
+++ b/lab/fleet/world.py
@@ -45,9 +45,8 @@
     sealer: Sealer
     up: bool = True
     paused: bool = False
-    waiting: list[bytes] = field(
-        default_factory=list
-    )  # datagrams in the socket's receive buffer while the process is paused
+    #: Datagrams in the socket's receive buffer while the process is paused.
+    waiting: list[bytes] = field(default_factory=list)
 
 
 class World:
--- a/lab/quic.py
+++ b/lab/quic.py
@@ -158,7 +158,7 @@
         self.connections: list[ServerConnection] = []
         self.opened_at: list[float] = []
         self.initials: list[float] = []  # arrival times of Initials for new connections, retransmissions included
-        self.tried: set[bytes] = set()  # destination ids of these Initials: one id for each attempt
+        self.tried: set[bytes] = set()  # destination ids of these Initials: retransmissions count once
         self.asked: Counter[bytes] = Counter()  # requests by text
         self.unanswered: list[tuple[bytes, Address]] = []  # stored while silent
 
--- a/lab/slow_start_oracle.py
+++ b/lab/slow_start_oracle.py
@@ -137,7 +137,7 @@
         self.clock = clock
         self.sender = sender
         self.reply = reply
-        self.lag_s = 0.0  # interval at which the reported load is renewed, thus its maximum age
+        self.lag_s = 0.0  # interval at which the reported load is renewed; 0: each report gives the present load
         self.last_report = 0.0, 0.0  # its time in seconds, and the load
         self.short_share = 0.0  # share of its connections that the backend ends after SHORT_CONNECTION_S
         self.answered_requests = count()
@@ -154,7 +154,7 @@
         return self.reply
 
     def load(self) -> float:
-        """Return the load as a share of the current capacity, as of the last renewal of the report."""
+        """Return the load as a share of the current capacity, as of the last renewal before this call."""
         now = self.clock()
         load = self.active_connections / (self.warm_up.full_connections * self.warm_up.capacity(now))
         reported_s, reported = self.last_report
--- a/lab/soak.py
+++ b/lab/soak.py
@@ -26,7 +26,7 @@
 SIGNALS = (signal.SIGTERM, signal.SIGKILL, signal.SIGHUP)
 HANG_TIMEOUT_S = 90.0  # for one run
 PARALLEL = 2  # more concurrent runs would miss deadlines on a machine with other load
-# From this seed on, clients use their connections until the earliest SIGKILL, and relays get signals in series.
+# From this seed on, relays get SIGKILL at the earliest time that the platform allows, and signals in series.
 FIRST_HARSH_SEED = 1_001
 FIRST_PAUSED_SEED = 2_001  # from this seed on, relays that are shutting down are paused at random times
 SIGNALS_PROBABILITY = 0.7  # of signals to relays in a run
--- a/tests/test_quic_model.py
+++ b/tests/test_quic_model.py
@@ -237,9 +237,8 @@
     service = Tables()
     front, client = service.front, service.clients[0]
     connection_id = FORM.make(b"\0\0")
-    for _ in range(
-        3
-    ):  # a connection from before this relay's start: both sides send along a path without a connection
+    # A connection from before this relay's start: both sides send along a path without a connection.
+    for _ in range(3):
         service.send(0, b"\x40" + connection_id + b"talk to me, somebody who can read this")
         where = service.at_backends[-1][2]
         service.backends[0].sendto(b"\x40" + os.urandom(8) + b"talk", where)
